--- a/internal/contract/schema_test.go
+++ b/internal/contract/schema_test.go
@@ -38,7 +38,7 @@
 	if !ok {
 		return node
 	}
-	target := maps.Clone(s.object("$defs").object(strings.TrimPrefix(ref, "#/$defs/")))
+	target := maps.Clone(s.object("$defs").object(refName(ref)))
 	maps.Copy(target, node)
 	delete(target, "$ref")
 	return target
@@ -97,3 +97,6 @@
 	}
 	return path + "." + name
 }
+
+// refName returns the name of the definition that a reference points to.
+func refName(ref string) string { return strings.TrimPrefix(ref, "#/$defs/") }
