--- a/internal/contract/encoding_test.go
+++ b/internal/contract/encoding_test.go
@@ -23,6 +23,7 @@
 const (
 	filled     filling = iota // each field has a value, each list one item
 	emptyLists                // lists and maps are there and empty, the rest is zero
+	zeroItems                 // each list has one item and each pointer a value, the rest is zero
 )
 
 // build returns a value of type t.
@@ -40,16 +41,16 @@
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 0, 1))
-		if f == filled {
+		if f != emptyLists {
 			v.Set(reflect.Append(v, build(v.Type().Elem(), f)))
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
-		if f == filled {
+		if f != emptyLists {
 			v.SetMapIndex(build(v.Type().Key(), f), build(v.Type().Elem(), f))
 		}
 	case reflect.Pointer:
-		if f == filled {
+		if f != emptyLists {
 			v.Set(reflect.New(v.Type().Elem()))
 			fill(v.Elem(), f)
 		}
@@ -89,6 +90,7 @@
 	}
 	return "zero value:\n" + indented(t, reflect.Zero(typ).Interface()) +
 		"\nempty lists:\n" + indented(t, build(typ, emptyLists).Interface()) +
+		"\nzero items:\n" + indented(t, build(typ, zeroItems).Interface()) +
 		"\nfilled:\n" + indented(t, full.Interface()) + "\n"
 }
 
