--- a/internal/contract/doc.go
+++ b/internal/contract/doc.go
@@ -9,11 +9,14 @@
 //   - deploy: the deploy file, its settings template, and a rendered example;
 //   - constants: headers, paths and limits, and the words of verdicts and reasons;
 //   - help: the help text of each verb;
-//   - explain: what honeydyke explain prints for recorded log lines;
+//   - explain: what honeydyke explain prints for the log lines of input.log, which
+//     is written by hand;
 //   - state: the fields of the state dumps of both kinds of node.
 //
 // The tests name few identifiers of the program and compare values instead, so
-// that renaming code leaves them alone. Descriptions in schemas are not held.
+// that renaming code leaves them alone. Descriptions in schemas are not held. A
+// definition of the message schema that gets another name shows as a renamed file
+// of the same content.
 //
 // A difference means that callers, operators or other nodes would see a change.
 // Where that is intended, write the files anew and review their difference:
