--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -40,13 +40,13 @@
 
 func (b *batches) idle() bool { return b.open.Load() == 0 }
 
-// former returns the actor that forms the calls of a service at this node.
-func (b *batches) former(service string) *actor.PID {
+// coordinator returns the actor that forms the calls of a service at this node.
+func (b *batches) coordinator(service string) *actor.PID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	pid := b.services[service]
 	if pid == nil {
-		pid = b.g.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return newFormer(b.g, service) }))
+		pid = b.g.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return newCoordinator(b.g, service) }))
 		b.services[service] = pid
 		b.g.system.Root.Send(pid, configureOf(b.g.view.Load(), service))
 	}
@@ -70,23 +70,23 @@
 	}
 }
 
-// owner returns the node that forms the calls of a service.
-func (b *batches) owner(service string) string {
+// coordinatorOf returns the node that forms the calls of a service.
+func (b *batches) coordinatorOf(service string) string {
 	g := b.g
 	g.rosterMu.Lock()
 	defer g.rosterMu.Unlock()
-	return placement.Owner(service, g.roster.Dutiful(g.now()))
+	return placement.Coordinator(service, g.roster.Eligible(g.now()))
 }
 
-// Make implements relay.Batcher.
-func (b *batches) Make(ctx context.Context, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
+// Run implements relay.Batcher.
+func (b *batches) Run(ctx context.Context, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
 	for range maxOwners {
-		owner := b.owner(service)
+		owner := b.coordinatorOf(service)
 		if owner == "" || owner == b.g.PeerAddress() {
 			break
 		}
-		results, err := b.g.askItemsWatching(ctx, owner, service, group, started)
-		if err == nil || !otherOwner(err) || ctx.Err() != nil {
+		results, err := b.g.runAtLiveMember(ctx, owner, service, group, started)
+		if err == nil || !otherMember(err) || ctx.Err() != nil {
 			return results, err
 		}
 		if err.Reason() == verdict.ReasonMoved {
@@ -98,9 +98,9 @@
 	return b.makeHere(ctx, service, group, started)
 }
 
-// otherOwner says whether a group that a member did not make should go to another
+// otherMember says whether a group that a member did not make should go to another
 // member.
-func otherOwner(err *verdict.Error) bool {
+func otherMember(err *verdict.Error) bool {
 	switch err.Reason() {
 	case verdict.ReasonConnection, verdict.ReasonLeaving, verdict.ReasonMoved:
 		return true
@@ -111,7 +111,7 @@
 // handBack gives the groups that wait for their first call back, for the member
 // that takes this node's duties over. It does nothing when there is no other.
 func (b *batches) handBack() {
-	if b.owner("") == "" {
+	if b.coordinatorOf("") == "" {
 		return
 	}
 	b.mu.Lock()
@@ -125,14 +125,14 @@
 func (b *batches) makeHere(ctx context.Context, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
 	b.open.Add(1)
 	defer b.open.Add(-1)
-	pid := b.former(service)
-	order := &order{group: group, started: started, done: make(chan struct{})}
+	pid := b.coordinator(service)
+	order := &pendingGroup{group: group, started: started, done: make(chan struct{})}
 	b.g.system.Root.Send(pid, order)
 	select {
 	case <-order.done:
 		return order.results, order.err
 	case <-ctx.Done():
-		b.g.system.Root.Send(pid, cancelOrder{order})
+		b.g.system.Root.Send(pid, cancelGroup{order})
 		reason := verdict.ReasonCancelled
 		if ctx.Err() == context.DeadlineExceeded {
 			reason = verdict.ReasonDeadline
@@ -143,7 +143,7 @@
 
 // Release implements relay.Batcher.
 func (b *batches) Release(service string, results []batching.Result) {
-	owner := b.owner(service)
+	owner := b.coordinatorOf(service)
 	if owner != "" && owner != b.g.PeerAddress() {
 		go b.g.askRelease(owner, service, results)
 		return
@@ -156,7 +156,7 @@
 	for _, r := range results {
 		byTarget[r.Target] = append(byTarget[r.Target], r.Handle)
 	}
-	pid := b.former(service)
+	pid := b.coordinator(service)
 	for target, handles := range byTarget {
 		b.g.system.Root.Send(pid, batching.Release{Target: target, Handles: handles})
 	}
@@ -168,7 +168,7 @@
 		plan:    batching.Plan{Request: request, Stage: s.Stage, Items: s.Items, Due: s.Due},
 		backlog: make(chan time.Duration, 1),
 	}
-	b.g.system.Root.Send(b.former(s.Service), p)
+	b.g.system.Root.Send(b.coordinator(s.Service), p)
 	select {
 	case d := <-p.backlog:
 		return d
@@ -178,14 +178,14 @@
 }
 
 func (b *batches) cancelHere(request string, s relay.PlannedStage) {
-	b.g.system.Root.Send(b.former(s.Service), batching.Cancel{Request: request, Stage: s.Stage})
+	b.g.system.Root.Send(b.coordinator(s.Service), batching.CancelPlan{Request: request, Stage: s.Stage})
 }
 
 // byOwner groups the numbers of stages by the node that forms their calls.
 func (b *batches) byOwner(stages []relay.PlannedStage) map[string][]int {
 	owners := make(map[string][]int)
 	for i, s := range stages {
-		owner := b.owner(s.Service)
+		owner := b.coordinatorOf(s.Service)
 		if owner == "" {
 			owner = b.g.PeerAddress()
 		}
--- a/internal/gateway/batches_test.go
+++ b/internal/gateway/batches_test.go
@@ -28,7 +28,7 @@
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
 }
 
-func (s *slowTargets) Make(_ context.Context, c ItemCall) ([]batching.Outcome, *verdict.Error) {
+func (s *slowTargets) RunBatch(_ context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error) {
 	s.begun <- len(c.Items)
 	<-s.release
 	outcomes := make([]batching.Outcome, len(c.Items))
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(g.close)
-	batch := &catalog.Batch{Slots: 1, Size: 4, CallLatency: time.Minute, RoomBytes: 1000, HandleTTL: time.Minute}
+	batch := &catalog.Batch{Slots: 1, MaxItems: 4, CallLatency: time.Minute, MemoryBytes: 1000, ResultTTL: time.Minute}
 	c, err := catalog.New(1, nil, []*catalog.Service{{Name: "s", Batch: batch}}, nil, catalog.Limits{})
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	g.view.Store(view.New().WithChanges(g.now(), view.Changes{Revision: 1, List: []view.Change{
 		view.CatalogChange{Catalog: c}, view.TargetChange{Target: directory.Target{ID: "t", Service: "s"}},
 	}}, time.Time{}))
-	g.tellRoster()
+	g.publishStatus()
 	return g
 }
 
@@ -101,7 +101,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		g.leaving.Store(true)
-		g.tellRoster()
+		g.publishStatus()
 		convey.Convey("when it leaves and there is another, what waits is handed back and what is at work is finished", func() {
 			g.rosterMu.Lock()
 			g.roster.Merge(g.now(), message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
@@ -116,7 +116,7 @@
 		})
 		convey.Convey("when another member takes the duty over, what waits goes there and what still comes is made", func() {
 			g.leaving.Store(false)
-			g.tellRoster()
+			g.publishStatus()
 			g.rosterMu.Lock()
 			g.roster.Merge(g.now(), message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
 			g.rosterMu.Unlock()
--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -20,8 +20,8 @@
 
 func service() *catalog.Service {
 	return &catalog.Service{Name: "s", Batch: &catalog.Batch{
-		Slots: 1, Queue: 2, Size: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond,
-		RoomBytes: 1000, HandleTTL: 4 * time.Second,
+		Slots: 1, Queue: 2, MaxItems: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond,
+		MemoryBytes: 1000, ResultTTL: 4 * time.Second,
 	}}
 }
 
@@ -50,20 +50,20 @@
 	return list
 }
 
-func starts(effects []batching.Effect) []batching.Start {
-	var list []batching.Start
+func starts(effects []batching.Effect) []batching.Send {
+	var list []batching.Send
 	for _, e := range effects {
-		if s, ok := e.(batching.Start); ok {
+		if s, ok := e.(batching.Send); ok {
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-func made(s batching.Start) batching.Finished {
-	f := batching.Finished{Call: s.Call}
+func made(s batching.Send) batching.Finished {
+	f := batching.Finished{Batch: s.Batch}
 	for _, item := range s.Items {
-		f.Outcomes = append(f.Outcomes, batching.Outcome{Handle: fmt.Sprintf("h%d-%d", s.Call, item.Token)})
+		f.Outcomes = append(f.Outcomes, batching.Outcome{Handle: fmt.Sprintf("h%d-%d", s.Batch, item.Token)})
 	}
 	return f
 }
@@ -155,14 +155,14 @@
 	convey.Convey("A target reads its inputs at once only when it is known to have no other call", t, func() {
 		c := newCore(1)
 		first := starts(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
-		convey.So(first[0].AtOnce, convey.ShouldBeFalse)
+		convey.So(first[0].TargetIdle, convey.ShouldBeFalse)
 		c.Handle(start.Add(300*time.Millisecond), made(first[0]))
 		second := starts(c.Handle(start.Add(300*time.Millisecond), batching.Submit{Items: items(2, 1, 2*time.Second)}))
-		convey.So(second[0].AtOnce, convey.ShouldBeTrue)
+		convey.So(second[0].TargetIdle, convey.ShouldBeTrue)
 		lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "reset")
-		c.Handle(start.Add(600*time.Millisecond), batching.Finished{Call: second[0].Call, Err: lost})
+		c.Handle(start.Add(600*time.Millisecond), batching.Finished{Batch: second[0].Batch, Err: lost})
 		third := starts(c.Handle(start.Add(time.Second), batching.Tick{}))
-		convey.So(third[0].AtOnce, convey.ShouldBeFalse)
+		convey.So(third[0].TargetIdle, convey.ShouldBeFalse)
 	})
 	convey.Convey("Items of a call that is stuck go elsewhere, and its late results are freed", t, func() {
 		c := newCore(2)
@@ -173,7 +173,7 @@
 		c.Handle(start.Add(2300*time.Millisecond), made(again[0]))
 		late := c.Handle(start.Add(2400*time.Millisecond), made(s[0]))
 		convey.So(late, convey.ShouldHaveLength, 1)
-		convey.So(late[0], convey.ShouldHaveSameTypeAs, batching.Free{})
+		convey.So(late[0], convey.ShouldHaveSameTypeAs, batching.Discard{})
 	})
 	convey.Convey("An item that cannot be made in the time left is given up at once", t, func() {
 		c := newCore(1)
@@ -188,14 +188,14 @@
 	convey.Convey("An item whose input is gone is not tried again", t, func() {
 		c := newCore(1)
 		s := starts(c.Handle(start, batching.Submit{Items: items(1, 1, time.Second)}))
-		out := c.Handle(start.Add(time.Second), batching.Finished{Call: s[0].Call, Outcomes: []batching.Outcome{{Refusal: batching.InputGone}}})
+		out := c.Handle(start.Add(time.Second), batching.Finished{Batch: s[0].Batch, Outcomes: []batching.Outcome{{Status: batching.InputGone}}})
 		convey.So(out, convey.ShouldHaveLength, 1)
 		convey.So(out[0].(batching.Resolve).Err.Reason(), convey.ShouldEqual, verdict.ReasonInputGone)
 	})
 	convey.Convey("An answer for other items than were asked counts as a failure", t, func() {
 		c := newCore(1)
 		s := starts(c.Handle(start, batching.Submit{Items: items(1, 2, 2*time.Second)}))
-		out := c.Handle(start.Add(300*time.Millisecond), batching.Finished{Call: s[0].Call, Outcomes: []batching.Outcome{{Handle: "h"}}})
+		out := c.Handle(start.Add(300*time.Millisecond), batching.Finished{Batch: s[0].Batch, Outcomes: []batching.Outcome{{Handle: "h"}}})
 		for _, e := range out {
 			_, resolved := e.(batching.Resolve)
 			convey.So(resolved, convey.ShouldBeFalse)
@@ -209,8 +209,8 @@
 	core    *batching.Core
 	now     time.Time
 	open    map[batching.Token]bool
-	running map[batching.CallID]batching.Start
-	busy    map[string]batching.CallID
+	running map[batching.BatchID]batching.Send
+	busy    map[string]batching.BatchID
 	leaving map[string]bool
 	made    map[string]bool
 	kept    map[string]string
@@ -221,7 +221,7 @@
 func (o *oracle) handle(ev batching.Event) {
 	for _, e := range o.core.Handle(o.now, ev) {
 		switch e := e.(type) {
-		case batching.Start:
+		case batching.Send:
 			o.start(e)
 		case batching.Resolve:
 			if !o.open[e.Token] {
@@ -232,7 +232,7 @@
 				o.kept[e.Result.Handle] = e.Result.Target
 				delete(o.made, e.Result.Handle)
 			}
-		case batching.Free:
+		case batching.Discard:
 			for _, h := range e.Handles {
 				if !o.made[h] && o.kept[h] == "" {
 					o.t.Fatalf("result %s was freed twice or never made", h)
@@ -247,7 +247,7 @@
 	}
 }
 
-func (o *oracle) start(e batching.Start) {
+func (o *oracle) start(e batching.Send) {
 	if o.busy[e.Target.ID] != 0 {
 		o.t.Fatalf("target %s got a second call", e.Target.ID)
 	}
@@ -262,34 +262,34 @@
 			o.t.Fatalf("item %d was asked for after its end", item.Token)
 		}
 	}
-	o.busy[e.Target.ID] = e.Call
-	o.running[e.Call] = e
+	o.busy[e.Target.ID] = e.Batch
+	o.running[e.Batch] = e
 }
 
 // anyCall returns the oldest call at work.
-func (o *oracle) anyCall() (batching.Start, bool) {
-	var oldest batching.Start
+func (o *oracle) anyCall() (batching.Send, bool) {
+	var oldest batching.Send
 	for id, s := range o.running {
-		if oldest.Call == 0 || id < oldest.Call {
+		if oldest.Batch == 0 || id < oldest.Batch {
 			oldest = s
 		}
 	}
-	return oldest, oldest.Call != 0
+	return oldest, oldest.Batch != 0
 }
 
-func (o *oracle) finish(s batching.Start) {
-	delete(o.running, s.Call)
+func (o *oracle) finish(s batching.Send) {
+	delete(o.running, s.Batch)
 	delete(o.busy, s.Target.ID)
-	f := batching.Finished{Call: s.Call}
+	f := batching.Finished{Batch: s.Batch}
 	if rapid.IntRange(0, 5).Draw(o.t, "fails") == 0 {
 		f.Err = verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 		o.handle(f)
 		return
 	}
 	for range s.Items {
-		refusal := batching.Refusal(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3, 4}).Draw(o.t, "refusal"))
-		out := batching.Outcome{Refusal: refusal}
-		if refusal == batching.Made {
+		refusal := batching.Status(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3, 4}).Draw(o.t, "refusal"))
+		out := batching.Outcome{Status: refusal}
+		if refusal == batching.Done {
 			o.handles++
 			out.Handle = fmt.Sprintf("h%d", o.handles)
 			o.made[out.Handle] = true
@@ -303,7 +303,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
 			t: t, core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 5, MaxNodes: 1}), now: start,
-			open: map[batching.Token]bool{}, running: map[batching.CallID]batching.Start{}, busy: map[string]batching.CallID{},
+			open: map[batching.Token]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
 			leaving: map[string]bool{}, made: map[string]bool{}, kept: map[string]string{},
 		}
 		o.handle(batching.Configure{Service: service(), Targets: targets(3)})
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -78,8 +78,8 @@
 	works   map[Token]*work
 	queue   []*work
 	plans   map[planKey]plan
-	calls   map[CallID]*call
-	last    CallID
+	calls   map[BatchID]*call
+	last    BatchID
 	budget  *retrybudget.Budget
 	// holding is the learnt time that a result takes room, in seconds, and
 	// itemBytes the learnt size of one.
@@ -91,7 +91,7 @@
 
 // Stats count what the core did.
 type Stats struct {
-	Calls, Items, Expired, Repeats, Refused int64
+	Batches, Items, Expired, Retries, Refused int64
 }
 
 // New returns a core without targets.
@@ -99,7 +99,7 @@
 	return &Core{
 		targets: map[string]*target{},
 		works:   map[Token]*work{},
-		calls:   map[CallID]*call{},
+		calls:   map[BatchID]*call{},
 		plans:   map[planKey]plan{},
 		budget:  retrybudget.New(budget),
 	}
@@ -115,7 +115,7 @@
 	case Plan:
 		c.plans[planKey{ev.Request, ev.Stage}] = plan{items: ev.Items, due: ev.Due}
 		return nil
-	case Cancel:
+	case CancelPlan:
 		delete(c.plans, planKey{ev.Request, ev.Stage})
 		return nil
 	case Submit:
@@ -207,15 +207,15 @@
 		}
 		t.release(h)
 	}
-	c.emit(Free{Target: t.Target, Handles: handles})
+	c.emit(Discard{Target: t.Target, Handles: handles})
 }
 
 func (c *Core) finished(now time.Time, ev Finished) {
-	done := c.calls[ev.Call]
+	done := c.calls[ev.Batch]
 	if done == nil {
 		return
 	}
-	delete(c.calls, ev.Call)
+	delete(c.calls, ev.Batch)
 	t := c.targets[done.target]
 	if t == nil {
 		return
@@ -237,7 +237,7 @@
 		}
 	}
 	if len(unused) > 0 {
-		c.emit(Free{Target: t.Target, Handles: unused})
+		c.emit(Discard{Target: t.Target, Handles: unused})
 	}
 }
 
@@ -250,18 +250,18 @@
 	if !done.stuck {
 		w.running--
 	}
-	switch out.Refusal {
-	case Made:
-		t.hold(out.Handle, held{bytes: item.Bytes, begun: done.started, expires: now.Add(c.batch.HandleTTL)})
+	switch out.Status {
+	case Done:
+		t.hold(out.Handle, held{bytes: item.Bytes, begun: done.started, expires: now.Add(c.batch.ResultTTL)})
 		c.forget(item.Token)
 		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.ID, DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
 		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input is gone at %s", t.ID))
-	case Late:
+	case PastDeadline:
 		c.stats.Expired++
 		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
-	case NoRoom:
+	case NoMemory:
 		t.pausedUntil = now.Add(noRoomPause)
 		c.requeue(now, w, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
 	case Failed:
@@ -303,7 +303,7 @@
 		}
 		return
 	}
-	c.stats.Repeats++
+	c.stats.Retries++
 	w.waiting = true
 	c.queue = append(c.queue, w)
 }
@@ -411,7 +411,7 @@
 		}
 		left := max(t.free.Sub(now), 0)
 		if left+t.expected(now, c.batch, 1) < idleCost {
-			taken += c.batch.Size
+			taken += c.batch.MaxItems
 		}
 	}
 	return taken >= len(c.queue)
@@ -435,7 +435,7 @@
 				continue
 			}
 		}
-		end := now.Add(wait + near.expected(now, c.batch, c.batch.Size))
+		end := now.Add(wait + near.expected(now, c.batch, c.batch.MaxItems))
 		if wait <= maxNearWait && end.Before(w.Due) {
 			return false
 		}
@@ -447,7 +447,7 @@
 func (c *Core) start(now time.Time, t *target) {
 	room := t.room(c.batch)
 	soonest := now.Add(planned(c.batch, 1))
-	spare := int64(lateRoom * float64(c.batch.RoomBytes))
+	spare := int64(lateRoom * float64(c.batch.MemoryBytes))
 	var items []Item
 	var rest []*work
 	for _, w := range c.queue {
@@ -455,7 +455,7 @@
 		if w.givesWay(soonest) {
 			need += spare
 		}
-		if len(items) < c.batch.Size && need <= room && c.suits(now, w, t) {
+		if len(items) < c.batch.MaxItems && need <= room && c.suits(now, w, t) {
 			room -= w.Bytes
 			w.waiting = false
 			w.running++
@@ -481,9 +481,9 @@
 	for _, item := range items {
 		t.reserved += item.Bytes
 	}
-	c.stats.Calls++
+	c.stats.Batches++
 	c.stats.Items += int64(n)
-	c.emit(Start{Call: c.last, Target: t.Target, Items: items, Limit: limitFactor * patience, AtOnce: t.known})
+	c.emit(Send{Batch: c.last, Target: t.Target, Items: items, Timeout: limitFactor * patience, TargetIdle: t.known})
 }
 
 // Usable says whether an item may be sent to a target now; a shell asks once
@@ -497,14 +497,14 @@
 type State struct {
 	Stats
 	// Waiting counts items without a call; Late those of them that give way.
-	Waiting, Late int
+	Waiting, PastDue int
 	// Targets counts those that take work, Working those with a call and Paused
 	// those that are left alone.
-	Targets, Working, Paused int
-	// HeldBytes and RoomBytes are the room taken and the room there is.
-	HeldBytes, RoomBytes int64
-	// PerSecond is how many items all targets make with full calls.
-	PerSecond float64
+	Targets, Busy, BackingOff int
+	// UsedBytes and RoomBytes are the room taken and the room there is.
+	UsedBytes, MemoryBytes int64
+	// ItemsPerSecond is how many items all targets make with full calls.
+	ItemsPerSecond float64
 	// Planned counts items that will be submitted later.
 	Planned int
 	// Wait estimates how long a new item waits, and Backlog how long it takes to
@@ -520,20 +520,20 @@
 	}
 	soonest := time.Duration(-1)
 	for _, t := range c.targets {
-		s.HeldBytes += t.heldBytes + t.reserved
+		s.UsedBytes += t.heldBytes + t.reserved
 		if !t.usable {
 			continue
 		}
 		s.Targets++
-		s.RoomBytes += c.batch.RoomBytes
+		s.MemoryBytes += c.batch.MemoryBytes
 		if now.Before(t.pausedUntil) {
-			s.Paused++
+			s.BackingOff++
 			continue
 		}
-		s.PerSecond += float64(c.batch.Size) / t.expected(now, c.batch, c.batch.Size).Seconds()
+		s.ItemsPerSecond += float64(c.batch.MaxItems) / t.expected(now, c.batch, c.batch.MaxItems).Seconds()
 		left := time.Duration(0)
 		if t.call != 0 {
-			s.Working++
+			s.Busy++
 			left = max(t.free.Sub(now), 0)
 		}
 		if soonest < 0 || left < soonest {
@@ -543,18 +543,18 @@
 	latest := now.Add(planned(c.batch, 1))
 	for _, w := range c.queue {
 		if w.givesWay(latest) {
-			s.Late++
+			s.PastDue++
 		}
 	}
-	if room := c.roomPerSecond(s.RoomBytes); room > 0 {
-		s.PerSecond = min(s.PerSecond, room)
+	if room := c.roomPerSecond(s.MemoryBytes); room > 0 {
+		s.ItemsPerSecond = min(s.ItemsPerSecond, room)
 	}
 	for _, p := range c.plans {
 		s.Planned += p.items
 	}
-	if s.PerSecond > 0 {
-		s.Backlog = soonest + time.Duration(float64(s.Waiting-s.Late+s.Planned)/s.PerSecond*float64(time.Second))
-		s.Wait = soonest + time.Duration(float64(s.Waiting-s.Late)/s.PerSecond*float64(time.Second))
+	if s.ItemsPerSecond > 0 {
+		s.Backlog = soonest + time.Duration(float64(s.Waiting-s.PastDue+s.Planned)/s.ItemsPerSecond*float64(time.Second))
+		s.Wait = soonest + time.Duration(float64(s.Waiting-s.PastDue)/s.ItemsPerSecond*float64(time.Second))
 	}
 	return s
 }
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -18,8 +18,8 @@
 // Token names one submitted item within one core.
 type Token uint64
 
-// CallID names one call within one core.
-type CallID uint64
+// BatchID names one call within one core.
+type BatchID uint64
 
 // Item is one piece of a stage's work.
 type Item struct {
@@ -56,23 +56,23 @@
 // Outcome is what a target answered for one item.
 type Outcome struct {
 	Handle string
-	// Refusal says why there is no handle.
-	Refusal Refusal
+	// Status says why there is no handle.
+	Status Status
 }
 
-// Refusal is a target's reason for not making an item.
-type Refusal int
+// Status is a target's reason for not making an item.
+type Status int
 
 // Reasons of targets.
 const (
-	// Made means that there is a handle.
-	Made Refusal = iota
-	// Late means that the time left had run out.
-	Late
+	// Done means that there is a handle.
+	Done Status = iota
+	// PastDeadline means that the time left had run out.
+	PastDeadline
 	// InputGone means that an input does not exist any more.
 	InputGone
-	// NoRoom means that the target has no memory for the result.
-	NoRoom
+	// NoMemory means that the target has no memory for the result.
+	NoMemory
 	// Failed means that the work failed.
 	Failed
 )
@@ -95,8 +95,8 @@
 	Due     time.Time
 }
 
-// Cancel ends the plans of a request.
-type Cancel struct {
+// CancelPlan ends the plans of a request.
+type CancelPlan struct {
 	Request string
 	Stage   int
 }
@@ -109,7 +109,7 @@
 
 // Finished reports the end of a call.
 type Finished struct {
-	Call     CallID
+	Batch    BatchID
 	Outcomes []Outcome
 	Err      *verdict.Error
 }
@@ -123,28 +123,28 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (Configure) isEvent() {}
-func (Plan) isEvent()      {}
-func (Cancel) isEvent()    {}
-func (Submit) isEvent()    {}
-func (Withdraw) isEvent()  {}
-func (Finished) isEvent()  {}
-func (Release) isEvent()   {}
-func (Tick) isEvent()      {}
+func (Configure) isEvent()  {}
+func (Plan) isEvent()       {}
+func (CancelPlan) isEvent() {}
+func (Submit) isEvent()     {}
+func (Withdraw) isEvent()   {}
+func (Finished) isEvent()   {}
+func (Release) isEvent()    {}
+func (Tick) isEvent()       {}
 
 // Effect is what a shell must carry out.
 type Effect interface{ isEffect() }
 
-// Start sends a call to a target.
-type Start struct {
-	Call   CallID
+// Send sends a call to a target.
+type Send struct {
+	Batch  BatchID
 	Target directory.Target
 	Items  []Item
-	// Limit is the longest that the call may take.
-	Limit time.Duration
-	// AtOnce says that the target is known to have no other call, so that it reads
+	// Timeout is the longest that the call may take.
+	Timeout time.Duration
+	// TargetIdle says that the target is known to have no other call, so that it reads
 	// the items' inputs as soon as the call comes.
-	AtOnce bool
+	TargetIdle bool
 }
 
 // Resolve ends an item: with a result, or with an error.
@@ -154,12 +154,12 @@
 	Err    *verdict.Error
 }
 
-// Free tells a target to forget results.
-type Free struct {
+// Discard tells a target to forget results.
+type Discard struct {
 	Target  directory.Target
 	Handles []string
 }
 
-func (Start) isEffect()   {}
+func (Send) isEffect()    {}
 func (Resolve) isEffect() {}
-func (Free) isEffect()    {}
+func (Discard) isEffect() {}
--- a/internal/gateway/batching/target.go
+++ b/internal/gateway/batching/target.go
@@ -38,7 +38,7 @@
 	directory.Target
 	usable bool
 	// call is the call at work; 0 for none.
-	call CallID
+	call BatchID
 	// known says that the target's last call ended with its answer. Before, it may
 	// still be at work on a call that was given up, or that another node formed.
 	known bool
@@ -95,7 +95,7 @@
 }
 
 func (t *target) room(b *catalog.Batch) int64 {
-	return int64(roomShare*float64(b.RoomBytes)) - t.heldBytes - t.reserved
+	return int64(roomShare*float64(b.MemoryBytes)) - t.heldBytes - t.reserved
 }
 
 func (t *target) hold(handle string, h held) {
--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -118,15 +118,15 @@
 	Slots int
 	// Queue is how many calls may wait at one target.
 	Queue int
-	// Size is the most items of one call.
-	Size int
+	// MaxItems is the most items of one call.
+	MaxItems int
 	// CallLatency and PerItem are about how long one call takes.
 	CallLatency time.Duration
 	PerItem     time.Duration
-	// RoomBytes is the memory of one target for results.
-	RoomBytes int64
-	// HandleTTL is how long a result is kept after its call.
-	HandleTTL time.Duration
+	// MemoryBytes is the memory of one target for results.
+	MemoryBytes int64
+	// ResultTTL is how long a result is kept after its call.
+	ResultTTL time.Duration
 }
 
 // Service is a set of targets that do the same work.
--- a/internal/gateway/former.go
+++ b/internal/gateway/coordinator.go
@@ -30,9 +30,9 @@
 	reportInterval = time.Second
 )
 
-// order is a group that waits for its results. The actor owns it until done is
+// pendingGroup is a group that waits for its results. The actor owns it until done is
 // closed.
-type order struct {
+type pendingGroup struct {
 	group   relay.Group
 	results []batching.Result
 	err     *verdict.Error
@@ -49,27 +49,27 @@
 }
 
 // inputsRead says that an order's items should have read their inputs.
-type inputsRead struct{ order *order }
+type inputsRead struct{ order *pendingGroup }
 
-// cancelOrder says that nobody waits for an order any more.
-type cancelOrder struct{ order *order }
+// cancelGroup says that nobody waits for an order any more.
+type cancelGroup struct{ order *pendingGroup }
 
-// freeNow asks an actor to send what it gathered.
-type freeNow struct{}
+// discardNow asks an actor to send what it gathered.
+type discardNow struct{}
 
 // handBack tells an actor that another node forms the service's calls from now on.
 type handBack struct{}
 
 // place is where an item's result goes.
 type place struct {
-	order *order
+	order *pendingGroup
 	index int
 	// begun says whether the item has been part of a call.
 	begun bool
 }
 
-// former forms the calls of one service: the shell around a batching core.
-type former struct {
+// coordinator forms the calls of one service: the shell around a batching core.
+type coordinator struct {
 	g       *Gateway
 	service string
 	core    *batching.Core
@@ -85,82 +85,82 @@
 	// reported is when the former last logged its state.
 	reported time.Time
 	// frees gathers results to free, by target.
-	frees   map[string]*pendingFree
+	frees   map[string]*pendingDiscard
 	freeing bool
 	self    *actor.PID
 }
 
-type pendingFree struct {
+type pendingDiscard struct {
 	target  directory.Target
 	handles []string
 }
 
-func newFormer(g *Gateway, service string) *former {
-	return &former{
+func newCoordinator(g *Gateway, service string) *coordinator {
+	return &coordinator{
 		g: g, service: service, core: batching.New(g.budget()),
-		places: map[batching.Token]place{}, frees: map[string]*pendingFree{},
+		places: map[batching.Token]place{}, frees: map[string]*pendingDiscard{},
 	}
 }
 
 // Receive implements actor.Actor.
-func (f *former) Receive(ctx actor.Context) {
-	f.self = ctx.Self()
+func (c *coordinator) Receive(ctx actor.Context) {
+	c.self = ctx.Self()
 	switch msg := ctx.Message().(type) {
-	case *order:
-		f.open(msg)
+	case *pendingGroup:
+		c.open(msg)
 	case *plannedStage:
-		msg.backlog <- f.core.State(f.g.now()).Backlog
-		f.handle(msg.plan)
+		msg.backlog <- c.core.State(c.g.now()).Backlog
+		c.handle(msg.plan)
 	case describe:
-		msg.state <- f.core.State(f.g.now())
-	case cancelOrder:
-		f.cancel(msg.order)
+		msg.state <- c.core.State(c.g.now())
+	case cancelGroup:
+		c.cancel(msg.order)
 	case inputsRead:
 		if !msg.order.closed {
 			go msg.order.started()
 		}
 	case handBack:
-		f.leaving = true
-		f.handBack(errLeaving())
-	case freeNow:
-		f.freeing = false
-		f.flush()
+		c.leaving = true
+		c.handBack(errLeaving())
+	case discardNow:
+		c.freeing = false
+		c.flush()
 	case batching.Tick:
-		f.ticking = false
-		f.handle(msg)
+		c.ticking = false
+		c.handle(msg)
 	case batching.Event:
-		f.handle(msg)
+		c.handle(msg)
 	}
 }
 
-func (f *former) open(o *order) {
-	if f.leaving {
-		f.closeOrder(o, errLeaving())
+func (c *coordinator) open(o *pendingGroup) {
+	if c.leaving {
+		c.closeOrder(o, errLeaving())
 		return
 	}
 	items := make([]batching.Item, o.group.Count)
 	o.pending, o.unstarted = len(items), len(items)
 	o.results = make([]batching.Result, len(items))
 	for i := range items {
-		f.last++
-		f.places[f.last] = place{order: o, index: i}
-		o.tokens = append(o.tokens, f.last)
+		c.last++
+		c.places[c.last] = place{order: o, index: i}
+		o.tokens = append(o.tokens, c.last)
 		items[i] = batching.Item{
-			Token: f.last, Request: o.group.Request, Stage: o.group.Stage, Index: i,
+			Token: c.last, Request: o.group.Request, Stage: o.group.Stage, Index: i,
 			Source: o.group.Source, Inputs: o.group.Inputs, Bytes: o.group.Bytes,
 			Due: o.group.Due, Deadline: o.group.Deadline, Priority: o.group.Priority,
 			DataCentre: o.group.DataCentre,
 		}
 	}
-	f.handle(batching.Submit{Items: items})
+	c.handle(batching.Submit{Items: items})
 }
 
 // handBack ends the orders that have not begun, for another node to take. Two
 // nodes that form calls for the same targets get into each other's way.
-func (f *former) handBack(cause *verdict.Error) {
-	for _, p := range f.places {
+func (c *coordinator) handBack(cause *verdict.Error) {
+	for _, p := range c.places {
 		if !p.order.begun && !p.order.closed {
-			f.closeOrder(p.order, cause)
+			c.closeOrder(p.order, cause)
 		}
 	}
 }
@@ -171,38 +171,38 @@
 
 // checkDuty hands back what has not begun when another node has come to form the
 // service's calls. Groups that still come are from nodes that do not know it yet.
-func (f *former) checkDuty(now time.Time) {
-	if now.Sub(f.checked) < dutyCheck {
+func (c *coordinator) checkDuty(now time.Time) {
+	if now.Sub(c.checked) < dutyCheck {
 		return
 	}
-	f.checked = now
-	owner := f.g.batches.owner(f.service)
-	owned := owner == "" || owner == f.g.PeerAddress()
-	if f.owned && !owned && !f.leaving {
-		f.g.log.Info().Str("service", f.service).Str("member", owner).Int("waiting", f.core.State(now).Waiting).
+	c.checked = now
+	owner := c.g.batches.coordinatorOf(c.service)
+	owned := owner == "" || owner == c.g.PeerAddress()
+	if c.owned && !owned && !c.leaving {
+		c.g.log.Info().Str("service", c.service).Str("member", owner).Int("waiting", c.core.State(now).Waiting).
 			Msg("items: another member forms the calls now")
-		f.handBack(verdict.New(verdict.NotRun, verdict.ReasonMoved, "member %s forms the calls now", owner))
+		c.handBack(verdict.New(verdict.NotRun, verdict.ReasonMoved, "member %s forms the calls now", owner))
 	}
-	f.owned = owned
+	c.owned = owned
 }
 
 // cancel takes an order's items back and frees what is made of it.
-func (f *former) cancel(o *order) {
+func (c *coordinator) cancel(o *pendingGroup) {
 	if !o.closed {
-		f.closeOrder(o, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "withdrawn"))
+		c.closeOrder(o, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "withdrawn"))
 		return
 	}
 	if o.err == nil {
-		f.g.batches.releaseHere(f.service, o.results)
+		c.g.batches.releaseHere(c.service, o.results)
 	}
 }
 
 // closeOrder ends an order; with an error its other items are withdrawn.
-func (f *former) closeOrder(o *order, err *verdict.Error) {
+func (c *coordinator) closeOrder(o *pendingGroup, err *verdict.Error) {
 	o.closed = true
 	o.err = err
 	for _, token := range o.tokens {
-		delete(f.places, token)
+		delete(c.places, token)
 	}
 	if err != nil {
 		var made []batching.Result
@@ -212,133 +212,133 @@
 			}
 		}
 		o.results = nil
-		f.g.batches.releaseHere(f.service, made)
-		f.g.system.Root.Send(f.self, batching.Withdraw{Tokens: o.tokens})
+		c.g.batches.releaseHere(c.service, made)
+		c.g.system.Root.Send(c.self, batching.Withdraw{Tokens: o.tokens})
 	}
 	close(o.done)
 }
 
-func (f *former) handle(ev batching.Event) {
-	now := f.g.now()
-	for _, effect := range f.core.Handle(now, ev) {
+func (c *coordinator) handle(ev batching.Event) {
+	now := c.g.now()
+	for _, effect := range c.core.Handle(now, ev) {
 		switch e := effect.(type) {
-		case batching.Start:
-			f.start(now, e)
+		case batching.Send:
+			c.start(now, e)
 		case batching.Resolve:
-			f.resolve(e)
-		case batching.Free:
-			f.gather(e)
+			c.resolve(e)
+		case batching.Discard:
+			c.gather(e)
 		}
 	}
-	f.report(now)
-	f.checkDuty(now)
-	if !f.ticking && !f.core.Idle() {
-		f.ticking = true
-		self := f.self
-		time.AfterFunc(tickInterval, func() { f.g.system.Root.Send(self, batching.Tick{}) })
+	c.report(now)
+	c.checkDuty(now)
+	if !c.ticking && !c.core.Idle() {
+		c.ticking = true
+		self := c.self
+		time.AfterFunc(tickInterval, func() { c.g.system.Root.Send(self, batching.Tick{}) })
 	}
 }
 
 // report logs what the former holds, at most once in a while.
-func (f *former) report(now time.Time) {
-	if now.Sub(f.reported) < reportInterval {
+func (c *coordinator) report(now time.Time) {
+	if now.Sub(c.reported) < reportInterval {
 		return
 	}
-	f.reported = now
-	s := f.core.State(now)
-	f.g.log.Info().Str("service", f.service).Int("waiting", s.Waiting).Int("late", s.Late).Int("working", s.Working).
-		Int("targets", s.Targets).Int("paused", s.Paused).Int64("heldBytes", s.HeldBytes).Int64("roomBytes", s.RoomBytes).
-		Dur("wait", s.Wait).Dur("backlog", s.Backlog).Int("planned", s.Planned).Int64("calls", s.Calls).Int64("items", s.Items).Int64("repeats", s.Repeats).
-		Int64("expired", s.Expired).Int64("refused", s.Refused).Float64("perSecond", s.PerSecond).Msg("items: state")
+	c.reported = now
+	s := c.core.State(now)
+	c.g.log.Info().Str("service", c.service).Int("waiting", s.Waiting).Int("late", s.PastDue).Int("working", s.Busy).
+		Int("targets", s.Targets).Int("paused", s.BackingOff).Int64("heldBytes", s.UsedBytes).Int64("roomBytes", s.MemoryBytes).
+		Dur("wait", s.Wait).Dur("backlog", s.Backlog).Int("planned", s.Planned).Int64("calls", s.Batches).Int64("items", s.Items).Int64("repeats", s.Retries).
+		Int64("expired", s.Expired).Int64("refused", s.Refused).Float64("perSecond", s.ItemsPerSecond).Msg("items: state")
 }
 
-func (f *former) resolve(e batching.Resolve) {
-	p, known := f.places[e.Token]
+func (c *coordinator) resolve(e batching.Resolve) {
+	p, known := c.places[e.Token]
 	if !known {
 		return
 	}
-	delete(f.places, e.Token)
+	delete(c.places, e.Token)
 	if e.Err != nil {
-		f.closeOrder(p.order, e.Err)
+		c.closeOrder(p.order, e.Err)
 		return
 	}
 	p.order.results[p.index] = e.Result
 	if p.order.pending--; p.order.pending == 0 {
-		f.closeOrder(p.order, nil)
+		c.closeOrder(p.order, nil)
 	}
 }
 
 // countBegun notes that items are part of a call, and has the makers of their
 // inputs told when all items of their order are.
-func (f *former) countBegun(items []batching.Item) {
+func (c *coordinator) countBegun(items []batching.Item) {
 	for _, item := range items {
-		p, known := f.places[item.Token]
+		p, known := c.places[item.Token]
 		if !known || p.begun {
 			continue
 		}
 		p.begun = true
-		f.places[item.Token] = p
+		c.places[item.Token] = p
 		if p.order.unstarted--; p.order.unstarted == 0 && len(p.order.group.Inputs) > 0 && p.order.started != nil {
-			self, o := f.self, p.order
-			time.AfterFunc(readTime, func() { f.g.system.Root.Send(self, inputsRead{o}) })
+			self, o := c.self, p.order
+			time.AfterFunc(readTime, func() { c.g.system.Root.Send(self, inputsRead{o}) })
 		}
 	}
 }
 
 // start sends a call, after what is to be freed at the same target.
-func (f *former) start(now time.Time, e batching.Start) {
-	free := f.frees[e.Target.ID]
-	delete(f.frees, e.Target.ID)
-	f.g.metrics.batch(f.service, len(e.Items))
+func (c *coordinator) start(now time.Time, e batching.Send) {
+	free := c.frees[e.Target.ID]
+	delete(c.frees, e.Target.ID)
+	c.g.metrics.batch(c.service, len(e.Items))
 	for _, item := range e.Items {
-		if p, known := f.places[item.Token]; known {
+		if p, known := c.places[item.Token]; known {
 			p.order.begun = true
 		}
 	}
-	if e.AtOnce {
-		f.countBegun(e.Items)
+	if e.TargetIdle {
+		c.countBegun(e.Items)
 	}
-	self := f.self
+	self := c.self
 	go func() {
 		if free != nil {
-			f.g.free(free)
+			c.g.free(free)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), e.Limit)
+		ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 		defer cancel()
-		outcomes, err := f.g.ports.Targets.Make(ctx, ItemCall{
+		outcomes, err := c.g.ports.Targets.RunBatch(ctx, BatchCall{
 			Target: e.Target, Items: e.Items, Now: now,
-			Permit: func() error { return f.g.permit(e.Target.ID) },
+			Permit: func() error { return c.g.permit(e.Target.ID) },
 		})
 		if err != nil {
-			f.g.log.Warn().Str("service", f.service).Str("target", e.Target.ID).Int("items", len(e.Items)).
-				Dur("took", f.g.now().Sub(now)).Err(err).Msg("items: call failed")
+			c.g.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Int("items", len(e.Items)).
+				Dur("took", c.g.now().Sub(now)).Err(err).Msg("items: call failed")
 		}
-		f.g.system.Root.Send(self, batching.Finished{Call: e.Call, Outcomes: outcomes, Err: err})
+		c.g.system.Root.Send(self, batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err})
 	}()
 }
 
-func (f *former) gather(e batching.Free) {
-	p := f.frees[e.Target.ID]
+func (c *coordinator) gather(e batching.Discard) {
+	p := c.frees[e.Target.ID]
 	if p == nil {
-		p = &pendingFree{target: e.Target}
-		f.frees[e.Target.ID] = p
+		p = &pendingDiscard{target: e.Target}
+		c.frees[e.Target.ID] = p
 	}
 	p.handles = append(p.handles, e.Handles...)
-	if !f.freeing {
-		f.freeing = true
-		self := f.self
-		time.AfterFunc(freeDelay, func() { f.g.system.Root.Send(self, freeNow{}) })
+	if !c.freeing {
+		c.freeing = true
+		self := c.self
+		time.AfterFunc(freeDelay, func() { c.g.system.Root.Send(self, discardNow{}) })
 	}
 }
 
-func (f *former) flush() {
-	for id, p := range f.frees {
-		delete(f.frees, id)
-		go f.g.free(p)
+func (c *coordinator) flush() {
+	for id, p := range c.frees {
+		delete(c.frees, id)
+		go c.g.free(p)
 	}
 }
 
-func (g *Gateway) free(p *pendingFree) {
+func (g *Gateway) free(p *pendingDiscard) {
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
 	if err := g.ports.Targets.Release(ctx, p.target, p.handles); err != nil {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -102,7 +102,7 @@
 func (g *Gateway) reads() bool {
 	g.rosterMu.Lock()
 	defer g.rosterMu.Unlock()
-	return g.roster.Reads(g.now())
+	return g.roster.IsReader(g.now())
 }
 
 // relayed says whether this node leaves the source to others, who tell it what
@@ -110,7 +110,7 @@
 func (g *Gateway) relayed() bool {
 	g.rosterMu.Lock()
 	defer g.rosterMu.Unlock()
-	return g.roster.Relayed(g.now())
+	return g.roster.FollowsReaders(g.now())
 }
 
 func (g *Gateway) read(ctx context.Context, whole bool) error {
@@ -189,7 +189,7 @@
 	g.rosterMu.Lock()
 	newest := g.roster.Newest(g.now(), v.Version(), v.Revision)
 	version := g.roster.VersionOf(newest)
-	relayed := g.roster.Relayed(g.now())
+	relayed := g.roster.FollowsReaders(g.now())
 	g.rosterMu.Unlock()
 	if !g.source.behind(g.now(), newest != "", relayed) {
 		return
@@ -291,9 +291,9 @@
 		return
 	}
 	g.batches.configure(next)
-	g.relay.Keep(next.Directory)
-	g.prompts.keep(next.Directory)
-	g.tellRoster()
+	g.relay.Prune(next.Directory)
+	g.prompts.prune(next.Directory)
+	g.publishStatus()
 	g.spread()
 }
 
@@ -309,8 +309,8 @@
 				Str("state", c.Target.State.String()).Int64("revision", ch.Revision).Msg("view: target")
 		case view.TargetGone:
 			g.log.Info().Str("target", c.ID).Int64("revision", ch.Revision).Msg("view: target gone")
-		case view.Unreadable:
-			g.log.Error().Str("key", c.Key).Str("why", c.Why).Msg("view: entry refused")
+		case view.Rejected:
+			g.log.Error().Str("key", c.Key).Str("why", c.Reason).Msg("view: entry refused")
 		case view.CatalogChange:
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,8 +49,8 @@
 	Decode(document []byte) (view.CatalogChange, error)
 }
 
-// ItemCall is one call to a target of a batch service.
-type ItemCall struct {
+// BatchCall is one call to a target of a batch service.
+type BatchCall struct {
 	Target directory.Target
 	Items  []batching.Item
 	// Now is the time from which the items' remaining time counts.
@@ -62,8 +62,8 @@
 // Targets sends calls to targets.
 type Targets interface {
 	relay.Upstream
-	// Make has items made.
-	Make(ctx context.Context, c ItemCall) ([]batching.Outcome, *verdict.Error)
+	// RunBatch has items made.
+	RunBatch(ctx context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error)
 	// Release frees results at their maker.
 	Release(ctx context.Context, t directory.Target, handles []string) error
 }
@@ -174,7 +174,7 @@
 	g.prompts = newPrompts(g)
 	g.relay = relay.New(relay.Config{
 		DataCentre: cfg.DataCentre, View: g.view.Load, Upstream: ports.Targets, Batcher: g.batches, Placer: g.prompts,
-		Observer: g, Now: g.now, Budget: g.budget(), Members: g.memberCount,
+		Observer: g, Now: g.now, RetryPolicy: g.budget(), Members: g.memberCount,
 	})
 	return g, nil
 }
@@ -219,7 +219,7 @@
 	}
 	g.rosterMu.Lock()
 	defer g.rosterMu.Unlock()
-	return int(sharersFactor * float64(g.roster.Most()))
+	return int(sharersFactor * float64(g.roster.PeakSize()))
 }
 
 func (g *Gateway) listen() error {
@@ -368,7 +368,7 @@
 	begun := g.now()
 	g.leavingSince.Store(&begun)
 	g.leaving.Store(true)
-	g.tellRoster()
+	g.publishStatus()
 	g.spread()
 	g.batches.handBack()
 	g.servers[0].SetKeepAlivesEnabled(false)
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -21,13 +21,13 @@
 	newsPause = 50 * time.Millisecond
 )
 
-// tellRoster sets what this node tells of itself.
-func (g *Gateway) tellRoster() {
+// publishStatus sets what this node tells of itself.
+func (g *Gateway) publishStatus() {
 	v := g.view.Load()
 	g.rosterMu.Lock()
 	defer g.rosterMu.Unlock()
-	g.roster.Tell(membership.Standing{
-		Serving: v.Catalog != nil, Leaving: g.leaving.Load(), Hears: g.source.hears(g.now()),
+	g.roster.SetStatus(membership.Status{
+		Serving: v.Catalog != nil, Leaving: g.leaving.Load(), ReachesSource: g.source.hears(g.now()),
 		Version: v.Version(), Revision: v.Revision,
 	})
 }
@@ -66,9 +66,9 @@
 
 // talk exchanges with some members.
 func (g *Gateway) talk(ctx context.Context) {
-	g.tellRoster()
+	g.publishStatus()
 	g.rosterMu.Lock()
-	g.roster.Beat()
+	g.roster.Heartbeat()
 	g.roster.Forget(g.now())
 	partners := g.roster.Partners(g.now(), gossipPartners)
 	g.rosterMu.Unlock()
@@ -95,7 +95,7 @@
 	g.rosterMu.Lock()
 	defer g.rosterMu.Unlock()
 	g.roster.Merge(g.now(), in)
-	g.roster.Hear(g.now(), address)
+	g.roster.Contacted(g.now(), address)
 	return true
 }
 
@@ -112,7 +112,7 @@
 	v := g.view.Load()
 	g.rosterMu.Lock()
 	newest := g.roster.Newest(g.now(), v.Version(), v.Revision)
-	relayed := g.roster.Relayed(g.now())
+	relayed := g.roster.FollowsReaders(g.now())
 	g.rosterMu.Unlock()
 	switch {
 	case newest == "":
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -75,28 +75,28 @@
 	r.seeds = slices.DeleteFunc(slices.Clone(seeds), func(s string) bool { return s == r.self.Address })
 }
 
-// Standing is what a member tells of itself.
-type Standing struct {
+// Status is what a member tells of itself.
+type Status struct {
 	// Serving says that it knows a configuration, Leaving that it stops, and Hears
 	// that it has heard the source lately.
-	Serving, Leaving, Hears bool
+	Serving, Leaving, ReachesSource bool
 	// Version and Revision are those of what it knows.
 	Version, Revision int64
 }
 
-// Tell sets what this member tells of itself.
-func (r *Roster) Tell(s Standing) {
+// SetStatus sets what this member tells of itself.
+func (r *Roster) SetStatus(s Status) {
 	r.self.Serving = s.Serving
 	r.self.Leaving = s.Leaving
-	r.self.Hears = s.Hears
+	r.self.Hears = s.ReachesSource
 	r.self.Version = int(s.Version)
 	r.self.Revision = int(s.Revision)
 }
 
-// Relayed says whether this member leaves the source to others: it is not one of
+// FollowsReaders says whether this member leaves the source to others: it is not one of
 // those that look at it, and a live member has heard it lately.
-func (r *Roster) Relayed(now time.Time) bool {
-	if r.Reads(now) {
+func (r *Roster) FollowsReaders(now time.Time) bool {
+	if r.IsReader(now) {
 		return false
 	}
 	for _, e := range r.known {
@@ -111,8 +111,8 @@
 // all, in thousandths of a core; 0 for unknown.
 func (r *Roster) SetCapacity(capacity int) { r.self.Capacity = capacity }
 
-// Beat raises this member's beat.
-func (r *Roster) Beat() { r.self.Beat++ }
+// Heartbeat raises this member's beat.
+func (r *Roster) Heartbeat() { r.self.Beat++ }
 
 // Merge takes in what another member told.
 func (r *Roster) Merge(now time.Time, g message.Gossip) {
@@ -152,16 +152,16 @@
 	}
 }
 
-// Hear notes a direct sign of life of a member.
-func (r *Roster) Hear(now time.Time, address string) {
+// Contacted notes a direct sign of life of a member.
+func (r *Roster) Contacted(now time.Time, address string) {
 	if e, known := r.known[address]; known {
 		e.advanced = now
 		r.known[address] = e
 	}
 }
 
-// Heard returns when a member last gave a sign of life; zero for never.
-func (r *Roster) Heard(address string) time.Time { return r.known[address].advanced }
+// LastContact returns when a member last gave a sign of life; zero for never.
+func (r *Roster) LastContact(address string) time.Time { return r.known[address].advanced }
 
 // Forget drops members that have been silent for long.
 func (r *Roster) Forget(now time.Time) {
@@ -223,9 +223,9 @@
 	return list
 }
 
-// Dutiful returns the members of Serving that are strong enough to work for all
+// Eligible returns the members of Serving that are strong enough to work for all
 // the others: those with at least half of the strongest one's capacity.
-func (r *Roster) Dutiful(now time.Time) []string {
+func (r *Roster) Eligible(now time.Time) []string {
 	serving := r.Serving(now)
 	strongest := 0
 	for _, a := range serving {
@@ -253,20 +253,20 @@
 	return n
 }
 
-// Most returns the most members that were ever known to live at once, this one
+// PeakSize returns the most members that were ever known to live at once, this one
 // included.
-func (r *Roster) Most() int { return max(r.most, 1) }
+func (r *Roster) PeakSize() int { return max(r.most, 1) }
 
-// Reads says whether this member is one of those that look at the source often,
+// IsReader says whether this member is one of those that look at the source often,
 // strong ones first. The others are told by gossip when it has news that they
 // have not heard.
-func (r *Roster) Reads(now time.Time) bool {
+func (r *Roster) IsReader(now time.Time) bool {
 	serving := r.Serving(now)
 	if len(serving) <= allRead {
 		return true
 	}
 	readers := minReaders + len(serving)/membersPerReader
-	strong := r.Dutiful(now)
+	strong := r.Eligible(now)
 	if !slices.Contains(strong, r.self.Address) {
 		if len(strong) >= readers {
 			return false
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -24,7 +24,7 @@
 func TestRoster(t *testing.T) {
 	convey.Convey("Given a roster that knows a member", t, func() {
 		r := membership.NewRoster("self", 1, []string{"self", "seed"})
-		r.Tell(membership.Standing{Serving: true, Version: 3, Revision: 10})
+		r.SetStatus(membership.Status{Serving: true, Version: 3, Revision: 10})
 		r.Merge(rosterStart, gossip(member("a", 5, 1)))
 		convey.Convey("both take work", func() {
 			convey.So(r.Serving(rosterStart), convey.ShouldResemble, []string{"a", "self"})
@@ -35,7 +35,7 @@
 		convey.Convey("though it is remembered how many there were", func() {
 			r.Merge(rosterStart.Add(3*time.Second), gossip())
 			convey.So(r.Size(rosterStart.Add(3*time.Second)), convey.ShouldEqual, 1)
-			convey.So(r.Most(), convey.ShouldEqual, 2)
+			convey.So(r.PeakSize(), convey.ShouldEqual, 2)
 		})
 		convey.Convey("old news does not bring it back", func() {
 			r.Merge(rosterStart.Add(3*time.Second), gossip(member("a", 4, 99), member("a", 5, 1)))
@@ -80,11 +80,11 @@
 			count := 0
 			for _, self := range addresses[:n] {
 				r := membership.NewRoster(self, 1, nil)
-				r.Tell(membership.Standing{Serving: true, Version: 1, Revision: 1})
+				r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 				for _, other := range addresses[:n] {
 					r.Merge(rosterStart, gossip(member(other, 1, 1)))
 				}
-				if r.Reads(rosterStart) {
+				if r.IsReader(rosterStart) {
 					count++
 				}
 			}
@@ -95,8 +95,8 @@
 	})
 	convey.Convey("A member that hears nobody looks itself", t, func() {
 		r := membership.NewRoster("self", 1, nil)
-		r.Tell(membership.Standing{Serving: true, Version: 1, Revision: 1})
-		convey.So(r.Reads(rosterStart), convey.ShouldBeTrue)
+		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
+		convey.So(r.IsReader(rosterStart), convey.ShouldBeTrue)
 	})
 }
 
@@ -133,19 +133,19 @@
 	}
 	convey.Convey("Work for all goes to the strong members", t, func() {
 		r := membership.NewRoster("self", 1, nil)
-		r.Tell(membership.Standing{Serving: true, Version: 1, Revision: 1})
+		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		r.SetCapacity(40)
 		r.Merge(rosterStart, gossip(strong("a", 800), strong("b", 500), strong("c", 40)))
-		convey.So(r.Dutiful(rosterStart), convey.ShouldResemble, []string{"a", "b"})
+		convey.So(r.Eligible(rosterStart), convey.ShouldResemble, []string{"a", "b"})
 		convey.Convey("to the others only when no strong one is left", func() {
-			convey.So(r.Dutiful(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
+			convey.So(r.Eligible(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
 		})
 	})
 	convey.Convey("Members that tell no capacity are all alike", t, func() {
 		r := membership.NewRoster("self", 1, nil)
-		r.Tell(membership.Standing{Serving: true, Version: 1, Revision: 1})
+		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		r.Merge(rosterStart, gossip(strong("a", 0)))
-		convey.So(r.Dutiful(rosterStart), convey.ShouldResemble, []string{"a", "self"})
+		convey.So(r.Eligible(rosterStart), convey.ShouldResemble, []string{"a", "self"})
 	})
 	convey.Convey("Of many members the strong ones look at the source, and others only where those are too few", t, func() {
 		readers := func(strongOnes int) (strongReaders, all int) {
@@ -159,7 +159,7 @@
 					name := fmt.Sprint("m", i)
 					if i == self {
 						r = membership.NewRoster(name, 1, nil)
-						r.Tell(membership.Standing{Serving: true, Version: 1, Revision: 1})
+						r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 						r.SetCapacity(capacity)
 					}
 				}
@@ -170,7 +170,7 @@
 					}
 					r.Merge(rosterStart, gossip(strong(fmt.Sprint("m", i), capacity)))
 				}
-				if r.Reads(rosterStart) {
+				if r.IsReader(rosterStart) {
 					all++
 					if self < strongOnes {
 						strongReaders++
@@ -191,7 +191,7 @@
 func TestRosterRelayed(t *testing.T) {
 	roster := func(hearing bool) *membership.Roster {
 		r := membership.NewRoster("self", 1, nil)
-		r.Tell(membership.Standing{Serving: true, Version: 1, Revision: 1})
+		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		r.SetCapacity(40)
 		for i := range 20 {
 			m := member(fmt.Sprint("m", i), 1, 1)
@@ -201,14 +201,14 @@
 		return r
 	}
 	convey.Convey("One of many leaves the source to members that hear it", t, func() {
-		convey.So(roster(true).Relayed(rosterStart), convey.ShouldBeTrue)
+		convey.So(roster(true).FollowsReaders(rosterStart), convey.ShouldBeTrue)
 	})
 	convey.Convey("and looks itself", t, func() {
 		convey.Convey("when none of them hears it", func() {
-			convey.So(roster(false).Relayed(rosterStart), convey.ShouldBeFalse)
+			convey.So(roster(false).FollowsReaders(rosterStart), convey.ShouldBeFalse)
 		})
 		convey.Convey("when they have fallen silent", func() {
-			convey.So(roster(true).Relayed(rosterStart.Add(3*time.Second)), convey.ShouldBeFalse)
+			convey.So(roster(true).FollowsReaders(rosterStart.Add(3*time.Second)), convey.ShouldBeFalse)
 		})
 	})
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -48,8 +48,8 @@
 	}
 	s := m.scope.Tagged(tags)
 	s.Counter("requests").Inc(1)
-	if o.First > 0 {
-		s.Histogram("first_byte_seconds", latencyBuckets).RecordDuration(o.First)
+	if o.FirstByte > 0 {
+		s.Histogram("first_byte_seconds", latencyBuckets).RecordDuration(o.FirstByte)
 	}
 	s.Histogram("request_seconds", latencyBuckets).RecordDuration(o.Took)
 	if n := len(o.Attempts); n > 1 {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -112,9 +112,9 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// askItemsWatching has a member make the items of a group, and gives up on the
+// runAtLiveMember has a member make the items of a group, and gives up on the
 // member when it shows no sign of life meanwhile.
-func (g *Gateway) askItemsWatching(ctx context.Context, member, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
+func (g *Gateway) runAtLiveMember(ctx context.Context, member, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
@@ -123,7 +123,7 @@
 	}
 	answered := make(chan answer, 1)
 	go func() {
-		results, err := g.askItems(ctx, member, service, group, started)
+		results, err := g.runAtMember(ctx, member, service, group, started)
 		answered <- answer{results, err}
 	}()
 	watch := time.NewTicker(aliveFor)
@@ -143,7 +143,7 @@
 // alive says whether a member gave a sign of life lately or answers now.
 func (g *Gateway) alive(ctx context.Context, member string) bool {
 	g.rosterMu.Lock()
-	heard := g.roster.Heard(member)
+	heard := g.roster.LastContact(member)
 	g.rosterMu.Unlock()
 	if g.now().Sub(heard) < aliveFor {
 		return true
@@ -153,8 +153,8 @@
 	return g.exchange(ctx, member)
 }
 
-// askItems has a member make the items of a group.
-func (g *Gateway) askItems(ctx context.Context, member, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
+// runAtMember has a member make the items of a group.
+func (g *Gateway) runAtMember(ctx context.Context, member, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
 	now := g.now()
 	ctx, cancel := context.WithTimeout(ctx, group.Deadline.Sub(now))
 	defer cancel()
--- a/internal/gateway/placement/placement.go
+++ b/internal/gateway/placement/placement.go
@@ -58,15 +58,15 @@
 	probing bool
 }
 
-// Table is what a node learnt of all targets. It is not safe for concurrent use.
-type Table struct {
+// TargetTable is what a node learnt of all targets. It is not safe for concurrent use.
+type TargetTable struct {
 	targets map[string]*stats
 }
 
-// New returns an empty table.
-func New() *Table { return &Table{targets: map[string]*stats{}} }
+// NewTargetTable returns an empty table.
+func NewTargetTable() *TargetTable { return &TargetTable{targets: map[string]*stats{}} }
 
-func (t *Table) of(id string) *stats {
+func (t *TargetTable) of(id string) *stats {
 	s := t.targets[id]
 	if s == nil {
 		s = &stats{}
@@ -76,7 +76,7 @@
 }
 
 // Sent counts a request that is being sent.
-func (t *Table) Sent(id string) {
+func (t *TargetTable) Sent(id string) {
 	s := t.of(id)
 	s.inflight++
 	s.sentSince++
@@ -87,7 +87,7 @@
 
 // Ended counts the end of a request. A failure is the target's own: no answer,
 // a broken one, or one that says that the target is in trouble.
-func (t *Table) Ended(now time.Time, id string, took time.Duration, failed bool) {
+func (t *TargetTable) Ended(now time.Time, id string, took time.Duration, failed bool) {
 	s := t.of(id)
 	s.inflight--
 	s.decay(now)
@@ -120,7 +120,7 @@
 }
 
 // Eject leaves a target alone at once, for a failure that proves that it is down.
-func (t *Table) Eject(now time.Time, id string) {
+func (t *TargetTable) Eject(now time.Time, id string) {
 	s := t.of(id)
 	s.failing = 1
 	s.learntAt = now
@@ -128,7 +128,7 @@
 }
 
 // Ejected returns the targets that are left alone now.
-func (t *Table) Ejected(now time.Time, targets []directory.Target) []string {
+func (t *TargetTable) Ejected(now time.Time, targets []directory.Target) []string {
 	var list []string
 	for _, c := range targets {
 		if s, known := t.targets[c.ID]; known && !s.available(now) {
@@ -138,8 +138,8 @@
 	return list
 }
 
-// Told takes in a target's own word of its load.
-func (t *Table) Told(now time.Time, id string, load Load) {
+// Report takes in a target's own word of its load.
+func (t *TargetTable) Report(now time.Time, id string, load Load) {
 	s := t.of(id)
 	s.load = load
 	s.loadAt = now
@@ -147,10 +147,10 @@
 }
 
 // Inflight returns how many requests of this node a target works on.
-func (t *Table) Inflight(id string) int { return t.of(id).inflight }
+func (t *TargetTable) Inflight(id string) int { return t.of(id).inflight }
 
-// Keep forgets targets that are not in the directory and have no request.
-func (t *Table) Keep(d *directory.Directory) {
+// Prune forgets targets that are not in the directory and have no request.
+func (t *TargetTable) Prune(d *directory.Directory) {
 	for id, s := range t.targets {
 		if _, known := d.Target(id); !known && s.inflight <= 0 {
 			delete(t.targets, id)
@@ -206,13 +206,13 @@
 	SharedTokens int
 	// MaxInflight bounds this node's requests at one target; 0 for no bound.
 	MaxInflight int
-	// Pull is how many bytes of results lie in each data centre.
-	Pull map[string]int64
+	// InputBytes is how many bytes of results lie in each data centre.
+	InputBytes map[string]int64
 }
 
-// Least chooses the target that should answer first: the one with the least
+// LeastLoaded chooses the target that should answer first: the one with the least
 // learnt latency for its load.
-func (t *Table) Least(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
+func (t *TargetTable) LeastLoaded(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	return t.choose(now, targets, q, func(s *stats, c directory.Target) float64 {
 		cost := s.latency * math.Exp2(-now.Sub(s.learntAt).Seconds()/forgetAfter.Seconds())
 		cost = max(cost, 0.001) * (1 + s.outstanding(now)/s.slots(c)) * (1 + 4*s.failing)
@@ -240,12 +240,12 @@
 	pullCost = 60.0
 )
 
-// Prefix chooses an engine: the first in the order of engines for the key,
+// ByPrefix chooses an engine: the first in the order of engines for the key,
 // unless load, failures or results elsewhere speak for another.
-func (t *Table) Prefix(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
+func (t *TargetTable) ByPrefix(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	places := rank(targets, q.Key)
 	var total int64
-	for _, bytes := range q.Pull {
+	for _, bytes := range q.InputBytes {
 		total += bytes
 	}
 	again := max(prefixCost*float64(q.SharedTokens)/1000, minPrefixCost)
@@ -254,7 +254,7 @@
 		cost := loadCost * out / slots
 		cost += overloadCost * max(out-0.75*slots, 0)
 		cost += 2 * loadCost * s.failing
-		cost += pullCost * float64(total-q.Pull[c.DataCentre]) / 1e6
+		cost += pullCost * float64(total-q.InputBytes[c.DataCentre]) / 1e6
 		if q.Key != 0 {
 			cost += again * float64(min(places[c.ID], maxPlaces))
 		}
@@ -264,7 +264,7 @@
 
 // choose returns the target of the least cost among those not excluded; ejected
 // targets are taken only when there are no others.
-func (t *Table) choose(now time.Time, targets []directory.Target, q Query, cost func(*stats, directory.Target) float64) (directory.Target, bool) {
+func (t *TargetTable) choose(now time.Time, targets []directory.Target, q Query, cost func(*stats, directory.Target) float64) (directory.Target, bool) {
 	var best directory.Target
 	bestCost, bestRank := math.Inf(1), math.MaxInt
 	for _, c := range targets {
@@ -326,9 +326,9 @@
 	return x
 }
 
-// Owner returns the member that a name belongs to, by rendezvous hashing; empty
+// Coordinator returns the member that a name belongs to, by rendezvous hashing; empty
 // when there are no members.
-func Owner(name string, members []string) string {
+func Coordinator(name string, members []string) string {
 	owner, best := "", uint64(0)
 	key := xxhash.Sum64String(name)
 	for _, m := range members {
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -24,8 +24,8 @@
 func TestPrefix(t *testing.T) {
 	convey.Convey("Nodes that know nothing of each other send a session to the same engine", t, func() {
 		for key := range uint64(50) {
-			one, _ := placement.New().Prefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
-			two, _ := placement.New().Prefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
+			one, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
+			two, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
 			convey.So(one.ID, convey.ShouldEqual, two.ID)
 		}
 	})
@@ -33,21 +33,21 @@
 		all := engines(9)
 		for key := range uint64(50) {
 			q := placement.Query{Key: key + 1, SharedTokens: 5000}
-			before, _ := placement.New().Prefix(now, all, q)
-			after, _ := placement.New().Prefix(now, all[1:], q)
+			before, _ := placement.NewTargetTable().ByPrefix(now, all, q)
+			after, _ := placement.NewTargetTable().ByPrefix(now, all[1:], q)
 			if before.ID != all[0].ID {
 				convey.So(after.ID, convey.ShouldEqual, before.ID)
 			}
 		}
 	})
 	convey.Convey("A full engine loses its sessions to the next in their order", t, func() {
-		table := placement.New()
+		table := placement.NewTargetTable()
 		q := placement.Query{Key: 7, SharedTokens: 500}
-		first, _ := table.Prefix(now, engines(3), q)
+		first, _ := table.ByPrefix(now, engines(3), q)
 		for range 8 {
 			table.Sent(first.ID)
 		}
-		second, _ := table.Prefix(now, engines(3), q)
+		second, _ := table.ByPrefix(now, engines(3), q)
 		convey.So(second.ID, convey.ShouldNotEqual, first.ID)
 	})
 }
@@ -55,16 +55,16 @@
 func TestLeast(t *testing.T) {
 	q := placement.Query{DataCentre: "d0"}
 	convey.Convey("A target that fails is left alone and found again", t, func() {
-		table := placement.New()
+		table := placement.NewTargetTable()
 		table.Sent("t0")
 		table.Ended(now, "t0", time.Millisecond, true)
 		table.Eject(now, "t0")
 		for range 5 {
-			got, _ := table.Least(now, engines(2), q)
+			got, _ := table.LeastLoaded(now, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t1")
 		}
 		convey.Convey("unless there is no other", func() {
-			got, ok := table.Least(now, engines(1), q)
+			got, ok := table.LeastLoaded(now, engines(1), q)
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
@@ -73,22 +73,22 @@
 			table.Sent("t0")
 			table.Ended(later, "t0", time.Millisecond, false)
 			table.Sent("t1")
-			got, _ := table.Least(later, engines(2), q)
+			got, _ := table.LeastLoaded(later, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
 	})
 	convey.Convey("Targets that leave or were tried are never chosen", t, func() {
 		list := engines(2)
 		list[0].State = directory.Draining
-		_, ok := placement.New().Least(now, list, placement.Query{Exclude: []string{"t1"}})
+		_, ok := placement.NewTargetTable().LeastLoaded(now, list, placement.Query{Exclude: []string{"t1"}})
 		convey.So(ok, convey.ShouldBeFalse)
 	})
 	convey.Convey("What a target told counts until it is old", t, func() {
-		table := placement.New()
-		table.Told(now, "t0", placement.Load{Running: 8, Waiting: 30, Slots: 8})
-		got, _ := table.Least(now, engines(2), q)
+		table := placement.NewTargetTable()
+		table.Report(now, "t0", placement.Load{Running: 8, Waiting: 30, Slots: 8})
+		got, _ := table.LeastLoaded(now, engines(2), q)
 		convey.So(got.ID, convey.ShouldEqual, "t1")
-		got, _ = table.Least(now.Add(time.Second), engines(2), q)
+		got, _ = table.LeastLoaded(now.Add(time.Second), engines(2), q)
 		convey.So(got.ID, convey.ShouldEqual, "t0")
 	})
 }
@@ -98,11 +98,11 @@
 		members := []string{"a", "b", "c", "d"}
 		for i := range 50 {
 			name := fmt.Sprint("s", i)
-			owner := placement.Owner(name, members)
+			owner := placement.Coordinator(name, members)
 			if owner != "d" {
-				convey.So(placement.Owner(name, members[:3]), convey.ShouldEqual, owner)
+				convey.So(placement.Coordinator(name, members[:3]), convey.ShouldEqual, owner)
 			}
 		}
-		convey.So(placement.Owner("s", nil), convey.ShouldBeEmpty)
+		convey.So(placement.Coordinator("s", nil), convey.ShouldBeEmpty)
 	})
 }
--- a/internal/gateway/placement/prompts.go
+++ b/internal/gateway/placement/prompts.go
@@ -50,8 +50,8 @@
 	Slack time.Duration
 	// Exclude names engines that must not be chosen.
 	Exclude []string
-	// Pull is how many bytes of results lie in each data centre.
-	Pull map[string]int64
+	// InputBytes is how many bytes of results lie in each data centre.
+	InputBytes map[string]int64
 }
 
 // pending is a prompt that is being read.
@@ -63,10 +63,10 @@
 	alone bool
 }
 
-// Prompts chooses engines for the prompts of all nodes. It knows what every
+// EngineChooser chooses engines for the prompts of all nodes. It knows what every
 // engine is reading and which shared parts it has read; it does no input or
 // output, reads no clock and is not safe for concurrent use.
-type Prompts struct {
+type EngineChooser struct {
 	// kept says when each engine last used a part.
 	kept map[uint64]map[string]time.Time
 	// reading are the prompts that have no first event yet.
@@ -75,19 +75,19 @@
 	pace float64
 }
 
-// NewPrompts returns a chooser that knows nothing.
-func NewPrompts() *Prompts {
-	return &Prompts{kept: map[uint64]map[string]time.Time{}, reading: map[string]pending{}, pace: firstPace}
+// NewEngineChooser returns a chooser that knows nothing.
+func NewEngineChooser() *EngineChooser {
+	return &EngineChooser{kept: map[uint64]map[string]time.Time{}, reading: map[string]pending{}, pace: firstPace}
 }
 
 // Place chooses an engine and counts the prompt as being read there.
-func (p *Prompts) Place(now time.Time, engines []directory.Target, q Prompt) (directory.Target, bool) {
+func (p *EngineChooser) Place(now time.Time, engines []directory.Target, q Prompt) (directory.Target, bool) {
 	p.forget(now)
 	delete(p.reading, q.Request)
 	backlog := p.backlogs()
 	places := rank(engines, q.Key)
 	var total int64
-	for _, bytes := range q.Pull {
+	for _, bytes := range q.InputBytes {
 		total += bytes
 	}
 	var best directory.Target
@@ -97,7 +97,7 @@
 			continue
 		}
 		cost := p.cost(e, q, backlog[e.ID]) + placeCost*float64(places[e.ID])
-		cost += movedCost * float64(total-q.Pull[e.DataCentre]) / 1e6
+		cost += movedCost * float64(total-q.InputBytes[e.DataCentre]) / 1e6
 		if e.State == directory.Lapsed {
 			cost += lateCost
 		}
@@ -113,7 +113,7 @@
 }
 
 // cost is what a prompt costs at one engine, in milliseconds.
-func (p *Prompts) cost(e directory.Target, q Prompt, backlog int) float64 {
+func (p *EngineChooser) cost(e directory.Target, q Prompt, backlog int) float64 {
 	tokens := q.Tokens
 	_, kept := p.kept[q.Key][e.ID]
 	cost := 0.0
@@ -131,7 +131,7 @@
 	return cost
 }
 
-func (p *Prompts) note(now time.Time, engine string, q Prompt, alone bool) {
+func (p *EngineChooser) note(now time.Time, engine string, q Prompt, alone bool) {
 	tokens := q.Tokens
 	if q.Key != 0 {
 		if _, kept := p.kept[q.Key][engine]; kept {
@@ -146,7 +146,7 @@
 }
 
 // backlogs returns how many tokens each engine has to read.
-func (p *Prompts) backlogs() map[string]int {
+func (p *EngineChooser) backlogs() map[string]int {
 	tokens := make(map[string]int)
 	for _, r := range p.reading {
 		tokens[r.engine] += r.tokens
@@ -154,9 +154,9 @@
 	return tokens
 }
 
-// Read says that a prompt has been read, or that its request has ended. The
+// Prefilled says that a prompt has been read, or that its request has ended. The
 // pace is learnt from prompts that an engine read alone.
-func (p *Prompts) Read(now time.Time, request string, whole bool) {
+func (p *EngineChooser) Prefilled(now time.Time, request string, whole bool) {
 	r, known := p.reading[request]
 	if !known {
 		return
@@ -169,7 +169,7 @@
 }
 
 // forget drops what is too old to count.
-func (p *Prompts) forget(now time.Time) {
+func (p *EngineChooser) forget(now time.Time) {
 	for request, r := range p.reading {
 		if now.Sub(r.placed) > pendingFor {
 			delete(p.reading, request)
@@ -187,8 +187,8 @@
 	}
 }
 
-// Gone forgets what engines kept that are no more.
-func (p *Prompts) Gone(d *directory.Directory) {
+// Prune forgets what engines kept that are no more.
+func (p *EngineChooser) Prune(d *directory.Directory) {
 	for _, engines := range p.kept {
 		for e := range engines {
 			if _, known := d.Target(e); !known {
--- a/internal/gateway/placement/prompts_test.go
+++ b/internal/gateway/placement/prompts_test.go
@@ -17,14 +17,14 @@
 
 func TestPrompts(t *testing.T) {
 	convey.Convey("A session stays at its engine while that is in time", t, func() {
-		p := placement.NewPrompts()
+		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(9), prompt("a", 7))
-		p.Read(now, "a", true)
+		p.Prefilled(now, "a", true)
 		second, _ := p.Place(now, engines(9), prompt("b", 7))
 		convey.So(second.ID, convey.ShouldEqual, first.ID)
 	})
 	convey.Convey("Long prompts that would be late behind others go elsewhere", t, func() {
-		p := placement.NewPrompts()
+		p := placement.NewEngineChooser()
 		used := map[string]int{}
 		for i := range 24 {
 			e, _ := p.Place(now, engines(3), prompt(fmt.Sprint(i), 7))
@@ -33,7 +33,7 @@
 		convey.So(len(used), convey.ShouldEqual, 3)
 		convey.Convey("and both engines keep the session then", func() {
 			for i := range 24 {
-				p.Read(now, fmt.Sprint(i), false)
+				p.Prefilled(now, fmt.Sprint(i), false)
 			}
 			for i := range 3 {
 				all := engines(3)
@@ -43,7 +43,7 @@
 		})
 	})
 	convey.Convey("New sessions go to idle engines", t, func() {
-		p := placement.NewPrompts()
+		p := placement.NewEngineChooser()
 		used := map[string]int{}
 		for i := range 9 {
 			e, _ := p.Place(now, engines(9), prompt(fmt.Sprint(i), uint64(i+1)))
@@ -52,7 +52,7 @@
 		convey.So(len(used), convey.ShouldBeGreaterThan, 6)
 	})
 	convey.Convey("A prompt of which nothing is heard is forgotten", t, func() {
-		p := placement.NewPrompts()
+		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(2), prompt("a", 7))
 		later, _ := p.Place(now.Add(10*time.Second), engines(2), prompt("b", 7))
 		convey.So(later.ID, convey.ShouldEqual, first.ID)
@@ -62,7 +62,7 @@
 		list[0].State = directory.Draining
 		q := prompt("a", 7)
 		q.Exclude = []string{"t1"}
-		_, ok := placement.NewPrompts().Place(now, list, q)
+		_, ok := placement.NewEngineChooser().Place(now, list, q)
 		convey.So(ok, convey.ShouldBeFalse)
 	})
 }
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -26,18 +26,18 @@
 	g *Gateway
 
 	mu       sync.Mutex
-	services map[string]*placement.Prompts
+	services map[string]*placement.EngineChooser
 }
 
 func newPrompts(g *Gateway) *prompts {
-	return &prompts{g: g, services: map[string]*placement.Prompts{}}
+	return &prompts{g: g, services: map[string]*placement.EngineChooser{}}
 }
 
 // of returns the chooser of a service; the caller holds the lock.
-func (p *prompts) of(service string) *placement.Prompts {
+func (p *prompts) of(service string) *placement.EngineChooser {
 	s := p.services[service]
 	if s == nil {
-		s = placement.NewPrompts()
+		s = placement.NewEngineChooser()
 		p.services[service] = s
 	}
 	return s
@@ -54,21 +54,21 @@
 func (p *prompts) readHere(service, request string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(service).Read(p.g.now(), request, whole)
+	p.of(service).Prefilled(p.g.now(), request, whole)
 }
 
-// keep forgets what engines kept that are no more.
-func (p *prompts) keep(d *directory.Directory) {
+// prune forgets what engines kept that are no more.
+func (p *prompts) prune(d *directory.Directory) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.services {
-		s.Gone(d)
+		s.Prune(d)
 	}
 }
 
 // Place implements relay.Placer.
 func (p *prompts) Place(ctx context.Context, service string, q placement.Prompt) (string, bool) {
-	owner := p.g.batches.owner(placeRole + service)
+	owner := p.g.batches.coordinatorOf(placeRole + service)
 	if owner == "" || owner == p.g.PeerAddress() {
 		return p.placeHere(service, q)
 	}
@@ -78,7 +78,7 @@
 		Service: service, Request: q.Request, Key: strconv.FormatUint(q.Key, 16), SharedTokens: q.SharedTokens, Tokens: q.Tokens,
 		SlackMs: int(q.Slack.Milliseconds()), Exclude: q.Exclude,
 	}
-	for dc, bytes := range q.Pull {
+	for dc, bytes := range q.InputBytes {
 		in.Pull = append(in.Pull, message.ResultBytes{DataCentre: dc, Bytes: int(bytes)})
 	}
 	var out message.PromptPlaced
@@ -88,9 +88,9 @@
 	return out.Target, out.Target != ""
 }
 
-// Read implements relay.Placer.
-func (p *prompts) Read(service, request string, whole bool) {
-	owner := p.g.batches.owner(placeRole + service)
+// Prefilled implements relay.Placer.
+func (p *prompts) Prefilled(service, request string, whole bool) {
+	owner := p.g.batches.coordinatorOf(placeRole + service)
 	if owner == "" || owner == p.g.PeerAddress() {
 		p.readHere(service, request, whole)
 		return
@@ -114,10 +114,10 @@
 	}
 	q := placement.Prompt{
 		Request: in.Request, Key: key, SharedTokens: in.SharedTokens, Tokens: in.Tokens,
-		Slack: time.Duration(in.SlackMs) * time.Millisecond, Exclude: in.Exclude, Pull: make(map[string]int64, len(in.Pull)),
+		Slack: time.Duration(in.SlackMs) * time.Millisecond, Exclude: in.Exclude, InputBytes: make(map[string]int64, len(in.Pull)),
 	}
 	for _, b := range in.Pull {
-		q.Pull[b.DataCentre] = int64(b.Bytes)
+		q.InputBytes[b.DataCentre] = int64(b.Bytes)
 	}
 	id, _ := g.prompts.placeHere(in.Service, q)
 	writeMessage(w, message.PromptPlaced{Target: id})
--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -64,7 +64,7 @@
 		}
 		j.s.cfg.Batcher.Cancel(j.req.ID, stages)
 		if !returning || now.Add(returnPause).After(giveUpAt) {
-			j.decided(Refused{Stages: stages, Backlogs: backlogs, Lasts: lasts, Left: j.objective.Sub(now)})
+			j.decided(Refused{Stages: stages, Backlogs: backlogs, Estimated: lasts, Left: j.objective.Sub(now)})
 			return verdict.New(verdict.NotRun, verdict.ReasonOverload, "the stages would take %v", lasts).
 				WithRetryAfter(j.comeBack())
 		}
@@ -123,13 +123,13 @@
 // returning says whether the client has less time left than clients of the
 // route have at first.
 func (j *job) returning() bool {
-	if j.req.Patience <= 0 {
+	if j.req.Timeout <= 0 {
 		return false
 	}
 	s := j.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	usual := max(s.patience[j.route.Name], j.req.Patience)
+	usual := max(s.patience[j.route.Name], j.req.Timeout)
 	s.patience[j.route.Name] = usual
-	return float64(j.req.Patience) < returningShare*float64(usual)
+	return float64(j.req.Timeout) < returningShare*float64(usual)
 }
--- a/internal/gateway/relay/deliver.go
+++ b/internal/gateway/relay/deliver.go
@@ -63,7 +63,7 @@
 		again := ctx.Err() == nil && j.mayRetry(err)
 		j.decided(AttemptFailed{
 			Attempt: j.outcome.Attempts[len(j.outcome.Attempts)-1], Events: j.outcome.Events, LastEvent: j.req.LastEvent,
-			Left: j.until.Sub(j.s.cfg.Now()), Again: again,
+			Left: j.until.Sub(j.s.cfg.Now()), WillRetry: again,
 		})
 		if !again {
 			return err
@@ -113,7 +113,7 @@
 	s.mu.Unlock()
 	id, ok := s.cfg.Placer.Place(ctx, j.service.Name, placement.Prompt{
 		Request: j.req.ID, Key: key, SharedTokens: tokens, Tokens: j.req.Tokens,
-		Slack: j.objective.Sub(now), Exclude: exclude, Pull: j.result.bytes(),
+		Slack: j.objective.Sub(now), Exclude: exclude, InputBytes: j.result.bytes(),
 	})
 	if target, known := d.Target(id); ok && known && target.Usable(now) {
 		return target, true
@@ -125,7 +125,7 @@
 // more.
 func (j *job) promptRead(whole bool) {
 	if j.service.Engine != nil {
-		j.s.cfg.Placer.Read(j.service.Name, j.req.ID, whole)
+		j.s.cfg.Placer.Prefilled(j.service.Name, j.req.ID, whole)
 	}
 }
 
@@ -142,11 +142,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.service.Engine == nil {
-		return s.table.Least(now, targets, q)
+		return s.table.LeastLoaded(now, targets, q)
 	}
 	q.Key, q.SharedTokens = shared(j.req.Parts)
-	q.Pull = j.result.bytes()
-	return s.table.Prefix(now, targets, q)
+	q.InputBytes = j.result.bytes()
+	return s.table.ByPrefix(now, targets, q)
 }
 
 // shared returns the hash of the deepest part of the prompt that other requests
@@ -263,7 +263,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reply != nil && reply.Load != nil {
-		s.table.Told(now, target.ID, *reply.Load)
+		s.table.Report(now, target.ID, *reply.Load)
 	}
 	s.table.Ended(now, target.ID, took, targetFault(err))
 	if err != nil && err.Reason() == verdict.ReasonDial {
@@ -318,7 +318,7 @@
 	j.promptRead(true)
 	j.outcome.Status = reply.Status
 	now := j.s.cfg.Now()
-	j.outcome.First = now.Sub(j.req.Arrived)
+	j.outcome.FirstByte = now.Sub(j.req.Arrived)
 	if j.service.Engine != nil && reply.Succeeded {
 		j.s.learnReading(j.service.Name, j.req.Tokens, now.Sub(j.sentAt))
 	}
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -40,8 +40,8 @@
 	Key string
 	// Arrived is when the request came in.
 	Arrived time.Time
-	// Patience is how long the client waits; 0 for unknown.
-	Patience time.Duration
+	// Timeout is how long the client waits; 0 for unknown.
+	Timeout time.Duration
 	// Parts are the shared parts of the prompt, in order.
 	Parts []Part
 	// Tokens is how long the prompt is.
@@ -120,9 +120,9 @@
 
 // Batcher has items made.
 type Batcher interface {
-	// Make returns the results in the order of the items' numbers. It calls
+	// Run returns the results in the order of the items' numbers. It calls
 	// started, if at all, once the items should have read their inputs.
-	Make(ctx context.Context, service string, g Group, started func()) ([]batching.Result, *verdict.Error)
+	Run(ctx context.Context, service string, g Group, started func()) ([]batching.Result, *verdict.Error)
 	// Release frees results.
 	Release(service string, results []batching.Result)
 	// Plan tells of the stages that a request will ask for, and returns how long
@@ -137,9 +137,9 @@
 type Placer interface {
 	// Place returns the identity of an engine; false when none could be asked for.
 	Place(ctx context.Context, service string, p placement.Prompt) (string, bool)
-	// Read says that a prompt that was placed has been read, or that its request
+	// Prefilled says that a prompt that was placed has been read, or that its request
 	// has ended without.
-	Read(service, request string, whole bool)
+	Prefilled(service, request string, whole bool)
 }
 
 // PlannedStage is work that a request will ask for.
@@ -167,12 +167,12 @@
 	// takes for what was planned before.
 	Stages   []PlannedStage
 	Backlogs []time.Duration
-	// Lasts is how long the stages would take, and Left the time to the objective.
-	Lasts, Left time.Duration
+	// Estimated is how long the stages would take, and Left the time to the objective.
+	Estimated, Left time.Duration
 }
 
-// StageMade is a stage whose results are there.
-type StageMade struct {
+// StageDone is a stage whose results are there.
+type StageDone struct {
 	Stage   int
 	Service string
 	Items   int
@@ -199,12 +199,12 @@
 	LastEvent string
 	// Left is the time until the request must have its answer.
 	Left time.Duration
-	// Again says whether another target may be asked.
-	Again bool
+	// WillRetry says whether another target may be asked.
+	WillRetry bool
 }
 
 func (Refused) isDecision()       {}
-func (StageMade) isDecision()     {}
+func (StageDone) isDecision()     {}
 func (StageFailed) isDecision()   {}
 func (AttemptFailed) isDecision() {}
 
@@ -223,14 +223,14 @@
 	Planned time.Duration
 	// StagesTook is the time until all stages were done.
 	StagesTook time.Duration
-	// First is the time to the first byte passed back; 0 for none.
-	First  time.Duration
-	Took   time.Duration
-	Status int
-	Events int
-	// Remade counts how often results had to be made again.
-	Remade int
-	Err    *verdict.Error
+	// FirstByte is the time to the first byte passed back; 0 for none.
+	FirstByte time.Duration
+	Took      time.Duration
+	Status    int
+	Events    int
+	// Recomputed counts how often results had to be made again.
+	Recomputed int
+	Err        *verdict.Error
 }
 
 // Attempt is one call to a target.
@@ -250,8 +250,8 @@
 	Placer     Placer
 	Observer   Observer
 	Now        func() time.Time
-	// Budget bounds repeats over all nodes.
-	Budget retrybudget.Policy
+	// RetryPolicy bounds repeats over all nodes.
+	RetryPolicy retrybudget.Policy
 	// Members returns how many nodes share the targets' connections.
 	Members func() int
 }
@@ -265,7 +265,7 @@
 	stopOnce sync.Once
 
 	mu      sync.Mutex
-	table   *placement.Table
+	table   *placement.TargetTable
 	budgets map[string]*retrybudget.Budget
 	// patience is the longest that clients of a route wait.
 	patience map[string]time.Duration
@@ -276,7 +276,7 @@
 // New returns a server.
 func New(cfg Config) *Server {
 	return &Server{
-		cfg: cfg, stopped: make(chan struct{}), table: placement.New(),
+		cfg: cfg, stopped: make(chan struct{}), table: placement.NewTargetTable(),
 		budgets: map[string]*retrybudget.Budget{}, patience: map[string]time.Duration{},
 		readers: map[string]*readingPace{},
 	}
@@ -340,7 +340,7 @@
 }
 
 // Begun says whether the outcome's answer had begun.
-func (o *Outcome) Begun() bool { return o.First > 0 }
+func (o *Outcome) Begun() bool { return o.FirstByte > 0 }
 
 func (j *job) run(ctx context.Context) *verdict.Error {
 	if err := j.resolve(); err != nil {
@@ -423,7 +423,7 @@
 
 // bound sets how long the request may take.
 func (j *job) bound() {
-	patience := j.req.Patience
+	patience := j.req.Timeout
 	if patience <= 0 {
 		patience = defaultPatience
 	}
@@ -458,7 +458,7 @@
 	defer s.mu.Unlock()
 	b := s.budgets[service]
 	if b == nil {
-		b = retrybudget.New(s.cfg.Budget)
+		b = retrybudget.New(s.cfg.RetryPolicy)
 		s.budgets[service] = b
 	}
 	now := s.cfg.Now()
@@ -469,9 +469,9 @@
 	return b.Spend(now)
 }
 
-// Keep forgets what was learnt of targets that are gone.
-func (s *Server) Keep(d *directory.Directory) {
+// Prune forgets what was learnt of targets that are gone.
+func (s *Server) Prune(d *directory.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Keep(d)
+	s.table.Prune(d)
 }
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -94,7 +94,7 @@
 
 func (broken) Read([]byte) (int, error) { return 0, errors.New("reset") }
 
-func (w *world) Make(_ context.Context, service string, g relay.Group, _ func()) ([]batching.Result, *verdict.Error) {
+func (w *world) Run(_ context.Context, service string, g relay.Group, _ func()) ([]batching.Result, *verdict.Error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.makes = append(w.makes, g)
@@ -146,7 +146,7 @@
 // Place knows of no engine, so that the node chooses by itself.
 func (w *world) Place(context.Context, string, placement.Prompt) (string, bool) { return "", false }
 
-func (w *world) Read(string, string, bool) {}
+func (w *world) Prefilled(string, string, bool) {}
 
 func (w *world) Decided(string, relay.Decision) {}
 
@@ -185,7 +185,7 @@
 		services[0].Engine = &catalog.Engine{Slots: 8}
 	}
 	for _, name := range []string{"one", "two", "three"} {
-		services = append(services, &catalog.Service{Name: name, Batch: &catalog.Batch{Size: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond}})
+		services = append(services, &catalog.Service{Name: name, Batch: &catalog.Batch{MaxItems: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond}})
 	}
 	c, err := catalog.New(1, []*catalog.Route{r}, services, nil, catalog.Limits{})
 	if err != nil {
@@ -198,12 +198,12 @@
 	v := &view.View{Revision: 1, Catalog: c, Directory: directory.New(targets...)}
 	return w, relay.New(relay.Config{
 		DataCentre: "d", View: func() *view.View { return v }, Upstream: w, Batcher: w, Placer: w, Observer: w, Now: time.Now,
-		Budget: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, Members: func() int { return 1 },
+		RetryPolicy: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, Members: func() int { return 1 },
 	})
 }
 
 func request(items ...int) *relay.Request {
-	return &relay.Request{ID: "id", Host: "h", Path: "/x", Arrived: time.Now(), Patience: 10 * time.Second, Items: items, Source: "k"}
+	return &relay.Request{ID: "id", Host: "h", Path: "/x", Arrived: time.Now(), Timeout: 10 * time.Second, Items: items, Source: "k"}
 }
 
 func lost() answer {
@@ -406,7 +406,7 @@
 			w.wait = 3 * time.Second
 			_ = s.Serve(t.Context(), request(1, 4, 2), &client{})
 			again := request(1, 4, 2)
-			again.Patience = 7 * time.Second
+			again.Timeout = 7 * time.Second
 			err := s.Serve(t.Context(), again, &client{})
 			took := time.Since(again.Arrived)
 			if err == nil || err.Verdict() != verdict.NotRun || err.RetryAfter() <= 0 || len(w.makes) > 0 {
@@ -428,7 +428,7 @@
 				w.wait = 0
 			})
 			again := request(1, 4, 2)
-			again.Patience = 7 * time.Second
+			again.Timeout = 7 * time.Second
 			if err := s.Serve(t.Context(), again, &client{}); err != nil {
 				t.Error(err)
 			}
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -148,10 +148,10 @@
 			return err
 		}
 		service, begun := r.job.route.Stages[i].Service, r.job.s.cfg.Now()
-		results, err := r.job.s.cfg.Batcher.Make(ctx, service, r.group(i), func() { r.inputsRead(i) })
+		results, err := r.job.s.cfg.Batcher.Run(ctx, service, r.group(i), func() { r.inputsRead(i) })
 		took := r.job.s.cfg.Now().Sub(begun)
 		if err == nil {
-			r.job.decided(StageMade{Stage: i, Service: service, Items: len(results), Took: took, Targets: makers(results)})
+			r.job.decided(StageDone{Stage: i, Service: service, Items: len(results), Took: took, Targets: makers(results)})
 			r.set(i, results)
 			return nil
 		}
@@ -202,8 +202,8 @@
 func (r *stageResults) countRemake() *verdict.Error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.job.outcome.Remade++
-	if r.job.outcome.Remade > maxRemakes {
+	r.job.outcome.Recomputed++
+	if r.job.outcome.Recomputed > maxRemakes {
 		return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "results were lost too often")
 	}
 	return nil
@@ -312,7 +312,7 @@
 
 // callTime is about how long a call takes that is not quite full.
 func callTime(b *catalog.Batch) time.Duration {
-	return b.CallLatency + time.Duration(batchShare*float64(b.Size)*float64(b.PerItem))
+	return b.CallLatency + time.Duration(batchShare*float64(b.MaxItems)*float64(b.PerItem))
 }
 
 // used says that one of the users of a stage's results is done with them.
--- a/internal/gateway/relayed_test.go
+++ b/internal/gateway/relayed_test.go
@@ -118,7 +118,7 @@
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
 }
 
-func (noTargets) Make(context.Context, gateway.ItemCall) ([]batching.Outcome, *verdict.Error) {
+func (noTargets) RunBatch(context.Context, gateway.BatchCall) ([]batching.Outcome, *verdict.Error) {
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
 }
 
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -50,12 +50,12 @@
 func (g *Gateway) Decided(request string, d relay.Decision) {
 	switch d := d.(type) {
 	case relay.Refused:
-		ev := g.log.Info().Str("request", request).Dur("lasts", d.Lasts).Dur("left", d.Left)
+		ev := g.log.Info().Str("request", request).Dur("lasts", d.Estimated).Dur("left", d.Left)
 		for i, s := range d.Stages {
 			ev.Str("stage"+strconv.Itoa(s.Stage), s.Service+" "+strconv.Itoa(s.Items)+" items behind "+d.Backlogs[i].Round(time.Millisecond).String())
 		}
 		ev.Msg("request: refused, the stages would take too long")
-	case relay.StageMade:
+	case relay.StageDone:
 		if g.sampled(request) {
 			g.log.Info().Str("request", request).Int("stage", d.Stage).Str("service", d.Service).Int("items", d.Items).
 				Dur("took", d.Took).Strs("targets", d.Targets).Msg("request: stage made")
@@ -65,7 +65,7 @@
 			Dur("took", d.Took).Msg("request: stage failed")
 	case relay.AttemptFailed:
 		logError(g.log.Warn(), d.Attempt.Err).Str("request", request).Str("target", d.Attempt.Target).Int("status", d.Attempt.Status).
-			Dur("took", d.Attempt.Took).Int("events", d.Events).Str("lastEvent", d.LastEvent).Dur("left", d.Left).Bool("again", d.Again).
+			Dur("took", d.Attempt.Took).Int("events", d.Events).Str("lastEvent", d.LastEvent).Dur("left", d.Left).Bool("again", d.WillRetry).
 			Msg("request: attempt failed")
 	}
 }
@@ -109,9 +109,9 @@
 	if o.StagesTook > 0 {
 		ev.Dur("stages", o.StagesTook)
 	}
-	ev.Dur("first", o.First).Dur("took", o.Took).Int("status", o.Status).Int("events", o.Events)
-	if o.Remade > 0 {
-		ev.Int("remade", o.Remade)
+	ev.Dur("first", o.FirstByte).Dur("took", o.Took).Int("status", o.Status).Int("events", o.Events)
+	if o.Recomputed > 0 {
+		ev.Int("remade", o.Recomputed)
 	}
 	ev.Str("attempts", attemptsText(o.Attempts))
 	if o.Err != nil {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -30,9 +30,9 @@
 	for _, service := range slices.Sorted(maps.Keys(states)) {
 		b := states[service]
 		s.Services = append(s.Services, message.BatchState{
-			Service: service, Waiting: b.Waiting, Planned: b.Planned, Late: b.Late, Working: b.Working, Targets: b.Targets,
-			HeldBytes: int(b.HeldBytes), RoomBytes: int(b.RoomBytes), PerSecond: b.PerSecond, BacklogMs: int(b.Backlog.Milliseconds()),
-			Calls: int(b.Calls), Items: int(b.Items), Repeats: int(b.Repeats), Expired: int(b.Expired), Refused: int(b.Refused),
+			Service: service, Waiting: b.Waiting, Planned: b.Planned, Late: b.PastDue, Working: b.Busy, Targets: b.Targets,
+			HeldBytes: int(b.UsedBytes), RoomBytes: int(b.MemoryBytes), PerSecond: b.ItemsPerSecond, BacklogMs: int(b.Backlog.Milliseconds()),
+			Calls: int(b.Batches), Items: int(b.Items), Repeats: int(b.Retries), Expired: int(b.Expired), Refused: int(b.Refused),
 		})
 	}
 	return s
--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -41,7 +41,7 @@
 			batch.ids = append(batch.ids, c.Target.ID)
 		case TargetGone:
 			batch.ids = append(batch.ids, c.ID)
-		case CatalogChange, Unreadable:
+		case CatalogChange, Rejected:
 		}
 	}
 	if len(batch.ids) == 0 {
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -34,13 +34,13 @@
 // TargetGone is a target that vanished.
 type TargetGone struct{ ID string }
 
-// Unreadable is an entry that was refused whole.
-type Unreadable struct{ Key, Why string }
+// Rejected is an entry that was refused whole.
+type Rejected struct{ Key, Reason string }
 
 func (CatalogChange) isChange() {}
 func (TargetChange) isChange()  {}
 func (TargetGone) isChange()    {}
-func (Unreadable) isChange()    {}
+func (Rejected) isChange()      {}
 
 // Changes are the news up to a revision of the source.
 type Changes struct {
@@ -81,7 +81,7 @@
 			next.Directory = next.Directory.With(c.Target)
 		case TargetGone:
 			next.Directory = next.withoutTarget(now, c.ID, troubled)
-		case Unreadable:
+		case Rejected:
 		}
 	}
 	next.Revision = max(next.Revision, ch.Revision)
