--- a/internal/gateway/batching/target.go
+++ b/internal/gateway/batching/target.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/honeydyke/honeydyke/internal/backoff"
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
@@ -15,9 +16,6 @@
 	// minPace and maxPace bound a learnt pace.
 	minPace = 0.3
 	maxPace = 20
-	// shortPause and longPause bound how long a target that failed is left alone.
-	shortPause = 150 * time.Millisecond
-	longPause  = 2 * time.Second
 	// noRoomPause is how long a target that had no room is left alone.
 	noRoomPause = 80 * time.Millisecond
 	// roomShare is the part of a target's room that is planned with; results are
@@ -25,6 +23,9 @@
 	roomShare = 0.95
 )
 
+// failureBackoff is how long a target that failed is left alone.
+var failureBackoff = backoff.Doubling{First: 150 * time.Millisecond, Max: 2 * time.Second}
+
 // held is a result that takes room.
 type held struct {
 	bytes int64
@@ -83,10 +84,9 @@
 
 // failed leaves the target alone for longer after each failure in a row.
 func (t *target) failed(now time.Time) {
-	pause := min(shortPause<<min(t.failures, 6), longPause)
+	t.pausedUntil = now.Add(failureBackoff.After(t.failures))
 	t.failures++
 	t.known = false
-	t.pausedUntil = now.Add(pause)
 }
 
 // idle says whether the target can take a call.
--- a/internal/gateway/placement/placement.go
+++ b/internal/gateway/placement/placement.go
@@ -14,6 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/honeydyke/honeydyke/internal/backoff"
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
@@ -26,14 +27,13 @@
 	loadAge = 500 * time.Millisecond
 	// ejectAt is the share of failures at which a target is left alone.
 	ejectAt = 0.6
-	// ejectFor is how long a target is left alone; afterwards one request tries it.
-	ejectFor = time.Second
-	// maxEjectFor bounds the time of a target that keeps failing.
-	maxEjectFor = 4 * time.Second
 	// defaultSlots is assumed of a target that does not tell its slots.
 	defaultSlots = 4
 )
 
+// ejection is how long a target is left alone; afterwards one request tries it.
+var ejection = backoff.Doubling{First: time.Second, Max: 4 * time.Second}
+
 // Load is what a target told of itself.
 type Load struct {
 	Running int
@@ -114,9 +114,8 @@
 	if s.failing < ejectAt && s.ejections == 0 {
 		return
 	}
-	pause := min(ejectFor<<min(s.ejections, 4), maxEjectFor)
+	s.ejectedUntil = now.Add(ejection.After(s.ejections))
 	s.ejections++
-	s.ejectedUntil = now.Add(pause)
 }
 
 // Eject leaves a target alone at once, for a failure that proves that it is down.
