--- a/internal/harness/lab/lab.go
+++ b/internal/harness/lab/lab.go
@@ -46,8 +46,6 @@
 	Scripts map[string]*standin.Script
 	// Configuration is the configuration service.
 	Configuration *standin.Configuration
-	// Instances is the platform's list.
-	Instances *standin.Instances
 	// Nodes holds the nodes in the order of their start.
 	Nodes []*Member
 
@@ -152,7 +150,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{cfg: cfg, Targets: make(map[string]*standin.Target), Scripts: make(map[string]*standin.Script), Instances: &standin.Instances{}}
+	l := &Lab{cfg: cfg, Targets: make(map[string]*standin.Target), Scripts: make(map[string]*standin.Script)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	_, l.key, err = ed25519.GenerateKey(nil)
 	if err != nil {
@@ -234,9 +232,6 @@
 	if l.cfg.targetTLS != nil {
 		opts = append(opts, standin.WithTLS(l.cfg.targetTLS))
 	}
-	if p.ChecksFences {
-		opts = append(opts, standin.WithFences())
-	}
 	if p.ChecksKeys {
 		opts = append(opts, standin.WithKeys(keys))
 	}
@@ -278,7 +273,7 @@
 		return err
 	}
 	l.base = "http://" + ln.Addr().String()
-	l.platform = &http.Server{Handler: standin.PlatformHandler(l.Configuration, l.Instances), ReadHeaderTimeout: time.Second}
+	l.platform = &http.Server{Handler: standin.PlatformHandler(l.Configuration), ReadHeaderTimeout: time.Second}
 	go func() { _ = l.platform.Serve(ln) }()
 	return nil
 }
--- a/internal/harness/standin/fault.go
+++ b/internal/harness/standin/fault.go
@@ -1,9 +1,6 @@
 package standin
 
-import (
-	"slices"
-	"sync"
-)
+import "sync"
 
 // Fault is a way in which a stand-in fails on command.
 type Fault string
@@ -44,9 +41,6 @@
 	WrongIdentity, WrongBody, Cut, Redirect, Crash,
 }
 
-// KnownFault says whether f is one of Faults.
-func KnownFault(f Fault) bool { return slices.Contains(Faults, f) }
-
 // Step is a point in the life of a call at a target.
 type Step string
 
--- a/internal/harness/standin/platform.go
+++ b/internal/harness/standin/platform.go
@@ -70,38 +70,11 @@
 	return c.value, `"` + hex.EncodeToString(sum[:8]) + `"`, c.changed
 }
 
-// Instances is a stand-in for the platform's lagging list of instances.
-type Instances struct {
-	mu   sync.Mutex
-	list []Instance
-}
-
-// Instance is one line of the list.
-type Instance struct {
-	Address    string `json:"address"`
-	DataCentre string `json:"dataCentre"`
-	Leaving    bool   `json:"leaving"`
-}
-
-// Set replaces the list.
-func (l *Instances) Set(list []Instance) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.list = list
-}
-
-// ServeHTTP answers with the list.
-func (l *Instances) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	l.mu.Lock()
-	list := append([]Instance{}, l.list...)
-	l.mu.Unlock()
-	writeJSON(w, list)
-}
-
-// PlatformHandler serves both on the paths that nodes know.
-func PlatformHandler(c *Configuration, l *Instances) http.Handler {
+// PlatformHandler serves the configuration service, and a list of instances that
+// is always empty, on the paths that nodes know.
+func PlatformHandler(c *Configuration) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+wire.PathConfiguration, c)
-	mux.Handle("GET "+wire.PathInstances, l)
+	mux.HandleFunc("GET "+wire.PathInstances, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, []struct{}{}) })
 	return mux
 }
--- a/internal/harness/standin/target.go
+++ b/internal/harness/standin/target.go
@@ -11,6 +11,7 @@
 	"encoding/json"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -59,7 +60,6 @@
 	queue    slotQueue
 	reload   reportLog
 	cache    prefixCache
-	engine   engine
 
 	mu          sync.Mutex
 	incarnation string
@@ -118,7 +118,6 @@
 	mux.HandleFunc("POST "+wire.PathStage, t.serveStage)
 	mux.HandleFunc("POST "+wire.PathChat, t.serveChat)
 	mux.HandleFunc("GET "+wire.PathLoad, t.serveLoad)
-	t.handleEngine(mux)
 	mux.HandleFunc("POST "+PathFault, t.serveFault)
 	mux.HandleFunc("POST "+PathLeave, t.serveLeave)
 	mux.HandleFunc("GET "+PathRuns, t.serveRuns)
@@ -238,7 +237,7 @@
 		Fault Fault `json:"fault"`
 		Times int   `json:"times"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || !KnownFault(body.Fault) {
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || !slices.Contains(Faults, body.Fault) {
 		http.Error(w, "unknown fault", http.StatusBadRequest)
 		return
 	}
--- a/internal/harness/standin/weights.go
+++ b/internal/harness/standin/weights.go
@@ -3,7 +3,6 @@
 import (
 	"net/http"
 	"strconv"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -16,11 +15,9 @@
 const PathWeights = "/v1/weights/"
 
 // WeightStore is a stand-in for the rate-limited store of model weights. A
-// fetch over the rate is refused with the time after which to come back.
+// fetch over the rate is refused with a Retry-After.
 type WeightStore struct {
 	limiter *rate.Limiter
-	fetches atomic.Int64
-	refused atomic.Int64
 }
 
 // NewWeightStore returns a store that allows perSecond fetches a second.
@@ -28,22 +25,15 @@
 	return &WeightStore{limiter: rate.NewLimiter(rate.Limit(perSecond), 1)}
 }
 
-// Counts returns how many fetches were served and refused.
-func (s *WeightStore) Counts() (fetches, refused int64) {
-	return s.fetches.Load(), s.refused.Load()
-}
-
 // ServeHTTP answers a fetch.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	r := s.limiter.Reserve()
 	if wait := r.Delay(); wait > 0 {
 		r.Cancel()
-		s.refused.Add(1)
 		w.Header().Set(wire.HeaderVerdict, verdict.NotRun.String())
 		w.Header().Set("Retry-After", strconv.Itoa(int(wait/time.Second)+1))
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	s.fetches.Add(1)
 	w.WriteHeader(http.StatusOK)
 }
--- a/pkg/cmd/standin/standin.go
+++ b/pkg/cmd/standin/standin.go
@@ -139,7 +139,7 @@
 	}
 	c := standin.NewConfiguration(value)
 	go follow(ctx, opts, c, string(value))
-	return serve(ctx, opts.Factory, opts.Address, standin.PlatformHandler(c, &standin.Instances{}))
+	return serve(ctx, opts.Factory, opts.Address, standin.PlatformHandler(c))
 }
 
 // follow puts the file's content into the service when it changes.
