--- a/internal/native/node/actors.go
+++ b/internal/native/node/actors.go
@@ -84,8 +84,8 @@
 	n.loads = root.Spawn(actor.PropsFromProducer(func() actor.Actor {
 		return &loadActor{node: n}
 	}))
-	n.pulse.beat(n.Age())
-	go n.every(ctx, pulseInterval, n.beat)
+	n.pause.beat()
+	go n.every(ctx, pauseBeat, n.beat)
 	go n.every(ctx, gossipInterval, func() { root.Send(n.members, tick{}) })
 	go n.every(ctx, reportInterval, func() { root.Send(n.loads, tick{}) })
 	go n.followService(ctx)
@@ -112,7 +112,7 @@
 
 // beat notes that the process is awake. After a pause it asks for news at once.
 func (n *Node) beat() {
-	if n.pulse.beat(n.Age()) {
+	if n.pause.beat() {
 		n.log.Warn().Msg("pulse: the process was paused; asking for news before acting")
 		n.system.Root.Send(n.members, tellPeers{})
 		n.system.Root.Send(n.loads, tick{})
@@ -142,7 +142,7 @@
 		a.serviceAnswered = a.serviceAnswered || !m.peer
 		a.serve()
 	case tick:
-		a.apply(a.state.WithTime(a.node.now()))
+		a.apply(a.state.WithTime(a.node.incarnation.now()))
 		a.serve()
 	case describeBundle:
 		c.Respond(bundleState{state: a.state, history: a.history})
@@ -151,13 +151,13 @@
 
 func (a *bundleActor) confirm(m confirmed) {
 	if newest := a.state.Newest(); newest != nil && newest.Digest() == m.digest {
-		a.state = a.state.WithConfirmed(a.node.now())
+		a.state = a.state.WithConfirmed(a.node.incarnation.now())
 	}
 }
 
 func (a *bundleActor) take(m offered) {
 	before := a.state.Newest()
-	next, err := a.state.WithOffer(a.node.now(), m.plan)
+	next, err := a.state.WithOffer(a.node.incarnation.now(), m.plan)
 	if err != nil {
 		a.node.log.Warn().Err(err).Str("source", m.source).Msg("bundle: refused, the one in force stays")
 		return
@@ -184,7 +184,7 @@
 	}
 	plan := next.InForce()
 	a.node.gate.apply(admission.Install{Plan: plan})
-	a.node.plan.Store(plan)
+	a.node.incarnation.plan.Store(plan)
 	a.node.log.Info().Int("number", plan.Number()).Msg("bundle: in force")
 	a.serve()
 }
@@ -199,7 +199,7 @@
 	age := a.node.Age()
 	alone := len(a.node.cfg.Peers) == 0
 	enough := a.peerAnswered && (a.serviceAnswered || a.node.cfg.ConfigurationService == "" || age > startWait)
-	if (enough || alone || age > aloneWait) && a.node.startServing() {
+	if (enough || alone || age > aloneWait) && a.node.incarnation.startServing() {
 		a.node.log.Info().Int("bundle", a.state.InForce().Number()).Msg("node: serving")
 	}
 }
@@ -212,8 +212,8 @@
 }
 
 func newMemberActor(n *Node) *memberActor {
-	seed := uint64(n.started.UnixNano())
-	view := membership.New(n.PeerAddress(), n.cfg.DataCentre).WithAddresses(n.now(), n.cfg.Peers)
+	seed := uint64(n.incarnation.started.UnixNano())
+	view := membership.New(n.PeerAddress(), n.cfg.DataCentre).WithAddresses(n.incarnation.now(), n.cfg.Peers)
 	return &memberActor{node: n, view: view, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
@@ -223,13 +223,13 @@
 	case *actor.Started, tellPeers:
 		a.round(gossipFanOut)
 	case tick:
-		a.view = a.view.WithTime(a.node.now()).WithDuty(a.node.now())
-		a.node.gate.apply(admission.Nodes{Count: a.view.Size(a.node.now())})
+		a.view = a.view.WithTime(a.node.incarnation.now()).WithDuty(a.node.incarnation.now())
+		a.node.gate.apply(admission.Nodes{Count: a.view.Size(a.node.incarnation.now())})
 		a.round(1)
 	case heard:
 		a.hear(m.word)
 	case addressesSeen:
-		a.view = a.view.WithList(a.node.now(), m.addresses)
+		a.view = a.view.WithList(a.node.incarnation.now(), m.addresses)
 	case marked:
 		a.mark(m.marks)
 	case describePeers:
@@ -247,7 +247,7 @@
 }
 
 func (a *memberActor) hear(word message.Exchange) {
-	view, news := a.view.WithWord(a.node.now(), word)
+	view, news := a.view.WithWord(a.node.incarnation.now(), word)
 	a.view = view
 	a.apply(news)
 	a.node.system.Root.Send(a.node.bundles, sourceAnswered{peer: true})
@@ -255,7 +255,7 @@
 }
 
 func (a *memberActor) mark(marks []message.LeavingMark) {
-	view, news := a.view.WithMarks(a.node.now(), marks)
+	view, news := a.view.WithMarks(a.node.incarnation.now(), marks)
 	a.view = view
 	a.apply(news)
 	if len(news) > 0 {
@@ -273,8 +273,8 @@
 // word is what this node tells a peer.
 func (n *Node) word(view membership.View, rng *rand.Rand) message.Exchange {
 	ex := message.Exchange{
-		Node: n.PeerAddress(), Incarnation: n.incarnation, DataCentre: n.cfg.DataCentre,
-		Leaving: n.Phase() == Leaving, Peers: view.Told(n.now(), rng), Marks: view.FreshMarks(n.now()), Readers: view.Readers(n.now()),
+		Node: n.PeerAddress(), Incarnation: n.incarnation.id, DataCentre: n.cfg.DataCentre,
+		Leaving: n.Phase() == Leaving, Peers: view.Told(n.incarnation.now(), rng), Marks: view.FreshMarks(n.incarnation.now()), Readers: view.Readers(n.incarnation.now()),
 	}
 	if reply, err := n.ask(n.bundles, describeBundle{}); err == nil {
 		if b, ok := reply.(bundleState); ok && b.state.Newest() != nil {
--- a/internal/native/node/callers.go
+++ b/internal/native/node/callers.go
@@ -54,12 +54,12 @@
 
 // newID returns an identity that no other request of the fleet has.
 func (n *Node) newID() string {
-	return n.incarnation + "-" + strconv.FormatUint(n.lastID.Add(1), 10)
+	return n.incarnation.id + "-" + strconv.FormatUint(n.lastID.Add(1), 10)
 }
 
 // intake checks a call as far as all endpoints do and returns its organisation.
 func (n *Node) intake(r *http.Request) (*bundle.Plan, *bundle.Organisation, error) {
-	plan, err := n.governing()
+	plan, err := n.incarnation.governing()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &job{id: n.newID(), organisation: org, plan: plan, pipeline: p, deadline: n.now().Add(left)}, nil
+	return &job{id: n.newID(), organisation: org, plan: plan, pipeline: p, deadline: n.incarnation.now().Add(left)}, nil
 }
 
 // deadlineOf returns the time that the caller allows, at most the pipeline's.
@@ -126,7 +126,7 @@
 
 // pipelineJob builds the job of a native call and sets the form of its answer.
 func (n *Node) pipelineJob(r *http.Request, org *bundle.Organisation, body []byte, out *reply) (*job, error) {
-	plan, err := n.governing()
+	plan, err := n.incarnation.governing()
 	if err != nil {
 		return nil, err
 	}
@@ -165,10 +165,10 @@
 
 // answer runs the job and writes its answer.
 func (n *Node) answer(ctx context.Context, j *job, out *reply) {
-	start := n.now()
+	start := n.incarnation.now()
 	res, err := n.run(ctx, j, out.text)
 	failed := verdict.From(err)
-	n.metrics.answered(j.pipeline.Name, failed, n.now().Sub(start))
+	n.metrics.answered(j.pipeline.Name, failed, n.incarnation.now().Sub(start))
 	if failed != nil {
 		n.log.Info().Str("request", out.id).Str("job", j.id).Str("pipeline", j.pipeline.Name).Err(failed).Msg("request: refused")
 		out.refuse(failed)
@@ -310,7 +310,7 @@
 // organisationOf authenticates a call about a ticket, which is answered in
 // every phase of the node.
 func (n *Node) organisationOf(r *http.Request) (*bundle.Organisation, error) {
-	plan := n.plan.Load()
+	plan := n.incarnation.plan.Load()
 	if plan == nil {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonNotReady, "the node has no bundle in force yet").WithRetryAfter(time.Second)
 	}
--- a/internal/native/node/forward.go
+++ b/internal/native/node/forward.go
@@ -119,7 +119,7 @@
 		return nil, tk, verdict.New(verdict.MayHaveRun, verdict.ReasonHomeGone, "the incarnation that minted the ticket is gone").
 			WithUnsafeRetry()
 	}
-	plan := n.plan.Load()
+	plan := n.incarnation.plan.Load()
 	if plan == nil || plan.Organisation(tk.Organisation) == nil {
 		return nil, tk, verdict.New(verdict.MayHaveRun, verdict.ReasonUnauthorised, "the organisation is not in the bundle in force")
 	}
--- a/internal/native/node/node.go
+++ b/internal/native/node/node.go
@@ -20,10 +20,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/internal/native/admission"
 	"github.com/honeydyke/honeydyke/internal/native/routing"
-	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/settings"
-	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
 const (
@@ -41,42 +39,20 @@
 	drainQuiet = 250 * time.Millisecond
 )
 
-// Phase is the part of its life that a node is in.
-type Phase int32
-
-// Phases of a node.
-const (
-	Starting Phase = iota
-	Serving
-	Leaving
-)
-
-// String gives the text used on the wire.
-func (p Phase) String() string {
-	return [...]string{"starting", "serving", "leaving"}[p]
-}
-
 // Node is one instance. Create it with New.
 type Node struct {
 	cfg         *settings.Settings
+	opts        options
+	incarnation *incarnation
 	trust       bundle.Trust
-	incarnation string
-	started     time.Time
-	now         func() time.Time
 	log         zerolog.Logger
-	policy      routing.Policy
-	naive       bool
-	stall       time.Duration
 
-	phase    atomic.Int32
-	serving  chan struct{}
-	plan     atomic.Pointer[bundle.Plan]
 	lastID   atomic.Uint64
 	gate     *gate
 	delivery *delivery.Client
 	tickets  *tickets
 	metrics  *metrics
-	pulse    pulse
+	pause    *pauseDetector
 	// control counts the bytes of control traffic.
 	control atomic.Int64
 	peers   *peerClient
@@ -98,43 +74,20 @@
 	admin   net.Listener
 }
 
-// Option changes a Node under construction.
-type Option func(*Node)
-
-// WithLogger sets the log; it is silent by default.
-func WithLogger(log zerolog.Logger) Option { return func(n *Node) { n.log = log } }
-
-// WithClock sets the clock, which must be monotonic.
-func WithClock(now func() time.Time) Option { return func(n *Node) { n.now = now } }
-
-// WithPolicy sets how targets are chosen, for experiments.
-func WithPolicy(p routing.Policy) Option { return func(n *Node) { n.policy = p } }
-
-// WithoutRefusal holds work until its deadline instead of refusing early, for
-// experiments.
-func WithoutRefusal() Option { return func(n *Node) { n.naive = true } }
-
-// WithStall sets the longest silence of an engine's stream.
-func WithStall(d time.Duration) Option { return func(n *Node) { n.stall = d } }
-
 // New returns a node that listens on its addresses but serves nothing until Run.
 // A port 0 in the settings takes a free port.
 func New(cfg *settings.Settings, opts ...Option) (*Node, error) {
+	o := newOptions(opts)
 	n := &Node{
 		cfg:         cfg,
+		opts:        o,
+		incarnation: newIncarnation(o.now),
 		trust:       cfg.BundleTrust(),
-		incarnation: ticket.NewSerial(),
-		now:         time.Now,
-		log:         zerolog.Nop(),
-		policy:      routing.Balanced{},
-		serving:     make(chan struct{}),
+		log:         o.log,
 		cut:         make(chan struct{}),
 		metrics:     newMetrics(),
 	}
-	for _, opt := range opts {
-		opt(n)
-	}
-	n.started = n.now()
+	n.pause = &pauseDetector{age: n.incarnation.age}
 	n.serveCalls, n.cutCalls = context.WithCancel(context.Background())
 	if err := n.listen(); err != nil {
 		return nil, err
@@ -155,24 +108,24 @@
 	n.peers = newPeerClient(n.cfg.Keys.Peer, tlsConfigs.toPeers, &n.control)
 	n.delivery = delivery.New(n.deliveryOptions(tlsConfigs)...)
 	n.gate = newGate(admission.Config{
-		DataCentre: n.cfg.DataCentre, Policy: n.policy, Seed: routing.Hash(n.incarnation), NeverRefuse: n.naive,
-	}, n.now)
+		DataCentre: n.cfg.DataCentre, Policy: n.opts.policy, Seed: routing.Hash(n.incarnation.id), NeverRefuse: n.opts.withoutRefusal,
+	}, n.incarnation.now)
 	n.servers = []*http.Server{
 		n.newServer(n.callerHandler(), true),
 		n.newServer(n.peerHandler(), false),
 		n.newServer(n.adminHandler(), false),
 	}
-	n.tickets, err = newTickets(n.cfg.TicketKey(), n.PeerAddress(), n.incarnation, n.Age)
+	n.tickets, err = newTickets(n.cfg.TicketKey(), n.PeerAddress(), n.incarnation.id, n.Age)
 	return err
 }
 
 func (n *Node) deliveryOptions(t *tlsConfigs) []delivery.Option {
-	opts := []delivery.Option{delivery.WithClock(n.now)}
+	opts := []delivery.Option{delivery.WithClock(n.incarnation.now)}
 	if t.toTargets != nil {
 		opts = append(opts, delivery.WithTLS(t.toTargets))
 	}
-	if n.stall > 0 {
-		opts = append(opts, delivery.WithStall(n.stall))
+	if n.opts.stall > 0 {
+		opts = append(opts, delivery.WithStall(n.opts.stall))
 	}
 	return opts
 }
@@ -212,29 +165,20 @@
 func (n *Node) AdminAddress() string { return n.listeners.admin.Addr().String() }
 
 // Incarnation returns the identity of this life of the node.
-func (n *Node) Incarnation() string { return n.incarnation }
+func (n *Node) Incarnation() string { return n.incarnation.id }
 
 // Age returns the age of this incarnation by its monotonic clock.
-func (n *Node) Age() time.Duration { return n.now().Sub(n.started) }
+func (n *Node) Age() time.Duration { return n.incarnation.age() }
 
 // Phase returns the phase that the node is in.
-func (n *Node) Phase() Phase { return Phase(n.phase.Load()) }
+func (n *Node) Phase() Phase { return n.incarnation.currentPhase() }
 
 // Ready returns a channel that is closed once the node takes work.
-func (n *Node) Ready() <-chan struct{} { return n.serving }
-
-// startServing ends the start of the node, unless it is leaving already.
-func (n *Node) startServing() bool {
-	if !n.phase.CompareAndSwap(int32(Starting), int32(Serving)) {
-		return false
-	}
-	close(n.serving)
-	return true
-}
+func (n *Node) Ready() <-chan struct{} { return n.incarnation.serving }
 
 // Bundle returns the number of the bundle in force; 0 for none.
 func (n *Node) Bundle() int {
-	plan := n.plan.Load()
+	plan := n.incarnation.plan.Load()
 	if plan == nil {
 		return 0
 	}
@@ -250,7 +194,7 @@
 	n.startActors(ctx)
 	defer n.stopActors()
 	n.serve()
-	n.log.Info().Str("incarnation", n.incarnation).Str("callers", n.CallerAddress()).
+	n.log.Info().Str("incarnation", n.incarnation.id).Str("callers", n.CallerAddress()).
 		Str("peers", n.PeerAddress()).Str("admin", n.AdminAddress()).Msg("node: started")
 	<-ctx.Done()
 	err := n.stop()
@@ -279,7 +223,7 @@
 
 // stop carries out a planned stop.
 func (n *Node) stop() error {
-	n.phase.Store(int32(Leaving))
+	n.incarnation.leave()
 	n.log.Info().Dur("announce", n.cfg.Announce()).Msg("stop: leaving, new work is refused")
 	n.system.Root.Send(n.members, tellPeers{})
 	limit := time.NewTimer(n.cfg.StopLimit())
@@ -312,8 +256,8 @@
 			case n.busy() > 0:
 				quiet = time.Time{}
 			case quiet.IsZero():
-				quiet = n.now()
-			case told && n.now().Sub(quiet) >= drainQuiet:
+				quiet = n.incarnation.now()
+			case told && n.incarnation.now().Sub(quiet) >= drainQuiet:
 				return nil
 			}
 		}
@@ -347,7 +291,7 @@
 	g := n.gate.state()
 	running, spent := n.tickets.counts()
 	dump := message.StateDump{
-		Node: n.PeerAddress(), Incarnation: n.incarnation, DataCentre: n.cfg.DataCentre,
+		Node: n.PeerAddress(), Incarnation: n.incarnation.id, DataCentre: n.cfg.DataCentre,
 		Phase: message.StateDumpPhase(n.Phase().String()), InFlight: g.inFlight, Held: g.held,
 		ControlBytes: int(n.control.Load()), Targets: g.targets, Organisations: g.organisations,
 		Tickets: message.TicketState{Running: running, Spent: spent},
@@ -365,7 +309,7 @@
 	if b, ok := reply.(bundleState); ok && b.state.InForce() != nil {
 		dump.Bundle = b.state.InForce().Number()
 		dump.Digest = b.state.InForce().Digest()
-		dump.BundleAgeMs = int(n.now().Sub(b.state.Confirmed()).Milliseconds())
+		dump.BundleAgeMs = int(n.incarnation.now().Sub(b.state.Confirmed()).Milliseconds())
 	}
 }
 
@@ -382,7 +326,7 @@
 	for _, p := range view.view.Peers() {
 		s := message.PeerState{Address: p.Address, Incarnation: p.Incarnation, Bundle: p.Bundle, Leaving: p.Leaving, AgeMs: -1}
 		if !p.Heard.IsZero() {
-			s.AgeMs = int(n.now().Sub(p.Heard).Milliseconds())
+			s.AgeMs = int(n.incarnation.now().Sub(p.Heard).Milliseconds())
 		}
 		states = append(states, s)
 	}
@@ -394,14 +338,3 @@
 func (n *Node) ask(pid *actor.PID, msg any) (any, error) {
 	return n.system.Root.RequestFuture(pid, msg, askTimeout).Result()
 }
-
-// governing returns the plan that governs new work, or refuses it.
-func (n *Node) governing() (*bundle.Plan, error) {
-	switch n.Phase() {
-	case Starting:
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "the node has no bundle in force yet").WithRetryAfter(time.Second)
-	case Leaving:
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the node is leaving").WithRetryAfter(minimumRetry)
-	}
-	return n.plan.Load(), nil
-}
--- a/internal/native/node/runner.go
+++ b/internal/native/node/runner.go
@@ -78,7 +78,7 @@
 }
 
 func (r *run) loop(ctx context.Context) (*result, error) {
-	expired := time.NewTimer(r.job.deadline.Sub(r.node.now()))
+	expired := time.NewTimer(r.job.deadline.Sub(r.node.incarnation.now()))
 	defer expired.Stop()
 	r.step(ctx, request.Begin{})
 	for !r.state.Finished() {
@@ -99,7 +99,7 @@
 
 func (r *run) step(ctx context.Context, ev request.Event) {
 	var effects []request.Effect
-	r.state, effects = request.Step(r.state, r.node.now(), ev)
+	r.state, effects = request.Step(r.state, r.node.incarnation.now(), ev)
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case request.Run:
@@ -172,7 +172,7 @@
 		r.send(ctx, request.Broke{Stage: e.Stage, Attempt: e.Attempt, Err: verdict.From(err)})
 		return
 	}
-	start := r.node.now()
+	start := r.node.incarnation.now()
 	call := r.call(e, grant)
 	var ev request.Event
 	if grant.Pool.Kind == bundle.KindEngine {
@@ -180,7 +180,7 @@
 	} else {
 		ev = r.callStage(ctx, e, grant, call, needs)
 	}
-	took := r.node.now().Sub(start)
+	took := r.node.incarnation.now().Sub(start)
 	switch done := ev.(type) {
 	case request.Answered:
 		done.Took = took
@@ -241,7 +241,7 @@
 		Identity: fmt.Sprintf("%s-%d-%d", r.job.id, e.Stage, e.Attempt),
 		Deadline: r.job.deadline,
 		Once:     !spec.Repeatable,
-		Permit:   r.node.checkAwake,
+		Permit:   r.node.pause.check,
 	}
 	if spec.Repeatable && e.Attempt < spec.AttemptLimit() {
 		call.Patience = grant.Patience
--- a/internal/native/node/sources.go
+++ b/internal/native/node/sources.go
@@ -121,7 +121,7 @@
 			n.log.Warn().Err(err).Str("peer", word.Node).Msg("bundle: not taken from peer")
 		}
 	}
-	n.pulse.refreshed()
+	n.pause.refreshed()
 	n.system.Root.Send(n.members, heard{word})
 }
 
@@ -239,7 +239,7 @@
 	if err != nil {
 		return "", err
 	}
-	n.pulse.refreshed()
+	n.pause.refreshed()
 	if next != tag {
 		if err := n.offer("configuration service", signed); err != nil {
 			n.log.Error().Err(err).Msg("bundle: refused, the one in force stays")
