--- a/internal/native/node/callers.go
+++ b/internal/native/node/callers.go
@@ -140,7 +140,7 @@
 	}
 	j.input = req.Input
 	j.maxTokens = req.MaxTokens
-	out.form = nativeForm{id: out.id, stream: req.Stream, bundle: plan.Number()}
+	out.form = nativeForm{stream: req.Stream, bundle: plan.Number()}
 	return j, nil
 }
 
--- a/internal/native/node/forward.go
+++ b/internal/native/node/forward.go
@@ -12,7 +12,7 @@
 
 // passedHeaders go from the home's answer to the caller.
 var passedHeaders = []string{
-	"Content-Type", "Content-Length", "Retry-After", "X-Should-Retry", wire.HeaderVerdict, wire.HeaderBundle,
+	"Content-Type", "Content-Length", "Retry-After", headerShouldRetry, wire.HeaderVerdict, wire.HeaderBundle,
 }
 
 // forward takes a call to the home of its ticket and the answer back. When the
--- a/internal/native/node/node.go
+++ b/internal/native/node/node.go
@@ -26,9 +26,7 @@
 
 const (
 	// bookCapacity bounds the spent tickets that have not expired.
-	bookCapacity = 100_000
-	// readTimeout bounds the time a caller takes to send a request.
-	readTimeout       = 30 * time.Second
+	bookCapacity      = 100_000
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 	// drainPoll is how often a stopping node looks for work in flight.
--- a/internal/native/node/reply.go
+++ b/internal/native/node/reply.go
@@ -15,41 +15,11 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// maxRecorded bounds the answer that a ticket's home remembers.
+// maxRecorded bounds the answer that a ticket's home remembers, in bytes; not
+// measured. A longer one is not kept, and a later use of the ticket learns only
+// its verdict.
 const maxRecorded = 64 << 10
 
-// form is the shape in which a caller wants its answer.
-type form interface{ isForm() }
-
-// nativeForm is the shape of the pipeline endpoint.
-type nativeForm struct {
-	id     string
-	stream bool
-	bundle int
-}
-
-// chatForm is the shape of the OpenAI-compatible endpoint.
-type chatForm struct {
-	id      string
-	model   string
-	stream  bool
-	usage   bool
-	created int64
-}
-
-func (nativeForm) isForm() {}
-func (chatForm) isForm()   {}
-
-func streams(f form) bool {
-	switch f := f.(type) {
-	case nativeForm:
-		return f.stream
-	case chatForm:
-		return f.stream
-	}
-	return false
-}
-
 // reply writes one answer to one caller: the whole answer, or an explicit error.
 type reply struct {
 	w    http.ResponseWriter
@@ -58,15 +28,16 @@
 	// begun is true once part of a stream was written.
 	begun  bool
 	output strings.Builder
-	// record keeps the answer for a caller that asks again with its ticket.
-	record  bool
-	verdict verdict.Verdict
-	status  int
-	kept    []byte
+	// record is true when the answer is kept for a caller that asks again with its
+	// ticket. The run then goes on also when the caller is gone.
+	record   bool
+	recorded []byte
+	verdict  verdict.Verdict
+	status   int
 	// undecided is true for a call with a ticket until the book of the ticket's
-	// home has spoken; no refusal may say "not run" before.
+	// home has answered; no refusal may say "not run" before.
 	undecided bool
-	// gone is true when the caller cannot be written to any more.
+	// gone is true when a recorded answer could not be written to its caller.
 	gone bool
 }
 
@@ -86,6 +57,7 @@
 	return err
 }
 
+// streamText writes the next piece of a stream.
 func (p *reply) streamText(text string) error {
 	if p.gone {
 		return nil
@@ -126,6 +98,7 @@
 	return p.data(string(raw))
 }
 
+// data writes one server-sent event whose data is text.
 func (p *reply) data(text string) error {
 	var m sse.Message
 	m.AppendData(text)
@@ -150,7 +123,7 @@
 func (p *reply) finishNative(f nativeForm, res *result) {
 	answer := message.PipelineAnswer{Request: p.id, Output: p.output.String(), Finish: res.finish, Bundle: f.bundle, Stages: res.stages}
 	p.w.Header().Set(wire.HeaderBundle, strconv.Itoa(f.bundle))
-	p.keep(answer)
+	p.remember(answer)
 	if p.gone {
 		return
 	}
@@ -158,9 +131,8 @@
 		writeJSON(p.w, http.StatusOK, answer)
 		return
 	}
-	answer.Output = ""
-	_ = p.begin()
-	_ = p.event(message.StreamEvent{Request: p.id, Answer: &answer})
+	answer.Output = "" // the stream has carried it
+	p.end(message.StreamEvent{Request: p.id, Answer: &answer})
 }
 
 func (p *reply) finishChat(f chatForm, res *result) {
@@ -173,34 +145,18 @@
 		writeJSON(p.w, http.StatusOK, f.completion(p.output.String(), finish, usage))
 		return
 	}
-	_ = p.begin()
-	_ = p.event(f.chunk(openai.Delta{}, &finish, nil))
+	p.end(f.chunk(openai.Delta{}, &finish, nil))
 	if f.usage {
-		_ = p.event(f.chunk(openai.Delta{}, nil, &usage))
+		p.end(f.chunk(openai.Delta{}, nil, &usage))
 	}
-	_ = p.data(openai.DoneMark)
+	_ = p.data(openai.DoneMark) // fails only when the caller is gone, as in end
 }
 
-func (f chatForm) completion(text, finish string, usage openai.Usage) openai.Completion {
-	return openai.Completion{
-		ID: openai.CompletionID(f.id), Object: openai.ObjectCompletion, Created: f.created, Model: f.model,
-		Choices: []openai.Choice{{
-			Message:      openai.Message{Role: openai.RoleAssistant, Content: openai.Content(text)},
-			FinishReason: finish,
-		}},
-		Usage: usage,
-	}
-}
-
-func (f chatForm) chunk(delta openai.Delta, finish *string, usage *openai.Usage) openai.Chunk {
-	c := openai.Chunk{
-		ID: openai.CompletionID(f.id), Object: openai.ObjectChunk, Created: f.created, Model: f.model,
-		Choices: []openai.ChunkChoice{}, Usage: usage,
-	}
-	if usage == nil {
-		c.Choices = append(c.Choices, openai.ChunkChoice{Delta: delta, FinishReason: finish})
-	}
-	return c
+// end writes one of the last events of a stream. An error means that the caller
+// is gone: nobody is left to answer, and the run has ended.
+func (p *reply) end(payload any) {
+	_ = p.begin()
+	_ = p.event(payload)
 }
 
 // refuse writes an explicit error, in the middle of a stream as its last event.
@@ -212,7 +168,7 @@
 	p.verdict = e.Verdict()
 	p.status = statusOf(e.Reason())
 	refusal := refusalOf(p.id, e)
-	p.keep(refusal)
+	p.remember(refusal)
 	switch {
 	case p.gone:
 	case p.begun:
@@ -223,12 +179,13 @@
 	}
 }
 
+// refuseStream ends a stream that has begun with an error.
 func (p *reply) refuseStream(e *verdict.Error, refusal message.Refusal) {
 	switch p.form.(type) {
 	case nativeForm:
-		_ = p.event(message.StreamEvent{Request: p.id, Refusal: &refusal})
+		p.end(message.StreamEvent{Request: p.id, Refusal: &refusal})
 	case chatForm:
-		_ = p.event(p.errorBody(e, refusal))
+		p.end(p.errorBody(e, refusal))
 	}
 }
 
@@ -247,26 +204,28 @@
 	}}
 }
 
-// keep remembers the answer for the ticket's book.
-func (p *reply) keep(answer any) {
+// remember keeps the answer for the ticket's book.
+func (p *reply) remember(answer any) {
 	if !p.record {
 		return
 	}
+	// Both types of answer always encode.
 	raw, err := json.Marshal(answer)
 	if err == nil && len(raw) <= maxRecorded {
-		p.kept = raw
+		p.recorded = raw
 	}
 }
 
+// outcome is what the ticket's book keeps of the answer.
 func (p *reply) outcome() ticket.Outcome {
-	return ticket.Outcome{Verdict: p.verdict, Answer: p.kept, Status: p.status}
+	return ticket.Outcome{Verdict: p.verdict, Answer: p.recorded, Status: p.status}
 }
 
-// replay answers with what the ticket's one run ended with, never as a stream.
+// replay answers with the outcome of the ticket's one run, never as a stream.
 func (p *reply) replay(out ticket.Outcome) {
 	if out.Verdict != verdict.Ran || out.Status != http.StatusOK {
 		p.w.Header().Set(wire.HeaderVerdict, out.Verdict.String())
-		p.w.Header().Set("X-Should-Retry", "false")
+		p.w.Header().Set(headerShouldRetry, "false")
 	}
 	writeRaw(p.w, out.Status, out.Answer)
 }
--- a/internal/native/node/serve.go
+++ b/internal/native/node/serve.go
@@ -3,22 +3,14 @@
 import (
 	"context"
 	"crypto/subtle"
-	"encoding/json"
-	"io"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
-	"time"
 
 	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/internal/wire"
-	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
 const (
-	minimumRetry = 200 * time.Millisecond
-	bearerPrefix = "Bearer "
 	// maxIdentity bounds the identity that a caller may give its request.
 	maxIdentity = 128
 )
@@ -82,14 +74,6 @@
 	})
 }
 
-func bearerOf(r *http.Request) string {
-	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
-	if !ok {
-		return ""
-	}
-	return key
-}
-
 // serveExchange takes in a peer's word and answers with this node's.
 func (n *Node) serveExchange(w http.ResponseWriter, r *http.Request) {
 	var word message.Exchange
@@ -123,99 +107,3 @@
 	}
 	writeJSON(w, http.StatusOK, b.history.Transfer(r.URL.Query().Get("from")))
 }
-
-func readJSON(w http.ResponseWriter, r *http.Request, out any) error {
-	raw, err := readBody(w, r)
-	if err != nil {
-		return err
-	}
-	return json.Unmarshal(raw, out)
-}
-
-// readBody reads a body that is bounded in size and time. The error is a
-// *verdict.Error. The deadline is lifted afterwards: net/http ends the context
-// of a request whose read deadline passes while it is served, and would cut
-// long streams.
-func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(readTimeout))
-	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxRequestBytes))
-	if err == nil {
-		return raw, nil
-	}
-	if _, tooLarge := err.(*http.MaxBytesError); tooLarge {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonTooLarge, "the body has more than %d bytes", wire.MaxRequestBytes)
-	}
-	return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the body did not come whole").WithCause(err)
-}
-
-func writeJSON(w http.ResponseWriter, status int, v any) {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		http.Error(w, "internal error", http.StatusInternalServerError)
-		return
-	}
-	writeRaw(w, status, raw)
-}
-
-func writeRaw(w http.ResponseWriter, status int, raw []byte) {
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-	w.WriteHeader(status)
-	_, _ = w.Write(raw)
-}
-
-// refusalOf is an error as callers see it.
-func refusalOf(id string, e *verdict.Error) message.Refusal {
-	return message.Refusal{
-		Request: id, Verdict: message.RefusalVerdict(e.Verdict().String()), Reason: string(e.Reason()), Text: e.Text(),
-		SafeToRetry: e.SafeToRetry(), RetryAfterMs: int(e.RetryAfter().Milliseconds()), Stage: e.Stage(),
-	}
-}
-
-// statusOf maps a reason to an HTTP status.
-func statusOf(reason verdict.Reason) int {
-	switch reason {
-	case verdict.ReasonBadRequest:
-		return http.StatusBadRequest
-	case verdict.ReasonUnauthorised:
-		return http.StatusUnauthorized
-	case verdict.ReasonNotFound:
-		return http.StatusNotFound
-	case verdict.ReasonTooLarge:
-		return http.StatusRequestEntityTooLarge
-	case verdict.ReasonTicketNeeded:
-		return http.StatusPreconditionRequired
-	case verdict.ReasonTicketSpent, verdict.ReasonTicketInvalid:
-		return http.StatusConflict
-	case verdict.ReasonTicketExpired, verdict.ReasonHomeGone:
-		return http.StatusGone
-	case verdict.ReasonLimit:
-		return http.StatusTooManyRequests
-	case verdict.ReasonOverload, verdict.ReasonNotReady, verdict.ReasonLeaving, verdict.ReasonNoTarget:
-		return http.StatusServiceUnavailable
-	case verdict.ReasonDeadline:
-		return http.StatusGatewayTimeout
-	case verdict.ReasonInternal:
-		return http.StatusInternalServerError
-	}
-	return http.StatusBadGateway
-}
-
-// refusalHeaders sets what every refusal carries.
-func refusalHeaders(h http.Header, e *verdict.Error) {
-	h.Set(wire.HeaderVerdict, e.Verdict().String())
-	if after := e.RetryAfter(); after > 0 {
-		seconds := int((after + time.Second - 1) / time.Second)
-		h.Set("Retry-After", strconv.Itoa(seconds))
-	}
-	// The official OpenAI clients re-send failed calls by themselves unless this
-	// header forbids it.
-	if !e.SafeToRetry() {
-		h.Set("X-Should-Retry", "false")
-	}
-	if e.Reason() == verdict.ReasonLeaving {
-		h.Set("Connection", "close")
-	}
-}
