--- /dev/null
+++ b/internal/native/node/actorref.go
@@ -0,0 +1,36 @@
+package node
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/asynkron/protoactor-go/actor"
+)
+
+// askTimeout bounds the wait for an actor's answer; not measured. Actors do no
+// input or output, so only an overloaded or stopping process is this slow.
+const askTimeout = 2 * time.Second
+
+// actorRef is the address of an actor. It is empty until spawn.
+type actorRef struct {
+	root *actor.RootContext
+	pid  *actor.PID
+}
+
+func (r *actorRef) spawn(system *actor.ActorSystem, producer actor.Producer) {
+	r.root = system.Root
+	r.pid = r.root.Spawn(actor.PropsFromProducer(producer))
+}
+
+// send puts a message into the actor's mailbox.
+func (r *actorRef) send(msg any) { r.root.Send(r.pid, msg) }
+
+// ask sends a message and waits for the answer.
+func (r *actorRef) ask(msg any) (any, error) {
+	return r.root.RequestFuture(r.pid, msg, askTimeout).Result()
+}
+
+// quietLogger keeps the actor library's own lines out of the node's log.
+func quietLogger(*actor.ActorSystem) *slog.Logger {
+	return slog.New(slog.DiscardHandler)
+}
--- a/internal/native/node/control.go
+++ b/internal/native/node/control.go
@@ -2,53 +2,106 @@
 
 import (
 	"context"
-	"net"
-	"sync/atomic"
+	"math/rand/v2"
+	"time"
+
+	"github.com/asynkron/protoactor-go/actor"
+	"github.com/rs/zerolog"
+
+	"github.com/honeydyke/honeydyke/internal/native/membership"
+	"github.com/honeydyke/honeydyke/internal/native/rollout"
 )
 
-// countedConn counts the bytes of control traffic.
-type countedConn struct {
-	net.Conn
+const (
+	// gossipInterval is how often a node exchanges updates with a peer. The bytes
+	// that it costs are in docs/CAPACITY.md.
+	gossipInterval = time.Second
+	// reportInterval is how often one load report is read; admission names the
+	// target whose report is worth most. Commit 071f13f set it, so that control
+	// traffic stays under 4,096 bytes a second a node.
+	reportInterval = 250 * time.Millisecond
+)
 
-	bytes *atomic.Int64
-}
+// control owns what changes with updates and time, and not with requests: the
+// actors of bundles, members and load reports, and the goroutines that feed them.
+type control struct {
+	incarnation *incarnation
+	gate        *gate
+	pause       *pauseDetector
+	gossip      *gossip
+	service     *serviceWatcher
+	list        *instanceList
+	reports     *reportReader
+	start       startRule
+	// peers are the addresses of the settings.
+	peers []string
+	log   zerolog.Logger
 
-// Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.bytes.Add(int64(n))
-	return n, err
+	system  *actor.ActorSystem
+	bundles *bundles
+	members *members
+	loads   *actorRef
 }
 
-// Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.bytes.Add(int64(n))
-	return n, err
+// run starts the actors and what feeds them. ctx ends the feeding, close the
+// actors.
+func (c *control) run(ctx context.Context) {
+	c.spawn()
+	c.pause.beat()
+	go every(ctx, pauseBeat, c.beat)
+	go every(ctx, gossipInterval, func() { c.members.send(timePassed{}) })
+	go every(ctx, reportInterval, func() { c.loads.send(timePassed{}) })
+	go c.service.follow(ctx)
+	go c.list.follow(ctx)
 }
 
-func countedDial(bytes *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
-	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		if err != nil {
-			return nil, err
+// spawn starts the actors. That of the members comes after that of the bundles,
+// which it asks at once.
+func (c *control) spawn() {
+	c.system = actor.NewActorSystem(actor.WithLoggerFactory(quietLogger))
+	c.bundles.spawn(c.system, func() actor.Actor {
+		return &bundleActor{
+			incarnation: c.incarnation, gate: c.gate, members: c.members, log: c.log,
+			state: rollout.New(c.gossip.dataCentre), start: c.start,
 		}
-		return &countedConn{Conn: conn, bytes: bytes}, nil
-	}
+	})
+	c.members.spawn(c.system, func() actor.Actor {
+		seed := uint64(c.incarnation.started.UnixNano())
+		view := membership.New(c.gossip.address, c.gossip.dataCentre).WithAddresses(c.incarnation.now(), c.peers)
+		return &memberActor{
+			incarnation: c.incarnation, gate: c.gate, gossip: c.gossip, bundles: c.bundles, log: c.log,
+			view: view, rng: rand.New(rand.NewPCG(seed, seed)),
+		}
+	})
+	c.loads.spawn(c.system, func() actor.Actor {
+		return &loadActor{gate: c.gate, reports: c.reports, self: c.loads}
+	})
 }
 
-// countedListener counts the bytes of the connections that it accepts.
-type countedListener struct {
-	net.Listener
+// close stops the actors.
+func (c *control) close() { c.system.Shutdown() }
 
-	bytes *atomic.Int64
+// beat records that the process runs. After a pause it asks peers and targets for
+// updates at once.
+func (c *control) beat() {
+	if c.pause.beat() {
+		c.log.Warn().Msg("pulse: the process was paused; asking for news before acting")
+		c.members.send(exchangeNow{})
+		c.loads.send(timePassed{})
+	}
+	c.bundles.send(timePassed{})
 }
 
-// Accept implements net.Listener.
-func (l *countedListener) Accept() (net.Conn, error) {
-	conn, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
+// every calls f at each interval until ctx ends.
+func every(ctx context.Context, interval time.Duration, f func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			f()
+		case <-ctx.Done():
+			return
+		}
 	}
-	return &countedConn{Conn: conn, bytes: l.bytes}, nil
 }
--- a/internal/native/node/forward.go
+++ b/internal/native/node/forward.go
@@ -4,43 +4,59 @@
 	"io"
 	"net/http"
 
+	"github.com/rs/zerolog"
+
 	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/internal/wire"
-	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// passedHeaders go from the home's answer to the caller.
-var passedHeaders = []string{
+// forwardBuffer is how much of an answer is copied at a time, in bytes; not
+// measured.
+const forwardBuffer = 32 << 10
+
+// forwardedHeaders go from the home's answer to the caller.
+var forwardedHeaders = []string{
 	"Content-Type", "Content-Length", "Retry-After", headerShouldRetry, wire.HeaderVerdict, wire.HeaderBundle,
 }
 
-// forward takes a call to the home of its ticket and the answer back. When the
+// forwarder forwards calls to the homes of their tickets.
+type forwarder struct {
+	client *peerClient
+	log    zerolog.Logger
+}
+
+// forward sends a call to the home of its ticket and the answer back. When the
 // home gives none, nobody can say whether the ticket was spent.
-func (n *Node) forward(r *http.Request, out *reply, tk ticket.Ticket, method, path string, body []byte) {
-	req, err := n.peers.peerRequest(method, tk.Home, path, body)
+func (f *forwarder) forward(r *http.Request, out *reply, tk ticket.Ticket, method, path string, body []byte) {
+	resp, err := f.send(r, out.id, tk, method, path, body)
 	if err != nil {
+		f.log.Info().Str("request", out.id).Str("peer", tk.Home).Err(err).Msg("request: the home of the ticket did not answer")
 		out.refuse(homeSilent().WithCause(err))
 		return
 	}
-	req.GetBody = nil // nothing to re-send
-	req.Header.Set(wire.HeaderIdentity, out.id)
+	defer func() { _ = resp.Body.Close() }() // the answer has been read or given up
+	if resp.Header.Get(wire.HeaderIdentity) != out.id {
+		f.log.Warn().Str("request", out.id).Str("peer", tk.Home).Msg("request: the home of the ticket answered another request")
+		out.refuse(homeSilent())
+		return
+	}
+	copyAnswer(out.w, resp)
+}
+
+func (f *forwarder) send(r *http.Request, id string, tk ticket.Ticket, method, path string, body []byte) (*http.Response, error) {
+	req, err := f.client.request(method, tk.Home, path, body)
+	if err != nil {
+		return nil, err
+	}
+	req.GetBody = nil // net/http must not send the body again by itself
+	req.Header.Set(wire.HeaderIdentity, id)
 	req.Header.Set(wire.HeaderOrganisation, tk.Organisation)
 	req.Header.Set(wire.HeaderTicket, r.Header.Get(wire.HeaderTicket))
 	if d := r.Header.Get(wire.HeaderDeadline); d != "" {
 		req.Header.Set(wire.HeaderDeadline, d)
 	}
-	resp, err := n.peers.peers.Do(req.WithContext(r.Context()))
-	if err != nil {
-		out.refuse(homeSilent().WithCause(err))
-		return
-	}
-	defer func() { _ = resp.Body.Close() }()
-	if resp.Header.Get(wire.HeaderIdentity) != out.id {
-		out.refuse(homeSilent())
-		return
-	}
-	passAnswer(out.w, resp)
+	return f.client.http.Do(req.WithContext(r.Context()))
 }
 
 func homeSilent() *verdict.Error {
@@ -48,24 +64,24 @@
 		WithRetryAfter(minimumRetry).WithUnsafeRetry()
 }
 
-// passAnswer copies an answer as it comes. One that breaks off is broken off
+// copyAnswer copies an answer as it arrives. One that breaks off is broken off
 // here as well, so that the caller cannot take it for whole.
-func passAnswer(w http.ResponseWriter, resp *http.Response) {
-	for _, name := range passedHeaders {
+func copyAnswer(w http.ResponseWriter, resp *http.Response) {
+	for _, name := range forwardedHeaders {
 		if v := resp.Header.Get(name); v != "" {
 			w.Header().Set(name, v)
 		}
 	}
 	w.WriteHeader(resp.StatusCode)
 	rc := http.NewResponseController(w)
-	buf := make([]byte, 32<<10)
+	buf := make([]byte, forwardBuffer)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			if _, werr := w.Write(buf[:n]); werr != nil {
-				return
+				return // the caller is gone; the home goes on for the ticket
 			}
-			_ = rc.Flush()
+			_ = rc.Flush() // fails only when the caller is gone, which the next Write finds
 		}
 		if err == io.EOF {
 			return
@@ -75,53 +91,3 @@
 		}
 	}
 }
-
-// serveForwarded runs a call that another node brought to the ticket's home.
-func (n *Node) serveForwarded(w http.ResponseWriter, r *http.Request) {
-	n.counted(func(w http.ResponseWriter, r *http.Request, out *reply) {
-		out.undecided = true
-		org, tk, err := n.forwarded(r, r.Header.Get(wire.HeaderTicket))
-		if err != nil {
-			out.refuse(err)
-			return
-		}
-		body, err := readBody(w, r)
-		if err != nil {
-			out.refuse(err)
-			return
-		}
-		n.spend(r, out, org, tk, body)
-	})(w, r)
-}
-
-// serveForwardedLook says what became of a ticket whose home this is.
-func (n *Node) serveForwardedLook(w http.ResponseWriter, r *http.Request) {
-	n.counted(func(_ http.ResponseWriter, r *http.Request, out *reply) {
-		token := r.PathValue("ticket")
-		out.undecided = true
-		_, tk, err := n.forwarded(r, token)
-		if err != nil {
-			out.refuse(err)
-			return
-		}
-		n.lookAt(out, token, tk)
-	})(w, r)
-}
-
-// forwarded checks that this incarnation is the ticket's home. A leaving home
-// still answers for its tickets, and refuses new runs as not run.
-func (n *Node) forwarded(r *http.Request, token string) (*bundle.Organisation, ticket.Ticket, error) {
-	tk, err := n.tickets.open(token, r.Header.Get(wire.HeaderOrganisation))
-	if err != nil {
-		return nil, tk, err
-	}
-	if !n.tickets.isHome(tk) {
-		return nil, tk, verdict.New(verdict.MayHaveRun, verdict.ReasonHomeGone, "the incarnation that minted the ticket is gone").
-			WithUnsafeRetry()
-	}
-	plan := n.incarnation.plan.Load()
-	if plan == nil || plan.Organisation(tk.Organisation) == nil {
-		return nil, tk, verdict.New(verdict.MayHaveRun, verdict.ReasonUnauthorised, "the organisation is not in the bundle in force")
-	}
-	return plan.Organisation(tk.Organisation), tk, nil
-}
--- a/internal/native/node/metrics.go
+++ b/internal/native/node/metrics.go
@@ -8,11 +8,17 @@
 
 	"github.com/uber-go/tally/v4"
 
+	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/internal/telemetry"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-const metricsInterval = time.Second
+const (
+	// metricsInterval is how often counts reach the handler; not measured.
+	metricsInterval = time.Second
+	// thousandths is how many of them the counter of costs has in 1.
+	thousandths = 1000
+)
 
 // metrics counts what the node does, in the exposition format of Prometheus.
 type metrics struct {
@@ -28,7 +34,10 @@
 	return &metrics{scope: scope, handler: handler}
 }
 
-// answered counts the end of a request.
+// inFlight returns how many callers' requests have no final answer yet.
+func (m *metrics) inFlight() int { return int(m.calls.Load()) }
+
+// answered counts the end of a request; err is nil for a whole answer.
 func (m *metrics) answered(pipeline string, err *verdict.Error, took time.Duration) {
 	tags := map[string]string{"pipeline": pipeline, "end": "whole"}
 	if err != nil {
@@ -38,16 +47,21 @@
 	m.scope.Tagged(tags).Timer("request_seconds").Record(took)
 }
 
-// stage counts the end of a stage of a whole answer.
-func (m *metrics) stage(pipeline, stage string, cost float64, attempts int) {
-	s := m.scope.Tagged(map[string]string{"pipeline": pipeline, "stage": stage})
-	s.Counter("stage_attempts").Inc(int64(attempts))
-	s.Counter("stage_cost_thousandths").Inc(int64(cost * 1000))
+// stages counts the stages of a whole answer.
+func (m *metrics) stages(pipeline string, stages []message.StageUse) {
+	for _, use := range stages {
+		s := m.scope.Tagged(map[string]string{"pipeline": pipeline, "stage": use.Stage})
+		s.Counter("stage_attempts").Inc(int64(use.Attempts))
+		s.Counter("stage_cost_thousandths").Inc(int64(use.Cost * thousandths))
+	}
 }
 
-// countBroken counts an attempt that failed.
-func (n *Node) countBroken(err *verdict.Error) {
-	n.metrics.scope.Tagged(map[string]string{
+// broken counts an attempt that failed.
+func (m *metrics) broken(err *verdict.Error) {
+	m.scope.Tagged(map[string]string{
 		"reason": string(err.Reason()), "verdict": err.Verdict().String(),
 	}).Counter("attempts_broken").Inc(1)
 }
+
+// serviceCall counts a read of the configuration service.
+func (m *metrics) serviceCall() { m.scope.Counter("service_calls").Inc(1) }
--- /dev/null
+++ b/internal/native/node/reportreader.go
@@ -0,0 +1,60 @@
+package node
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/internal/native/admission"
+	"github.com/honeydyke/honeydyke/internal/wire"
+	"github.com/honeydyke/honeydyke/pkg/bundle"
+)
+
+// reportTimeout bounds the read of a load report; not measured.
+const reportTimeout = time.Second
+
+// reportReader reads load reports of targets and passes them to admission.
+type reportReader struct {
+	// calls ends when the node cuts its calls.
+	calls   context.Context
+	client  *http.Client
+	scheme  string
+	gate    *gate
+	members *members
+	log     zerolog.Logger
+}
+
+// read reads one target's load report. A target that says that it is leaving is
+// marked at all nodes.
+func (r *reportReader) read(t bundle.Target) {
+	ctx, cancel := context.WithTimeout(r.calls, reportTimeout)
+	defer cancel()
+	report, err := r.fetch(ctx, t)
+	if err != nil {
+		r.log.Debug().Err(err).Str("target", t.Name).Msg("loads: no report")
+		return
+	}
+	if report.Target != t.Name {
+		r.log.Warn().Str("target", t.Name).Str("answered", report.Target).Msg("loads: another target answered")
+		return
+	}
+	r.gate.apply(admission.Report{
+		Target: t.Name, Incarnation: report.Incarnation, Running: report.Running, Waiting: report.Waiting, Leaving: report.Leaving,
+	})
+	if report.Leaving {
+		r.members.send(marked{[]message.LeavingMark{{Target: t.Name, Incarnation: report.Incarnation}}})
+	}
+}
+
+func (r *reportReader) fetch(ctx context.Context, t bundle.Target) (message.LoadReport, error) {
+	var report message.LoadReport
+	req, err := http.NewRequest(http.MethodGet, r.scheme+"://"+t.Address+wire.PathLoad, nil)
+	if err != nil {
+		return report, err
+	}
+	_, err = readAnswer(ctx, r.client, req, wire.MaxHeaderBytes, &report)
+	return report, err
+}
--- a/internal/native/node/tickets.go
+++ b/internal/native/node/tickets.go
@@ -8,16 +8,22 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// ticketLife is how long a ticket can be spent, and how long its outcome is
-// known at its home.
-const ticketLife = 10 * time.Minute
+// See docs/decisions/0004-at-most-once.md for both figures; neither was measured.
+const (
+	// ticketLife is how long a ticket can be spent, and how long its outcome is
+	// known at its home.
+	ticketLife = 10 * time.Minute
+	// bookCapacity bounds the spent tickets that have not expired.
+	bookCapacity = 100_000
+)
 
-// tickets is the shell around the book of this incarnation.
+// tickets mints and opens tickets, and guards the book of this incarnation with
+// a lock.
 type tickets struct {
-	sealer *ticket.Sealer
-	age    func() time.Duration
-	home   string
-	incarn string
+	sealer      *ticket.Sealer
+	age         func() time.Duration
+	home        string
+	incarnation string
 
 	mu   sync.Mutex
 	book *ticket.Book
@@ -29,13 +35,13 @@
 		return nil, err
 	}
 	book := ticket.NewBook(home, incarnation, bookCapacity)
-	return &tickets{sealer: sealer, age: age, home: home, incarn: incarnation, book: book}, nil
+	return &tickets{sealer: sealer, age: age, home: home, incarnation: incarnation, book: book}, nil
 }
 
 // mint returns the token of a new ticket.
 func (t *tickets) mint(organisation, pipeline, bodyDigest string) (string, error) {
 	return t.sealer.Seal(ticket.Ticket{
-		Home: t.home, Incarnation: t.incarn, Serial: ticket.NewSerial(),
+		Home: t.home, Incarnation: t.incarnation, Serial: ticket.NewSerial(),
 		Organisation: organisation, Pipeline: pipeline, BodyDigest: bodyDigest,
 		ExpiresMs: (t.age() + ticketLife).Milliseconds(),
 	})
@@ -52,28 +58,34 @@
 	return tk, nil
 }
 
+// isHome reports whether this incarnation minted the ticket. It needs no lock,
+// since the book's identity never changes.
 func (t *tickets) isHome(tk ticket.Ticket) bool {
-	return tk.Home == t.home && tk.Incarnation == t.incarn
+	return t.book.IsHome(tk)
 }
 
+// spend marks a ticket as running, once; see ticket.Book.Spend.
 func (t *tickets) spend(tk ticket.Ticket, bodyDigest string) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.book.Spend(t.age(), tk, bodyDigest)
 }
 
+// settle records how the ticket's one run ended.
 func (t *tickets) settle(tk ticket.Ticket, out ticket.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.book.Settle(tk, out)
 }
 
+// look returns the state of a ticket, and its outcome when it is spent.
 func (t *tickets) look(tk ticket.Ticket) (ticket.State, ticket.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.book.Look(t.age(), tk)
 }
 
+// counts returns how many tickets run and how many are spent.
 func (t *tickets) counts() (running, spent int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/native/node/tls.go
+++ b/internal/native/node/tls.go
@@ -17,6 +17,7 @@
 	toTargets *tls.Config
 }
 
+// newTLSConfigs fails when a certificate or key of the settings cannot be read.
 func newTLSConfigs(s *settings.TLS) (*tlsConfigs, error) {
 	c := &tlsConfigs{}
 	if s == nil {
@@ -37,6 +38,8 @@
 	return c, nil
 }
 
+// serve sets what the node's own certificate is for. Peers show theirs where the
+// settings name authorities for them.
 func (c *tlsConfigs) serve(s *settings.TLS) error {
 	cert, err := tls.X509KeyPair([]byte(s.Certificate), []byte(s.Key))
 	if err != nil {
@@ -59,6 +62,15 @@
 	return nil
 }
 
+// scheme returns the scheme of URLs that are called with cfg.
+func scheme(cfg *tls.Config) string {
+	if cfg == nil {
+		return "http"
+	}
+	return "https"
+}
+
+// poolOf returns the authorities of the PEM text at a key of the settings.
 func poolOf(pem, key string) (*x509.CertPool, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM([]byte(pem)) {
@@ -66,13 +78,3 @@
 	}
 	return pool, nil
 }
-
-// secure puts TLS around the listeners that have a configuration.
-func (l *listeners) secure(c *tlsConfigs) {
-	if c.callers != nil {
-		l.callers = tls.NewListener(l.callers, c.callers)
-	}
-	if c.peers != nil {
-		l.peers = tls.NewListener(l.peers, c.peers)
-	}
-}
