--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -320,7 +320,11 @@
 			c.fail(w.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
 		}
 	}
-	for _, running := range c.calls {
+	for _, id := range c.order {
+		running := c.calls[c.targets[id].call]
+		if running == nil {
+			continue
+		}
 		if !running.stuck && !now.Before(running.stuckAt) {
 			c.giveUp(now, running)
 		}
--- /dev/null
+++ b/internal/gateway/batching/oldcore_test.go
@@ -0,0 +1,704 @@
+package batching_test
+
+// The core as it was before it was parted along its rules, for the time of the
+// change.
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/backoff"
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+const (
+	// paceWeight is the weight of the newest call in a target's learnt pace.
+	paceWeight = 0.4
+	// paceHalfLife is how fast a target's pace is forgotten.
+	paceHalfLife = 4 * time.Second
+	// minPace and maxPace bound a learnt pace.
+	minPace = 0.3
+	maxPace = 20
+	// noRoomPause is how long a target that had no room is left alone.
+	noRoomPause = 80 * time.Millisecond
+	// roomShare is the part of a target's room that is planned with; results are
+	// only roughly as large as told.
+	roomShare = 0.95
+)
+
+// failureBackoff is how long a target that failed is left alone.
+var failureBackoff = backoff.Doubling{First: 150 * time.Millisecond, Max: 2 * time.Second}
+
+// held is a result that takes room.
+type held struct {
+	bytes int64
+	// begun is when the call that made it started.
+	begun   time.Time
+	expires time.Time
+}
+
+// target is what is known of one target.
+type target struct {
+	directory.Target
+	usable bool
+	// call is the call at work; 0 for none.
+	call batching.BatchID
+	// known says that the target's last call ended with its answer. Before, it may
+	// still be at work on a call that was given up, or that another node formed.
+	known bool
+	// free is when the call at work is expected to end.
+	free time.Time
+	// pace is how long calls take, compared with what the catalog says.
+	pace    float64
+	pacedAt time.Time
+	// failures counts calls that failed in a row.
+	failures    int
+	pausedUntil time.Time
+	results     map[string]held
+	heldBytes   int64
+	// reserved is the room of the call at work.
+	reserved int64
+}
+
+func newTarget(t directory.Target) *target {
+	return &target{Target: t, pace: 1, results: map[string]held{}}
+}
+
+// paceAt returns the pace, which goes back to 1 as it ages.
+func (t *target) paceAt(now time.Time) float64 {
+	age := now.Sub(t.pacedAt)
+	if t.pacedAt.IsZero() || age <= 0 {
+		return t.pace
+	}
+	keep := 1.0
+	for age > paceHalfLife {
+		keep /= 2
+		age -= paceHalfLife
+	}
+	keep *= 1 - 0.5*float64(age)/float64(paceHalfLife)
+	return 1 + (t.pace-1)*keep
+}
+
+func (t *target) learn(now time.Time, took, planned time.Duration) {
+	pace := min(max(float64(took)/float64(planned), minPace), maxPace)
+	t.pace = t.paceAt(now)*(1-paceWeight) + pace*paceWeight
+	t.pacedAt = now
+}
+
+// failed leaves the target alone for longer after each failure in a row.
+func (t *target) failed(now time.Time) {
+	t.pausedUntil = now.Add(failureBackoff.After(t.failures))
+	t.failures++
+	t.known = false
+}
+
+// idle says whether the target can take a call.
+func (t *target) idle(now time.Time) bool {
+	return t.usable && t.call == 0 && !now.Before(t.pausedUntil)
+}
+
+func (t *target) room(b *catalog.Batch) int64 {
+	return int64(roomShare*float64(b.MemoryBytes)) - t.heldBytes - t.reserved
+}
+
+func (t *target) hold(handle string, h held) {
+	t.results[handle] = h
+	t.heldBytes += h.bytes
+}
+
+func (t *target) release(handle string) {
+	h, known := t.results[handle]
+	if !known {
+		return
+	}
+	delete(t.results, handle)
+	t.heldBytes -= h.bytes
+}
+
+// expire forgets results that the target itself has let go.
+func (t *target) expire(now time.Time) {
+	for handle, h := range t.results {
+		if !now.Before(h.expires) {
+			t.release(handle)
+		}
+	}
+}
+
+// planned returns how long a call of n items should take by the catalog.
+func planned(b *catalog.Batch, n int) time.Duration {
+	return b.CallLatency + time.Duration(n)*b.PerItem
+}
+
+// expected returns how long a call of n items should take at this target.
+func (t *target) expected(now time.Time, b *catalog.Batch, n int) time.Duration {
+	return time.Duration(float64(planned(b, n)) * t.paceAt(now))
+}
+
+const (
+	// patienceFactor and patienceExtra say when a call counts as stuck.
+	patienceFactor = 2.0
+	patienceExtra  = 250 * time.Millisecond
+	// limitFactor bounds a call by its patience; its items went elsewhere long
+	// before.
+	limitFactor = 3
+	// priorityStep is how much later an item of the next priority counts as due.
+	priorityStep = 200 * time.Millisecond
+	// maxNearWait is how long an item waits for a target where its inputs are.
+	maxNearWait = 300 * time.Millisecond
+	// planGrace is how long after items were due their plan is kept.
+	planGrace = 500 * time.Millisecond
+	// lateRoom is the part of a target's room that items which give way leave free.
+	lateRoom = 0.5
+	// roomInUse is the part of the room that is taken on average when room bounds
+	// the rate: calls come whole.
+	roomInUse = 0.8
+	// holdWeight is the weight of the newest result in the learnt time that
+	// results take room.
+	holdWeight = 0.05
+	// maxAttempts bounds the calls that one item is part of.
+	maxAttempts = 4
+)
+
+// work is an item that has no result yet.
+type work struct {
+	batching.Item
+	attempts int
+	// running counts the calls at work that hold the item.
+	running int
+	waiting bool
+}
+
+// planKey names the plan of one stage of one request.
+type planKey struct {
+	request string
+	stage   int
+}
+
+// plan is what a request will ask for.
+type plan struct {
+	items int
+	due   time.Time
+}
+
+// call is a call at work.
+type call struct {
+	target  string
+	items   []batching.Item
+	started time.Time
+	planned time.Duration
+	stuckAt time.Time
+	// stuck calls have outlasted their patience; their items wait elsewhere.
+	stuck bool
+}
+
+// oldCore forms the calls of one service. Create it with oldNew; it is not safe for
+// concurrent use.
+type oldCore struct {
+	batch   *catalog.Batch
+	targets map[string]*target
+	order   []string
+	works   map[batching.Token]*work
+	queue   []*work
+	plans   map[planKey]plan
+	calls   map[batching.BatchID]*call
+	last    batching.BatchID
+	budget  *retrybudget.Budget
+	// holding is the learnt time that a result takes room, in seconds, and
+	// itemBytes the learnt size of one.
+	holding   float64
+	itemBytes float64
+	effects   []batching.Effect
+	stats     oldStats
+}
+
+// oldStats count what the core did.
+type oldStats struct {
+	Batches, Items, Expired, Retries, Refused int64
+}
+
+// oldNew returns a core without targets.
+func oldNew(budget retrybudget.Policy) *oldCore {
+	return &oldCore{
+		targets: map[string]*target{},
+		works:   map[batching.Token]*work{},
+		calls:   map[batching.BatchID]*call{},
+		plans:   map[planKey]plan{},
+		budget:  retrybudget.New(budget),
+	}
+}
+
+// Handle takes an event and returns what to do. The effects are valid until
+// the next call.
+func (c *oldCore) Handle(now time.Time, ev batching.Event) []batching.Effect {
+	c.effects = nil
+	switch ev := ev.(type) {
+	case batching.Configure:
+		c.configure(ev)
+	case batching.Plan:
+		c.plans[planKey{ev.Request, ev.Stage}] = plan{items: ev.Items, due: ev.Due}
+		return nil
+	case batching.CancelPlan:
+		delete(c.plans, planKey{ev.Request, ev.Stage})
+		return nil
+	case batching.Submit:
+		c.submit(now, ev)
+	case batching.Withdraw:
+		c.withdraw(ev)
+	case batching.Finished:
+		c.finished(now, ev)
+	case batching.Release:
+		c.release(now, ev.Target, ev.Handles)
+	case batching.Tick:
+	}
+	c.passTime(now)
+	c.dispatch(now)
+	return c.effects
+}
+
+func (c *oldCore) emit(e batching.Effect) { c.effects = append(c.effects, e) }
+
+func (c *oldCore) configure(ev batching.Configure) {
+	if ev.Service != nil && ev.Service.Batch != nil {
+		c.batch = ev.Service.Batch
+	}
+	seen := make(map[string]bool, len(ev.Targets))
+	for _, t := range ev.Targets {
+		seen[t.ID] = true
+		if c.targets[t.ID] == nil {
+			c.targets[t.ID] = newTarget(t)
+			c.order = append(c.order, t.ID)
+		}
+		c.targets[t.ID].Target = t
+		c.targets[t.ID].usable = t.State != directory.Draining
+	}
+	for id, t := range c.targets {
+		if !seen[id] {
+			t.usable = false
+		}
+	}
+	c.order = slices.DeleteFunc(c.order, c.forgettable)
+}
+
+// forgettable drops a target that is gone, has no call and holds nothing.
+func (c *oldCore) forgettable(id string) bool {
+	t := c.targets[id]
+	if t.usable || t.call != 0 || len(t.results) > 0 {
+		return false
+	}
+	delete(c.targets, id)
+	return true
+}
+
+func (c *oldCore) submit(now time.Time, ev batching.Submit) {
+	for _, item := range ev.Items {
+		w := &work{Item: item, waiting: true}
+		c.works[item.Token] = w
+		c.queue = append(c.queue, w)
+		delete(c.plans, planKey{item.Request, item.Stage})
+		c.budget.First(now)
+	}
+}
+
+func (c *oldCore) withdraw(ev batching.Withdraw) {
+	for _, token := range ev.Tokens {
+		c.forget(token)
+	}
+}
+
+// forget drops an item from the books and the queue.
+func (c *oldCore) forget(token batching.Token) {
+	w := c.works[token]
+	if w == nil {
+		return
+	}
+	delete(c.works, token)
+	if w.waiting {
+		c.queue = slices.DeleteFunc(c.queue, func(other *work) bool { return other == w })
+	}
+}
+
+func (c *oldCore) release(now time.Time, id string, handles []string) {
+	t := c.targets[id]
+	if t == nil || len(handles) == 0 {
+		return
+	}
+	for _, h := range handles {
+		if h, known := t.results[h]; known {
+			c.holding += holdWeight * (now.Sub(h.begun).Seconds() - c.holding)
+			c.itemBytes += holdWeight * (float64(h.bytes) - c.itemBytes)
+		}
+		t.release(h)
+	}
+	c.emit(batching.Discard{Target: t.Target, Handles: handles})
+}
+
+func (c *oldCore) finished(now time.Time, ev batching.Finished) {
+	done := c.calls[ev.Batch]
+	if done == nil {
+		return
+	}
+	delete(c.calls, ev.Batch)
+	t := c.targets[done.target]
+	if t == nil {
+		return
+	}
+	t.call = 0
+	t.reserved = 0
+	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
+		t.failed(now)
+		c.returnItems(now, done, ev.Err)
+		return
+	}
+	t.failures = 0
+	t.known = true
+	t.learn(now, now.Sub(done.started), done.planned)
+	var unused []string
+	for i, out := range ev.Outcomes {
+		if !c.settle(now, t, done, done.items[i], out) && out.Handle != "" {
+			unused = append(unused, out.Handle)
+		}
+	}
+	if len(unused) > 0 {
+		c.emit(batching.Discard{Target: t.Target, Handles: unused})
+	}
+}
+
+// settle takes in one outcome and says whether its result is used.
+func (c *oldCore) settle(now time.Time, t *target, done *call, item batching.Item, out batching.Outcome) bool {
+	w := c.works[item.Token]
+	if w == nil {
+		return false
+	}
+	if !done.stuck {
+		w.running--
+	}
+	switch out.Status {
+	case batching.Done:
+		t.hold(out.Handle, held{bytes: item.Bytes, begun: done.started, expires: now.Add(c.batch.ResultTTL)})
+		c.forget(item.Token)
+		c.emit(batching.Resolve{Token: item.Token, Result: batching.Result{Handle: out.Handle, Target: t.ID, DataCentre: t.DataCentre}})
+		return true
+	case batching.InputGone:
+		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input is gone at %s", t.ID))
+	case batching.PastDeadline:
+		c.stats.Expired++
+		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
+	case batching.NoMemory:
+		t.pausedUntil = now.Add(noRoomPause)
+		c.requeue(now, w, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
+	case batching.Failed:
+		c.requeue(now, w, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s failed", t.ID))
+	}
+	return false
+}
+
+func (c *oldCore) fail(token batching.Token, err *verdict.Error) {
+	c.forget(token)
+	c.emit(batching.Resolve{Token: token, Err: err})
+}
+
+// returnItems puts the items of a call that failed or is stuck back.
+func (c *oldCore) returnItems(now time.Time, failed *call, err *verdict.Error) {
+	if failed.stuck {
+		return
+	}
+	if err == nil {
+		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s answered for other items", failed.target)
+	}
+	for _, item := range failed.items {
+		if w := c.works[item.Token]; w != nil {
+			w.running--
+			c.requeue(now, w, err)
+		}
+	}
+}
+
+// requeue lets an item wait for another call, as far as the budget allows.
+func (c *oldCore) requeue(now time.Time, w *work, cause *verdict.Error) {
+	if w.waiting {
+		return
+	}
+	if w.attempts >= maxAttempts || !c.budget.Spend(now) {
+		if w.running == 0 {
+			c.stats.Refused++
+			c.fail(w.Token, cause.WithVerdict(verdict.NotRun))
+		}
+		return
+	}
+	c.stats.Retries++
+	w.waiting = true
+	c.queue = append(c.queue, w)
+}
+
+// passTime drops what is of no use any more and gives up on calls that are stuck.
+func (c *oldCore) passTime(now time.Time) {
+	for _, t := range c.targets {
+		t.expire(now)
+	}
+	maps.DeleteFunc(c.plans, func(_ planKey, p plan) bool { return now.After(p.due.Add(planGrace)) })
+	for _, w := range slices.Clone(c.queue) {
+		if w.running == 0 && c.hopeless(now, w) {
+			c.stats.Expired++
+			c.fail(w.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
+		}
+	}
+	for _, id := range c.order { // was: range over a map, in random order
+		running := c.calls[c.targets[id].call]
+		if running == nil {
+			continue
+		}
+		if !running.stuck && !now.Before(running.stuckAt) {
+			c.giveUp(now, running)
+		}
+	}
+}
+
+// hopeless says whether an item would be of no use any more when it is made.
+func (c *oldCore) hopeless(now time.Time, w *work) bool {
+	if c.batch != nil {
+		now = now.Add(planned(c.batch, 1))
+	}
+	return now.After(w.Deadline)
+}
+
+func (c *oldCore) giveUp(now time.Time, running *call) {
+	t := c.targets[running.target]
+	t.failed(now)
+	t.learn(now, now.Sub(running.started), running.planned)
+	c.returnItems(now, running, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", running.target))
+	running.stuck = true
+}
+
+// dispatch starts calls as long as there are items and targets for them.
+func (c *oldCore) dispatch(now time.Time) {
+	if c.batch == nil || len(c.queue) == 0 {
+		return
+	}
+	c.sort(now)
+	for _, t := range c.idle(now) {
+		if len(c.queue) == 0 {
+			return
+		}
+		c.start(now, t)
+	}
+}
+
+// sort puts items that can still be in time first, by when they are due.
+func (c *oldCore) sort(now time.Time) {
+	soonest := now.Add(planned(c.batch, 1))
+	slices.SortStableFunc(c.queue, func(a, b *work) int {
+		if late := compareBool(a.givesWay(soonest), b.givesWay(soonest)); late != 0 {
+			return late
+		}
+		return cmp.Compare(a.rank(), b.rank())
+	})
+}
+
+// givesWay says whether the item cannot be in time any more.
+func (w *work) givesWay(soonest time.Time) bool { return soonest.After(w.Due) }
+
+func (w *work) rank() int64 {
+	return w.Due.Add(time.Duration(w.Priority) * priorityStep).UnixNano()
+}
+
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return 1
+	}
+	return -1
+}
+
+// idle returns the targets that can take a call now, the fastest first. One that
+// is so slow that all that waits is better off with the next calls of others is
+// left out.
+func (c *oldCore) idle(now time.Time) []*target {
+	var list []*target
+	for _, id := range c.order {
+		t := c.targets[id]
+		if t.idle(now) && !c.worthWaiting(now, t.expected(now, c.batch, 1)) {
+			list = append(list, t)
+		}
+	}
+	slices.SortStableFunc(list, func(a, b *target) int { return cmp.Compare(a.paceAt(now), b.paceAt(now)) })
+	return list
+}
+
+// worthWaiting says whether busy targets would be done with their calls and with
+// all that waits before an idle target is with its own.
+func (c *oldCore) worthWaiting(now time.Time, idleCost time.Duration) bool {
+	taken := 0
+	for _, id := range c.order {
+		t := c.targets[id]
+		if !t.usable || t.call == 0 || c.calls[t.call].stuck {
+			continue
+		}
+		left := max(t.free.Sub(now), 0)
+		if left+t.expected(now, c.batch, 1) < idleCost {
+			taken += c.batch.MaxItems
+		}
+	}
+	return taken >= len(c.queue)
+}
+
+// suits says whether an item should go to a target: it is where the item's
+// inputs are or its result is used, or nobody there can take the item in time.
+func (c *oldCore) suits(now time.Time, w *work, t *target) bool {
+	if w.DataCentre == "" || w.DataCentre == t.DataCentre {
+		return true
+	}
+	for _, id := range c.order {
+		near := c.targets[id]
+		if near.DataCentre != w.DataCentre || !near.usable || now.Before(near.pausedUntil) {
+			continue
+		}
+		wait := time.Duration(0)
+		if near.call != 0 {
+			wait = near.free.Sub(now)
+			if wait < 0 || c.calls[near.call].stuck {
+				continue
+			}
+		}
+		end := now.Add(wait + near.expected(now, c.batch, c.batch.MaxItems))
+		if wait <= maxNearWait && end.Before(w.Due) {
+			return false
+		}
+	}
+	return true
+}
+
+// start sends the most urgent items that suit a target and fit, if any.
+func (c *oldCore) start(now time.Time, t *target) {
+	room := t.room(c.batch)
+	soonest := now.Add(planned(c.batch, 1))
+	spare := int64(lateRoom * float64(c.batch.MemoryBytes))
+	var items []batching.Item
+	var rest []*work
+	for _, w := range c.queue {
+		need := w.Bytes
+		if w.givesWay(soonest) {
+			need += spare
+		}
+		if len(items) < c.batch.MaxItems && need <= room && c.suits(now, w, t) {
+			room -= w.Bytes
+			w.waiting = false
+			w.running++
+			w.attempts++
+			items = append(items, w.Item)
+			continue
+		}
+		rest = append(rest, w)
+	}
+	if len(items) == 0 {
+		return
+	}
+	c.queue = rest
+	c.last++
+	n := len(items)
+	expected := t.expected(now, c.batch, n)
+	patience := time.Duration(patienceFactor*float64(expected)) + patienceExtra
+	c.calls[c.last] = &call{
+		target: t.ID, items: items, started: now, planned: planned(c.batch, n), stuckAt: now.Add(patience),
+	}
+	t.call = c.last
+	t.free = now.Add(expected)
+	for _, item := range items {
+		t.reserved += item.Bytes
+	}
+	c.stats.Batches++
+	c.stats.Items += int64(n)
+	c.emit(batching.Send{Batch: c.last, Target: t.Target, Items: items, Timeout: limitFactor * patience, TargetIdle: t.known})
+}
+
+// Usable says whether an item may be sent to a target now; a shell asks once
+// more just before it writes.
+func (c *oldCore) Usable(id string) bool {
+	t := c.targets[id]
+	return t != nil && t.usable
+}
+
+// oldState is what a core holds, for logs and the state dump.
+type oldState struct {
+	oldStats
+	// Waiting counts items without a call; Late those of them that give way.
+	Waiting, PastDue int
+	// Targets counts those that take work, Working those with a call and Paused
+	// those that are left alone.
+	Targets, Busy, BackingOff int
+	// UsedBytes and RoomBytes are the room taken and the room there is.
+	UsedBytes, MemoryBytes int64
+	// ItemsPerSecond is how many items all targets make with full calls.
+	ItemsPerSecond float64
+	// Planned counts items that will be submitted later.
+	Planned int
+	// Wait estimates how long a new item waits, and Backlog how long it takes to
+	// make all that is waiting or planned.
+	Wait, Backlog time.Duration
+}
+
+// oldState describes the core.
+func (c *oldCore) State(now time.Time) oldState {
+	s := oldState{oldStats: c.stats, Waiting: len(c.queue)}
+	if c.batch == nil {
+		return s
+	}
+	soonest := time.Duration(-1)
+	for _, t := range c.targets {
+		s.UsedBytes += t.heldBytes + t.reserved
+		if !t.usable {
+			continue
+		}
+		s.Targets++
+		s.MemoryBytes += c.batch.MemoryBytes
+		if now.Before(t.pausedUntil) {
+			s.BackingOff++
+			continue
+		}
+		s.ItemsPerSecond += float64(c.batch.MaxItems) / t.expected(now, c.batch, c.batch.MaxItems).Seconds()
+		left := time.Duration(0)
+		if t.call != 0 {
+			s.Busy++
+			left = max(t.free.Sub(now), 0)
+		}
+		if soonest < 0 || left < soonest {
+			soonest = left
+		}
+	}
+	latest := now.Add(planned(c.batch, 1))
+	for _, w := range c.queue {
+		if w.givesWay(latest) {
+			s.PastDue++
+		}
+	}
+	if room := c.roomPerSecond(s.MemoryBytes); room > 0 {
+		s.ItemsPerSecond = min(s.ItemsPerSecond, room)
+	}
+	for _, p := range c.plans {
+		s.Planned += p.items
+	}
+	if s.ItemsPerSecond > 0 {
+		s.Backlog = soonest + time.Duration(float64(s.Waiting-s.PastDue+s.Planned)/s.ItemsPerSecond*float64(time.Second))
+		s.Wait = soonest + time.Duration(float64(s.Waiting-s.PastDue)/s.ItemsPerSecond*float64(time.Second))
+	}
+	return s
+}
+
+// roomPerSecond is how many results the room lets the targets make, by how long
+// results have been taking it; 0 for unknown.
+func (c *oldCore) roomPerSecond(room int64) float64 {
+	if c.holding <= 0 || c.itemBytes <= 0 {
+		return 0
+	}
+	return roomInUse * float64(room) / (c.itemBytes * c.holding)
+}
+
+// Idle says whether nothing waits and nothing runs.
+func (c *oldCore) Idle() bool { return len(c.queue) == 0 && len(c.calls) == 0 }
