--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -58,27 +58,18 @@
 	due   time.Time
 }
 
-// call is a call at work.
-type call struct {
-	target  string
-	items   []Item
-	started time.Time
-	planned time.Duration
-	stuckAt time.Time
-	// stuck calls have outlasted their patience; their items wait elsewhere.
-	stuck bool
-}
-
 // Core forms the calls of one service. Create it with New; it is not safe for
 // concurrent use.
 type Core struct {
-	batch   *catalog.Batch
-	targets map[string]*target
-	order   []string
+	// spec is what the catalog says of the service's batches; nil before it is known.
+	spec *catalog.Batch
+	// targets are in the order in which they were first listed.
+	targets []*target
+	byID    map[string]*target
 	works   map[Token]*work
 	queue   []*work
 	plans   map[planKey]plan
-	calls   map[BatchID]*call
+	running map[BatchID]*batch
 	last    BatchID
 	budget  *retrybudget.Budget
 	// holding is the learnt time that a result takes room, in seconds, and
@@ -97,9 +88,9 @@
 // New returns a core without targets.
 func New(budget retrybudget.Policy) *Core {
 	return &Core{
-		targets: map[string]*target{},
+		byID:    map[string]*target{},
 		works:   map[Token]*work{},
-		calls:   map[BatchID]*call{},
+		running: map[BatchID]*batch{},
 		plans:   map[planKey]plan{},
 		budget:  retrybudget.New(budget),
 	}
@@ -137,34 +128,37 @@
 
 func (c *Core) configure(ev Configure) {
 	if ev.Service != nil && ev.Service.Batch != nil {
-		c.batch = ev.Service.Batch
+		c.spec = ev.Service.Batch
 	}
-	seen := make(map[string]bool, len(ev.Targets))
+	listed := make(map[string]bool, len(ev.Targets))
 	for _, t := range ev.Targets {
-		seen[t.ID] = true
-		if c.targets[t.ID] == nil {
-			c.targets[t.ID] = newTarget(t)
-			c.order = append(c.order, t.ID)
-		}
-		c.targets[t.ID].Target = t
-		c.targets[t.ID].usable = t.State != directory.Draining
+		listed[t.ID] = true
+		c.list(t)
 	}
-	for id, t := range c.targets {
-		if !seen[id] {
+	for _, t := range c.targets {
+		if !listed[t.ID] {
 			t.usable = false
 		}
 	}
-	c.order = slices.DeleteFunc(c.order, c.forgettable)
+	c.targets = slices.DeleteFunc(c.targets, func(t *target) bool {
+		if !t.forgettable() {
+			return false
+		}
+		delete(c.byID, t.ID)
+		return true
+	})
 }
 
-// forgettable drops a target that is gone, has no call and holds nothing.
-func (c *Core) forgettable(id string) bool {
-	t := c.targets[id]
-	if t.usable || t.call != 0 || len(t.results) > 0 {
-		return false
+// list takes in a target of the service's list.
+func (c *Core) list(listed directory.Target) {
+	t := c.byID[listed.ID]
+	if t == nil {
+		t = newTarget(listed)
+		c.byID[t.ID] = t
+		c.targets = append(c.targets, t)
 	}
-	delete(c.targets, id)
-	return true
+	t.Target = listed
+	t.usable = t.State != directory.Draining
 }
 
 func (c *Core) submit(now time.Time, ev Submit) {
@@ -196,43 +190,40 @@
 }
 
 func (c *Core) release(now time.Time, id string, handles []string) {
-	t := c.targets[id]
+	t := c.byID[id]
 	if t == nil || len(handles) == 0 {
 		return
 	}
 	for _, h := range handles {
-		if h, known := t.results[h]; known {
-			c.holding += holdWeight * (now.Sub(h.begun).Seconds() - c.holding)
-			c.itemBytes += holdWeight * (float64(h.bytes) - c.itemBytes)
+		if r, known := t.memory.stored[h]; known {
+			c.holding += holdWeight * (now.Sub(r.since).Seconds() - c.holding)
+			c.itemBytes += holdWeight * (float64(r.bytes) - c.itemBytes)
 		}
-		t.release(h)
+		t.memory.release(h)
 	}
 	c.emit(Discard{Target: t.Target, Handles: handles})
 }
 
 func (c *Core) finished(now time.Time, ev Finished) {
-	done := c.calls[ev.Batch]
+	done := c.running[ev.Batch]
 	if done == nil {
 		return
 	}
-	delete(c.calls, ev.Batch)
-	t := c.targets[done.target]
-	if t == nil {
-		return
-	}
-	t.call = 0
-	t.reserved = 0
+	delete(c.running, ev.Batch)
+	t := done.target
+	t.running = nil
+	t.memory.endReservation()
 	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
 		t.failed(now)
 		c.returnItems(now, done, ev.Err)
 		return
 	}
-	t.failures = 0
-	t.known = true
-	t.learn(now, now.Sub(done.started), done.planned)
+	t.backoff.answered()
+	t.answered = true
+	t.slowdown.learn(now, now.Sub(done.started), done.planned)
 	var unused []string
 	for i, out := range ev.Outcomes {
-		if !c.settle(now, t, done, done.items[i], out) && out.Handle != "" {
+		if !c.settle(now, done, done.items[i], out) && out.Handle != "" {
 			unused = append(unused, out.Handle)
 		}
 	}
@@ -242,7 +233,8 @@
 }
 
 // settle takes in one outcome and says whether its result is used.
-func (c *Core) settle(now time.Time, t *target, done *call, item Item, out Outcome) bool {
+func (c *Core) settle(now time.Time, done *batch, item Item, out Outcome) bool {
+	t := done.target
 	w := c.works[item.Token]
 	if w == nil {
 		return false
@@ -252,7 +244,7 @@
 	}
 	switch out.Status {
 	case Done:
-		t.hold(out.Handle, held{bytes: item.Bytes, begun: done.started, expires: now.Add(c.batch.ResultTTL)})
+		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, since: done.started, expires: now.Add(c.spec.ResultTTL)})
 		c.forget(item.Token)
 		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.ID, DataCentre: t.DataCentre}})
 		return true
@@ -262,7 +254,7 @@
 		c.stats.Expired++
 		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
 	case NoMemory:
-		t.pausedUntil = now.Add(noRoomPause)
+		t.backoff.noMemory(now)
 		c.requeue(now, w, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
 	case Failed:
 		c.requeue(now, w, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s failed", t.ID))
@@ -276,12 +268,12 @@
 }
 
 // returnItems puts the items of a call that failed or is stuck back.
-func (c *Core) returnItems(now time.Time, failed *call, err *verdict.Error) {
+func (c *Core) returnItems(now time.Time, failed *batch, err *verdict.Error) {
 	if failed.stuck {
 		return
 	}
 	if err == nil {
-		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s answered for other items", failed.target)
+		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s answered for other items", failed.target.ID)
 	}
 	for _, item := range failed.items {
 		if w := c.works[item.Token]; w != nil {
@@ -311,7 +303,7 @@
 // passTime drops what is of no use any more and gives up on calls that are stuck.
 func (c *Core) passTime(now time.Time) {
 	for _, t := range c.targets {
-		t.expire(now)
+		t.memory.expire(now)
 	}
 	maps.DeleteFunc(c.plans, func(_ planKey, p plan) bool { return now.After(p.due.Add(planGrace)) })
 	for _, w := range slices.Clone(c.queue) {
@@ -320,36 +312,31 @@
 			c.fail(w.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
 		}
 	}
-	for _, id := range c.order {
-		running := c.calls[c.targets[id].call]
-		if running == nil {
-			continue
-		}
-		if !running.stuck && !now.Before(running.stuckAt) {
-			c.giveUp(now, running)
+	for _, t := range c.targets {
+		if b := t.running; b != nil && !b.stuck && !now.Before(b.stuckAt) {
+			c.giveUp(now, b)
 		}
 	}
 }
 
 // hopeless says whether an item would be of no use any more when it is made.
 func (c *Core) hopeless(now time.Time, w *work) bool {
-	if c.batch != nil {
-		now = now.Add(planned(c.batch, 1))
+	if c.spec != nil {
+		now = now.Add(planned(c.spec, 1))
 	}
 	return now.After(w.Deadline)
 }
 
-func (c *Core) giveUp(now time.Time, running *call) {
-	t := c.targets[running.target]
-	t.failed(now)
-	t.learn(now, now.Sub(running.started), running.planned)
-	c.returnItems(now, running, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", running.target))
-	running.stuck = true
+func (c *Core) giveUp(now time.Time, b *batch) {
+	b.target.failed(now)
+	b.target.slowdown.learn(now, now.Sub(b.started), b.planned)
+	c.returnItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", b.target.ID))
+	b.stuck = true
 }
 
 // dispatch starts calls as long as there are items and targets for them.
 func (c *Core) dispatch(now time.Time) {
-	if c.batch == nil || len(c.queue) == 0 {
+	if c.spec == nil || len(c.queue) == 0 {
 		return
 	}
 	c.sort(now)
@@ -363,7 +350,7 @@
 
 // sort puts items that can still be in time first, by when they are due.
 func (c *Core) sort(now time.Time) {
-	soonest := now.Add(planned(c.batch, 1))
+	soonest := now.Add(planned(c.spec, 1))
 	slices.SortStableFunc(c.queue, func(a, b *work) int {
 		if late := compareBool(a.givesWay(soonest), b.givesWay(soonest)); late != 0 {
 			return late
@@ -394,13 +381,12 @@
 // left out.
 func (c *Core) idle(now time.Time) []*target {
 	var list []*target
-	for _, id := range c.order {
-		t := c.targets[id]
-		if t.idle(now) && !c.worthWaiting(now, t.expected(now, c.batch, 1)) {
+	for _, t := range c.targets {
+		if t.idle(now) && !c.worthWaiting(now, t.expected(now, c.spec, 1)) {
 			list = append(list, t)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *target) int { return cmp.Compare(a.paceAt(now), b.paceAt(now)) })
+	slices.SortStableFunc(list, func(a, b *target) int { return cmp.Compare(a.slowdown.at(now), b.slowdown.at(now)) })
 	return list
 }
 
@@ -408,14 +394,13 @@
 // all that waits before an idle target is with its own.
 func (c *Core) worthWaiting(now time.Time, idleCost time.Duration) bool {
 	taken := 0
-	for _, id := range c.order {
-		t := c.targets[id]
-		if !t.usable || t.call == 0 || c.calls[t.call].stuck {
+	for _, t := range c.targets {
+		if !t.usable || t.running == nil || t.running.stuck {
 			continue
 		}
-		left := max(t.free.Sub(now), 0)
-		if left+t.expected(now, c.batch, 1) < idleCost {
-			taken += c.batch.MaxItems
+		left := max(t.running.expectedEnd.Sub(now), 0)
+		if left+t.expected(now, c.spec, 1) < idleCost {
+			taken += c.spec.MaxItems
 		}
 	}
 	return taken >= len(c.queue)
@@ -427,19 +412,18 @@
 	if w.DataCentre == "" || w.DataCentre == t.DataCentre {
 		return true
 	}
-	for _, id := range c.order {
-		near := c.targets[id]
-		if near.DataCentre != w.DataCentre || !near.usable || now.Before(near.pausedUntil) {
+	for _, near := range c.targets {
+		if near.DataCentre != w.DataCentre || !near.usable || near.backoff.active(now) {
 			continue
 		}
 		wait := time.Duration(0)
-		if near.call != 0 {
-			wait = near.free.Sub(now)
-			if wait < 0 || c.calls[near.call].stuck {
+		if near.running != nil {
+			wait = near.running.expectedEnd.Sub(now)
+			if wait < 0 || near.running.stuck {
 				continue
 			}
 		}
-		end := now.Add(wait + near.expected(now, c.batch, c.batch.MaxItems))
+		end := now.Add(wait + near.expected(now, c.spec, c.spec.MaxItems))
 		if wait <= maxNearWait && end.Before(w.Due) {
 			return false
 		}
@@ -449,9 +433,9 @@
 
 // start sends the most urgent items that suit a target and fit, if any.
 func (c *Core) start(now time.Time, t *target) {
-	room := t.room(c.batch)
-	soonest := now.Add(planned(c.batch, 1))
-	spare := int64(lateRoom * float64(c.batch.MemoryBytes))
+	room := t.memory.available(c.spec)
+	soonest := now.Add(planned(c.spec, 1))
+	spare := int64(lateRoom * float64(c.spec.MemoryBytes))
 	var items []Item
 	var rest []*work
 	for _, w := range c.queue {
@@ -459,7 +443,7 @@
 		if w.givesWay(soonest) {
 			need += spare
 		}
-		if len(items) < c.batch.MaxItems && need <= room && c.suits(now, w, t) {
+		if len(items) < c.spec.MaxItems && need <= room && c.suits(now, w, t) {
 			room -= w.Bytes
 			w.waiting = false
 			w.running++
@@ -475,25 +459,24 @@
 	c.queue = rest
 	c.last++
 	n := len(items)
-	expected := t.expected(now, c.batch, n)
+	expected := t.expected(now, c.spec, n)
 	patience := time.Duration(patienceFactor*float64(expected)) + patienceExtra
-	c.calls[c.last] = &call{
-		target: t.ID, items: items, started: now, planned: planned(c.batch, n), stuckAt: now.Add(patience),
-	}
-	t.call = c.last
-	t.free = now.Add(expected)
-	for _, item := range items {
-		t.reserved += item.Bytes
+	b := &batch{
+		id: c.last, target: t, items: items, started: now, planned: planned(c.spec, n),
+		expectedEnd: now.Add(expected), stuckAt: now.Add(patience),
 	}
+	c.running[b.id] = b
+	t.running = b
+	t.memory.reserve(items)
 	c.stats.Batches++
 	c.stats.Items += int64(n)
-	c.emit(Send{Batch: c.last, Target: t.Target, Items: items, Timeout: limitFactor * patience, TargetIdle: t.known})
+	c.emit(Send{Batch: c.last, Target: t.Target, Items: items, Timeout: limitFactor * patience, TargetIdle: t.answered})
 }
 
 // Usable says whether an item may be sent to a target now; a shell asks once
 // more just before it writes.
 func (c *Core) Usable(id string) bool {
-	t := c.targets[id]
+	t := c.byID[id]
 	return t != nil && t.usable
 }
 
@@ -519,32 +502,32 @@
 // State describes the core.
 func (c *Core) State(now time.Time) State {
 	s := State{Stats: c.stats, Waiting: len(c.queue)}
-	if c.batch == nil {
+	if c.spec == nil {
 		return s
 	}
 	soonest := time.Duration(-1)
 	for _, t := range c.targets {
-		s.UsedBytes += t.heldBytes + t.reserved
+		s.UsedBytes += t.memory.used()
 		if !t.usable {
 			continue
 		}
 		s.Targets++
-		s.MemoryBytes += c.batch.MemoryBytes
-		if now.Before(t.pausedUntil) {
+		s.MemoryBytes += c.spec.MemoryBytes
+		if t.backoff.active(now) {
 			s.BackingOff++
 			continue
 		}
-		s.ItemsPerSecond += float64(c.batch.MaxItems) / t.expected(now, c.batch, c.batch.MaxItems).Seconds()
+		s.ItemsPerSecond += float64(c.spec.MaxItems) / t.expected(now, c.spec, c.spec.MaxItems).Seconds()
 		left := time.Duration(0)
-		if t.call != 0 {
+		if t.running != nil {
 			s.Busy++
-			left = max(t.free.Sub(now), 0)
+			left = max(t.running.expectedEnd.Sub(now), 0)
 		}
 		if soonest < 0 || left < soonest {
 			soonest = left
 		}
 	}
-	latest := now.Add(planned(c.batch, 1))
+	latest := now.Add(planned(c.spec, 1))
 	for _, w := range c.queue {
 		if w.givesWay(latest) {
 			s.PastDue++
@@ -573,4 +556,4 @@
 }
 
 // Idle says whether nothing waits and nothing runs.
-func (c *Core) Idle() bool { return len(c.queue) == 0 && len(c.calls) == 0 }
+func (c *Core) Idle() bool { return len(c.queue) == 0 && len(c.running) == 0 }
--- /dev/null
+++ b/internal/gateway/batching/slowdown.go
@@ -0,0 +1,90 @@
+package batching
+
+import (
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+)
+
+const (
+	// slowdownWeight is the weight of the newest batch in a learnt slowdown, as a
+	// fraction. Not measured; unchanged since the first version (72a0bc2).
+	slowdownWeight = 0.4
+	// slowdownHalfLife is the time in which a learnt slowdown loses half of its
+	// distance from 1. Not measured; unchanged since the first version (72a0bc2).
+	slowdownHalfLife = 4 * time.Second
+	// keptPerHalfLife is what a half-life leaves, by its definition.
+	keptPerHalfLife = 0.5
+	// minSlowdown and maxSlowdown bound what one batch may teach, as factors of the
+	// catalog's time, so that a single odd measurement does not decide for long. Not
+	// measured; unchanged since the first version (72a0bc2).
+	minSlowdown = 0.3
+	maxSlowdown = 20
+)
+
+// slowdown is the learnt speed of one target: how many times as long as the
+// catalog says its batches take. 1 is as fast as the catalog says, more is
+// slower. Create it with newSlowdown.
+//
+// It decides how long a batch should take at a target (expected), and through
+// that which target is preferred, when a batch counts as stuck and how large the
+// backlog is. Its input is the time that batches took, from their sending to
+// their answer; a batch that counts as stuck teaches the time that it has
+// outlasted. What was learnt counts less with its age: after one half-life half
+// of its distance from 1 is left. Without a measurement it is 1. Targets do not
+// report their speed, and one that was slow is used less, so without the ageing
+// it would never be measured again.
+//
+// A value that is too high leaves a target idle and detects a stuck batch late;
+// one that is too low sends items to a slow target and retries them for nothing.
+type slowdown struct {
+	// factor is the value at learntAt.
+	factor   float64
+	learntAt time.Time
+}
+
+func newSlowdown() slowdown { return slowdown{factor: 1} }
+
+// at returns the slowdown as of now.
+func (s *slowdown) at(now time.Time) float64 {
+	age := now.Sub(s.learntAt)
+	if s.learntAt.IsZero() || age <= 0 {
+		return s.factor
+	}
+	kept := 1.0
+	for age > slowdownHalfLife {
+		kept *= keptPerHalfLife
+		age -= slowdownHalfLife
+	}
+	// Within a half-life it is linear.
+	kept *= 1 - (1-keptPerHalfLife)*float64(age)/float64(slowdownHalfLife)
+	return 1 + (s.factor-1)*kept
+}
+
+// learn takes in a batch that took a time and should have taken another by the
+// catalog.
+func (s *slowdown) learn(now time.Time, took, planned time.Duration) {
+	newest := min(max(float64(took)/float64(planned), minSlowdown), maxSlowdown)
+	s.factor = s.at(now)*(1-slowdownWeight) + newest*slowdownWeight
+	s.learntAt = now
+}
+
+// planned returns how long a batch of n items should take by the catalog.
+func planned(spec *catalog.Batch, n int) time.Duration {
+	return spec.CallLatency + time.Duration(n)*spec.PerItem
+}
+
+// expected returns how long a batch of n items should take at this target.
+func (t *target) expected(now time.Time, spec *catalog.Batch, n int) time.Duration {
+	return time.Duration(float64(planned(spec, n)) * t.slowdown.at(now))
+}
+
+// expectedShortest returns how long a batch of one item should take at this target.
+func (t *target) expectedShortest(now time.Time, spec *catalog.Batch) time.Duration {
+	return t.expected(now, spec, 1)
+}
+
+// expectedFull returns how long a full batch should take at this target.
+func (t *target) expectedFull(now time.Time, spec *catalog.Batch) time.Duration {
+	return t.expected(now, spec, spec.MaxItems)
+}
--- /dev/null
+++ b/internal/gateway/batching/slowdown_test.go
@@ -0,0 +1,59 @@
+package batching
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+)
+
+// shouldBeAbout compares fractions up to rounding.
+func shouldBeAbout(got, want float64) {
+	convey.So(got, convey.ShouldAlmostEqual, want, 1e-9)
+}
+
+func TestSlowdownIsLearntFromBatchesAndForgotten(t *testing.T) {
+	const asPlanned = 300 * time.Millisecond
+	convey.Convey("A target without a measurement is as fast as the catalog says", t, func() {
+		s := newSlowdown()
+		shouldBeAbout(s.at(noon), 1)
+	})
+	for _, c := range []struct {
+		name string
+		took time.Duration
+		want float64
+	}{
+		{"A batch as long as planned changes nothing", asPlanned, 1},
+		{"A batch of twice the time weighs 0.4", 2 * asPlanned, 1.4},
+		{"A batch of half the time weighs 0.4", asPlanned / 2, 0.8},
+		{"A batch of a hundred times the time counts as twenty", 100 * asPlanned, 0.6 + 20*0.4},
+		{"A batch without any time counts as three tenths", 0, 0.6 + 0.3*0.4},
+	} {
+		convey.Convey(c.name, t, func() {
+			s := newSlowdown()
+			s.learn(noon, c.took, asPlanned)
+			shouldBeAbout(s.at(noon), c.want)
+		})
+	}
+	for _, c := range []struct {
+		name string
+		age  time.Duration
+		want float64
+	}{
+		{"A slowdown of 3 stays at once", 0, 3},
+		{"After half of a half-life a quarter of the distance from 1 is gone", 2 * time.Second, 2.5},
+		{"After a half-life half of it is gone", 4 * time.Second, 2},
+		{"After two half-lives three quarters are gone", 8 * time.Second, 1.5},
+		{"A clock that went back ages nothing", -time.Second, 3},
+	} {
+		convey.Convey(c.name, t, func() {
+			s := slowdown{factor: 3, learntAt: noon}
+			shouldBeAbout(s.at(noon.Add(c.age)), c.want)
+		})
+	}
+	convey.Convey("A slow target's batches are expected to take as much longer", t, func() {
+		slow := slowTarget("slow", 2)
+		convey.So(slow.expectedShortest(noon, testSpec()), convey.ShouldEqual, 520*time.Millisecond)
+		convey.So(slow.expectedFull(noon, testSpec()), convey.ShouldEqual, 640*time.Millisecond)
+	})
+}
