--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -1,7 +1,6 @@
 package batching
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -19,14 +18,8 @@
 	// limitFactor bounds a call by its patience; its items went elsewhere long
 	// before.
 	limitFactor = 3
-	// priorityStep is how much later an item of the next priority counts as due.
-	priorityStep = 200 * time.Millisecond
-	// maxNearWait is how long an item waits for a target where its inputs are.
-	maxNearWait = 300 * time.Millisecond
 	// planGrace is how long after items were due their plan is kept.
 	planGrace = 500 * time.Millisecond
-	// lateRoom is the part of a target's room that items which give way leave free.
-	lateRoom = 0.5
 	// roomInUse is the part of the room that is taken on average when room bounds
 	// the rate: calls come whole.
 	roomInUse = 0.8
@@ -37,13 +30,16 @@
 	maxAttempts = 4
 )
 
-// work is an item that has no result yet.
-type work struct {
+// queuedItem is an item that has no result yet, whether it waits in the queue or is
+// in a batch.
+type queuedItem struct {
 	Item
+	// attempts counts the batches that the item was part of.
 	attempts int
-	// running counts the calls at work that hold the item.
+	// running counts the batches that hold the item and have not ended or got stuck.
 	running int
-	waiting bool
+	// queued says that the item is in the queue.
+	queued bool
 }
 
 // planKey names the plan of one stage of one request.
@@ -66,8 +62,8 @@
 	// targets are in the order in which they were first listed.
 	targets []*target
 	byID    map[string]*target
-	works   map[Token]*work
-	queue   []*work
+	items   map[Token]*queuedItem
+	queue   []*queuedItem
 	plans   map[planKey]plan
 	running map[BatchID]*batch
 	last    BatchID
@@ -89,7 +85,7 @@
 func New(budget retrybudget.Policy) *Core {
 	return &Core{
 		byID:    map[string]*target{},
-		works:   map[Token]*work{},
+		items:   map[Token]*queuedItem{},
 		running: map[BatchID]*batch{},
 		plans:   map[planKey]plan{},
 		budget:  retrybudget.New(budget),
@@ -163,9 +159,9 @@
 
 func (c *Core) submit(now time.Time, ev Submit) {
 	for _, item := range ev.Items {
-		w := &work{Item: item, waiting: true}
-		c.works[item.Token] = w
-		c.queue = append(c.queue, w)
+		q := &queuedItem{Item: item, queued: true}
+		c.items[item.Token] = q
+		c.queue = append(c.queue, q)
 		delete(c.plans, planKey{item.Request, item.Stage})
 		c.budget.First(now)
 	}
@@ -179,13 +175,13 @@
 
 // forget drops an item from the books and the queue.
 func (c *Core) forget(token Token) {
-	w := c.works[token]
-	if w == nil {
+	q := c.items[token]
+	if q == nil {
 		return
 	}
-	delete(c.works, token)
-	if w.waiting {
-		c.queue = slices.DeleteFunc(c.queue, func(other *work) bool { return other == w })
+	delete(c.items, token)
+	if q.queued {
+		c.queue = slices.DeleteFunc(c.queue, func(other *queuedItem) bool { return other == q })
 	}
 }
 
@@ -235,12 +231,12 @@
 // settle takes in one outcome and says whether its result is used.
 func (c *Core) settle(now time.Time, done *batch, item Item, out Outcome) bool {
 	t := done.target
-	w := c.works[item.Token]
-	if w == nil {
+	q := c.items[item.Token]
+	if q == nil {
 		return false
 	}
 	if !done.stuck {
-		w.running--
+		q.running--
 	}
 	switch out.Status {
 	case Done:
@@ -255,9 +251,9 @@
 		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
 	case NoMemory:
 		t.backoff.noMemory(now)
-		c.requeue(now, w, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
+		c.requeue(now, q, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
 	case Failed:
-		c.requeue(now, w, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s failed", t.ID))
+		c.requeue(now, q, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s failed", t.ID))
 	}
 	return false
 }
@@ -276,28 +272,28 @@
 		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s answered for other items", failed.target.ID)
 	}
 	for _, item := range failed.items {
-		if w := c.works[item.Token]; w != nil {
-			w.running--
-			c.requeue(now, w, err)
+		if q := c.items[item.Token]; q != nil {
+			q.running--
+			c.requeue(now, q, err)
 		}
 	}
 }
 
 // requeue lets an item wait for another call, as far as the budget allows.
-func (c *Core) requeue(now time.Time, w *work, cause *verdict.Error) {
-	if w.waiting {
+func (c *Core) requeue(now time.Time, q *queuedItem, cause *verdict.Error) {
+	if q.queued {
 		return
 	}
-	if w.attempts >= maxAttempts || !c.budget.Spend(now) {
-		if w.running == 0 {
+	if q.attempts >= maxAttempts || !c.budget.Spend(now) {
+		if q.running == 0 {
 			c.stats.Refused++
-			c.fail(w.Token, cause.WithVerdict(verdict.NotRun))
+			c.fail(q.Token, cause.WithVerdict(verdict.NotRun))
 		}
 		return
 	}
 	c.stats.Retries++
-	w.waiting = true
-	c.queue = append(c.queue, w)
+	q.queued = true
+	c.queue = append(c.queue, q)
 }
 
 // passTime drops what is of no use any more and gives up on calls that are stuck.
@@ -306,10 +302,10 @@
 		t.memory.expire(now)
 	}
 	maps.DeleteFunc(c.plans, func(_ planKey, p plan) bool { return now.After(p.due.Add(planGrace)) })
-	for _, w := range slices.Clone(c.queue) {
-		if w.running == 0 && c.hopeless(now, w) {
+	for _, q := range slices.Clone(c.queue) {
+		if q.running == 0 && !canFinish(now, c.spec, q.Deadline) {
 			c.stats.Expired++
-			c.fail(w.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
+			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
 		}
 	}
 	for _, t := range c.targets {
@@ -319,14 +315,6 @@
 	}
 }
 
-// hopeless says whether an item would be of no use any more when it is made.
-func (c *Core) hopeless(now time.Time, w *work) bool {
-	if c.spec != nil {
-		now = now.Add(planned(c.spec, 1))
-	}
-	return now.After(w.Deadline)
-}
-
 func (c *Core) giveUp(now time.Time, b *batch) {
 	b.target.failed(now)
 	b.target.slowdown.learn(now, now.Sub(b.started), b.planned)
@@ -339,8 +327,8 @@
 	if c.spec == nil || len(c.queue) == 0 {
 		return
 	}
-	c.sort(now)
-	for _, t := range c.idle(now) {
+	sortQueue(c.queue, earliestEnd(now, c.spec))
+	for _, t := range eligibleTargets(now, c.spec, c.targets, len(c.queue)) {
 		if len(c.queue) == 0 {
 			return
 		}
@@ -348,119 +336,24 @@
 	}
 }
 
-// sort puts items that can still be in time first, by when they are due.
-func (c *Core) sort(now time.Time) {
-	soonest := now.Add(planned(c.spec, 1))
-	slices.SortStableFunc(c.queue, func(a, b *work) int {
-		if late := compareBool(a.givesWay(soonest), b.givesWay(soonest)); late != 0 {
-			return late
-		}
-		return cmp.Compare(a.rank(), b.rank())
-	})
-}
-
-// givesWay says whether the item cannot be in time any more.
-func (w *work) givesWay(soonest time.Time) bool { return soonest.After(w.Due) }
-
-func (w *work) rank() int64 {
-	return w.Due.Add(time.Duration(w.Priority) * priorityStep).UnixNano()
-}
-
-func compareBool(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
-		return 1
-	}
-	return -1
-}
-
-// idle returns the targets that can take a call now, the fastest first. One that
-// is so slow that all that waits is better off with the next calls of others is
-// left out.
-func (c *Core) idle(now time.Time) []*target {
-	var list []*target
-	for _, t := range c.targets {
-		if t.idle(now) && !c.worthWaiting(now, t.expected(now, c.spec, 1)) {
-			list = append(list, t)
-		}
-	}
-	slices.SortStableFunc(list, func(a, b *target) int { return cmp.Compare(a.slowdown.at(now), b.slowdown.at(now)) })
-	return list
-}
-
-// worthWaiting says whether busy targets would be done with their calls and with
-// all that waits before an idle target is with its own.
-func (c *Core) worthWaiting(now time.Time, idleCost time.Duration) bool {
-	taken := 0
-	for _, t := range c.targets {
-		if !t.usable || t.running == nil || t.running.stuck {
-			continue
-		}
-		left := max(t.running.expectedEnd.Sub(now), 0)
-		if left+t.expected(now, c.spec, 1) < idleCost {
-			taken += c.spec.MaxItems
-		}
-	}
-	return taken >= len(c.queue)
-}
-
-// suits says whether an item should go to a target: it is where the item's
-// inputs are or its result is used, or nobody there can take the item in time.
-func (c *Core) suits(now time.Time, w *work, t *target) bool {
-	if w.DataCentre == "" || w.DataCentre == t.DataCentre {
-		return true
-	}
-	for _, near := range c.targets {
-		if near.DataCentre != w.DataCentre || !near.usable || near.backoff.active(now) {
-			continue
-		}
-		wait := time.Duration(0)
-		if near.running != nil {
-			wait = near.running.expectedEnd.Sub(now)
-			if wait < 0 || near.running.stuck {
-				continue
-			}
-		}
-		end := now.Add(wait + near.expected(now, c.spec, c.spec.MaxItems))
-		if wait <= maxNearWait && end.Before(w.Due) {
-			return false
-		}
-	}
-	return true
-}
-
-// start sends the most urgent items that suit a target and fit, if any.
+// start sends a target a batch of the first items of the queue that fit, if any.
 func (c *Core) start(now time.Time, t *target) {
-	room := t.memory.available(c.spec)
-	soonest := now.Add(planned(c.spec, 1))
-	spare := int64(lateRoom * float64(c.spec.MemoryBytes))
-	var items []Item
-	var rest []*work
-	for _, w := range c.queue {
-		need := w.Bytes
-		if w.givesWay(soonest) {
-			need += spare
-		}
-		if len(items) < c.spec.MaxItems && need <= room && c.suits(now, w, t) {
-			room -= w.Bytes
-			w.waiting = false
-			w.running++
-			w.attempts++
-			items = append(items, w.Item)
-			continue
-		}
-		rest = append(rest, w)
-	}
-	if len(items) == 0 {
+	taken, rest := newFilling(now, c.spec, t, c.targets).split(c.queue)
+	if len(taken) == 0 {
 		return
 	}
 	c.queue = rest
-	c.last++
+	items := make([]Item, len(taken))
+	for i, q := range taken {
+		q.queued = false
+		q.running++
+		q.attempts++
+		items[i] = q.Item
+	}
 	n := len(items)
 	expected := t.expected(now, c.spec, n)
 	patience := time.Duration(patienceFactor*float64(expected)) + patienceExtra
+	c.last++
 	b := &batch{
 		id: c.last, target: t, items: items, started: now, planned: planned(c.spec, n),
 		expectedEnd: now.Add(expected), stuckAt: now.Add(patience),
@@ -470,7 +363,7 @@
 	t.memory.reserve(items)
 	c.stats.Batches++
 	c.stats.Items += int64(n)
-	c.emit(Send{Batch: c.last, Target: t.Target, Items: items, Timeout: limitFactor * patience, TargetIdle: t.answered})
+	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: limitFactor * patience, TargetIdle: t.answered})
 }
 
 // Usable says whether an item may be sent to a target now; a shell asks once
@@ -527,9 +420,9 @@
 			soonest = left
 		}
 	}
-	latest := now.Add(planned(c.spec, 1))
-	for _, w := range c.queue {
-		if w.givesWay(latest) {
+	earliest := earliestEnd(now, c.spec)
+	for _, q := range c.queue {
+		if q.pastDue(earliest) {
 			s.PastDue++
 		}
 	}
--- /dev/null
+++ b/internal/gateway/batching/eligible_test.go
@@ -0,0 +1,58 @@
+package batching
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+)
+
+func TestTargetIsEligibleOnlyWhenABatchIsWellPlacedThere(t *testing.T) {
+	drains := testTarget("t", "d0")
+	drains.usable = false
+	failed := testTarget("t", "d0")
+	failed.failed(noon.Add(-149 * time.Millisecond))
+	recovered := testTarget("t", "d0")
+	recovered.failed(noon.Add(-150 * time.Millisecond))
+	stuck := busyTarget("u", "d0", 0)
+	stuck.running.stuck = true
+	gone := busyTarget("u", "d0", 0)
+	gone.usable = false
+	// A batch of one takes 260 ms at a target of the catalog's speed, 520 ms at the slow one.
+	slow := slowTarget("t", 2)
+	for _, c := range []struct {
+		name   string
+		target *target
+		others []*target
+		queued int
+		want   eligibility
+	}{
+		{"An idle target may take a batch", testTarget("t", "d0"), nil, 1, eligible},
+		{"A target that drains or is gone may not", drains, nil, 1, notUsable},
+		{"A target with a batch may not", busyTarget("t", "d0", time.Second), nil, 1, alreadyBusy},
+		{"A target that has just failed may not", failed, nil, 1, backingOff},
+		{"A target may again once its backoff is over", recovered, nil, 1, eligible},
+		{"A slow target with no other may", slow, nil, 1, eligible},
+		{"A slow target beside an idle fast one may, after it", slow, []*target{testTarget("u", "d0")}, 1, eligible},
+		{"A slow target waits while a busy one will take the whole queue sooner", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 4, slowerThanWaiting},
+		{"not when more is queued than that one takes", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 5, eligible},
+		{"two busy ones take twice as much", slow, []*target{busyTarget("u", "d0", 0), busyTarget("v", "d0", 0)}, 8, slowerThanWaiting},
+		{"not when the busy one would end no sooner", slow, []*target{busyTarget("u", "d0", 260*time.Millisecond)}, 1, eligible},
+		{"A busy target that is overdue is expected to end now", slow, []*target{busyTarget("u", "d0", -time.Minute)}, 1, slowerThanWaiting},
+		{"A stuck target is not waited for", slow, []*target{stuck}, 1, eligible},
+		{"A busy target that drains is not waited for", slow, []*target{gone}, 1, eligible},
+	} {
+		convey.Convey(c.name, t, func() {
+			targets := append([]*target{c.target}, c.others...)
+			convey.So(eligibilityOf(noon, testSpec(), c.target, targets, c.queued), convey.ShouldEqual, c.want)
+		})
+	}
+	convey.Convey("The fastest target comes first, equal ones in the order of the list", t, func() {
+		list := []*target{slowTarget("slow", 1.5), testTarget("a", "d0"), testTarget("b", "d0"), slowTarget("fast", 0.5)}
+		var ids []string
+		for _, e := range eligibleTargets(noon, testSpec(), list, 1) {
+			ids = append(ids, e.ID)
+		}
+		convey.So(ids, convey.ShouldResemble, []string{"fast", "a", "b", "slow"})
+	})
+}
--- /dev/null
+++ b/internal/gateway/batching/locality.go
@@ -0,0 +1,75 @@
+package batching
+
+import (
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+)
+
+// maxNearWait is how long an item may wait for a target in its data centre to fall
+// idle. The waiting itself came with commit b3a4e62, measured together with other
+// changes (docs/MEASUREMENTS.md); the figure was not measured by itself.
+const maxNearWait = 300 * time.Millisecond
+
+// locality says whether an item should go to a target, by their data centres.
+type locality int
+
+const (
+	// anyDataCentre: the item has no data centre, so each target is as good.
+	anyDataCentre locality = iota
+	// sameDataCentre: the target is in the item's data centre.
+	sameDataCentre
+	// noneNearInTime: the target is elsewhere, but no target in the item's data centre
+	// can take the item soon and end before it is due.
+	noneNearInTime
+	// waitForNear: the item should not go to this target, as one in its data centre
+	// can take it in time.
+	waitForNear
+)
+
+// localityOf decides whether an item should go to a target.
+//
+// Its inputs are the item's data centre, where its inputs are or its result will be
+// used (empty for anywhere), its due time, and for each target in that data centre
+// whether it is usable and not backing off, when its running batch should end, and
+// how long a full batch should take there by its learnt slowdown. A near target
+// counts when it is idle, or idle within maxNearWait, and a full batch from then on
+// ends before the item is due. A batch that is overdue or stuck does not count, as
+// nobody knows when it ends.
+//
+// What crosses data centres takes time and is paid for; a short wait costs less.
+// See docs/decisions/0012-batches.md.
+//
+// Going far too readily costs transfers between data centres; waiting too readily
+// leaves targets idle and makes items late.
+func localityOf(now time.Time, spec *catalog.Batch, q *queuedItem, t *target, targets []*target) locality {
+	if q.DataCentre == "" {
+		return anyDataCentre
+	}
+	if q.DataCentre == t.DataCentre {
+		return sameDataCentre
+	}
+	for _, near := range targets {
+		if near.DataCentre == q.DataCentre && near.takesInTime(now, spec, q.Due) {
+			return waitForNear
+		}
+	}
+	return noneNearInTime
+}
+
+// takesInTime says whether the target can take an item within maxNearWait and end
+// a full batch with it before a due time.
+func (t *target) takesInTime(now time.Time, spec *catalog.Batch, due time.Time) bool {
+	if !t.usable || t.backoff.active(now) {
+		return false
+	}
+	wait := time.Duration(0)
+	if t.running != nil {
+		wait = t.running.expectedEnd.Sub(now)
+		if wait < 0 || t.running.stuck {
+			return false
+		}
+	}
+	end := now.Add(wait + t.expectedFull(now, spec))
+	return wait <= maxNearWait && end.Before(due)
+}
--- /dev/null
+++ b/internal/gateway/batching/locality_test.go
@@ -0,0 +1,49 @@
+package batching
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+)
+
+func TestItemWaitsForATargetInItsDataCentreOnlyAsLongAsItIsInTime(t *testing.T) {
+	// A full batch takes 320 ms.
+	const due = 2 * time.Second
+	backsOff := testTarget("n", "d0")
+	backsOff.failed(noon)
+	drains := testTarget("n", "d0")
+	drains.usable = false
+	stuck := busyTarget("n", "d0", 100*time.Millisecond)
+	stuck.running.stuck = true
+	slow := slowTarget("n", 10)
+	for _, c := range []struct {
+		name       string
+		dataCentre string
+		due        time.Duration
+		near       []*target
+		want       locality
+	}{
+		{"An item without a data centre goes anywhere", "", due, []*target{testTarget("n", "d0")}, anyDataCentre},
+		{"An item goes to a target in its data centre", "far", due, []*target{testTarget("n", "d0")}, sameDataCentre},
+		{"An item waits for an idle target in its data centre", "d0", due, []*target{testTarget("n", "d0")}, waitForNear},
+		{"and for one that will be idle in 300 ms", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond)}, waitForNear},
+		{"but not longer", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond+1)}, noneNearInTime},
+		{"and not beyond its due time", "d0", 420 * time.Millisecond, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, noneNearInTime},
+		{"An item that ends just before its due time waits", "d0", 420*time.Millisecond + 1, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, waitForNear},
+		{"No target in the data centre is waited for when there is none", "d0", due, nil, noneNearInTime},
+		{"nor one that backs off", "d0", due, []*target{backsOff}, noneNearInTime},
+		{"nor one that drains", "d0", due, []*target{drains}, noneNearInTime},
+		{"nor one that is stuck", "d0", due, []*target{stuck}, noneNearInTime},
+		{"nor one that is overdue", "d0", due, []*target{busyTarget("n", "d0", -1)}, noneNearInTime},
+		{"nor one that is too slow", "d0", due, []*target{slow}, noneNearInTime},
+		{"One of several near targets is enough", "d0", due, []*target{drains, stuck, testTarget("m", "d0")}, waitForNear},
+	} {
+		convey.Convey(c.name, t, func() {
+			q := &queuedItem{Item: Item{DataCentre: c.dataCentre, Due: noon.Add(c.due)}}
+			far := testTarget("f", "far")
+			targets := append([]*target{far}, c.near...)
+			convey.So(localityOf(noon, testSpec(), q, far, targets), convey.ShouldEqual, c.want)
+		})
+	}
+}
--- a/internal/gateway/batching/rules_test.go
+++ b/internal/gateway/batching/rules_test.go
@@ -26,6 +26,13 @@
 	return t
 }
 
+// busyTarget is a usable target whose batch should end after a while.
+func busyTarget(id, dataCentre string, left time.Duration) *target {
+	t := testTarget(id, dataCentre)
+	t.running = &batch{target: t, expectedEnd: noon.Add(left)}
+	return t
+}
+
 // slowTarget is a usable target without work that was just found to be slow.
 func slowTarget(id string, factor float64) *target {
 	t := testTarget(id, "d0")
--- a/internal/gateway/batching/target.go
+++ b/internal/gateway/batching/target.go
@@ -31,11 +31,6 @@
 	t.answered = false
 }
 
-// idle says whether the target can take a batch.
-func (t *target) idle(now time.Time) bool {
-	return t.usable && t.running == nil && !t.backoff.active(now)
-}
-
 // forgettable says whether nothing of the target matters any more: it is not
 // listed or drains, runs no batch and stores no result.
 func (t *target) forgettable() bool {
