--- /dev/null
+++ b/internal/gateway/batching/estimate.go
@@ -0,0 +1,144 @@
+package batching
+
+import (
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+)
+
+const (
+	// memoryInUse is the fraction of the result memory that is used on average when
+	// it bounds the rate; the rest is free between batches, whose memory is reserved
+	// and released as a whole. 80 per cent were used on Floraria's grown scale-1
+	// (commit 541dc1a; docs/MEASUREMENTS.md, "room as in use").
+	memoryInUse = 0.8
+	// retentionWeight is the weight of the newest released result in the learnt
+	// retention, as a fraction. Not measured; unchanged since it came with commit
+	// 459f9ac.
+	retentionWeight = 0.05
+)
+
+// State is what a core holds, for admission, logs and the state dump.
+type State struct {
+	Stats
+	// Waiting counts the queued items, PastDue those of them that cannot be ready
+	// when they are due.
+	Waiting, PastDue int
+	// Targets counts the usable targets, Busy those of them with a batch and
+	// BackingOff those that are left unused after trouble, with a batch or not.
+	Targets, Busy, BackingOff int
+	// UsedBytes is the result memory that is stored or reserved at all targets,
+	// MemoryBytes all that the usable targets have.
+	UsedBytes, MemoryBytes int64
+	// ItemsPerSecond estimates how many items all targets can compute.
+	ItemsPerSecond float64
+	// Planned counts the announced items that have not been submitted.
+	Planned int
+	// Wait estimates how long a new item waits for its batch, Backlog how long it
+	// takes until all that is queued on time or announced is in a batch. Both are 0
+	// while each target is unusable or backs off.
+	Wait, Backlog time.Duration
+}
+
+// State describes the core and estimates how long its work takes.
+//
+// The estimate decides nothing here; admission refuses requests by Backlog
+// (docs/decisions/0013-planning-stages.md). It is the time until the first target
+// falls idle, and the time for the items at the rate of all targets: full batches
+// at their learnt slowdowns, bound by the result memory. Targets that back off
+// count for nothing, and past-due items are left out, as they go last. Without a
+// catalog, and while each target is unusable or backs off, the estimate is 0, so
+// that admission does not refuse by it.
+//
+// An estimate that is too high refuses requests that would fit, one that is too low
+// admits requests that become late and whose items then use up result memory.
+func (c *Core) State(now time.Time) State {
+	s := State{Stats: c.stats, Waiting: len(c.queue)}
+	if c.spec == nil {
+		return s
+	}
+	earliest := earliestEnd(now, c.spec)
+	for _, q := range c.queue {
+		if q.pastDue(earliest) {
+			s.PastDue++
+		}
+	}
+	s.Planned = c.plans.items()
+	firstIdle := s.addTargets(now, c.spec, c.targets)
+	if bound := c.retention.itemsPerSecond(s.MemoryBytes); bound > 0 {
+		s.ItemsPerSecond = min(s.ItemsPerSecond, bound)
+	}
+	if s.ItemsPerSecond > 0 {
+		onTime := s.Waiting - s.PastDue
+		s.Backlog = firstIdle + timeFor(onTime+s.Planned, s.ItemsPerSecond)
+		s.Wait = firstIdle + timeFor(onTime, s.ItemsPerSecond)
+	}
+	return s
+}
+
+// timeFor returns how long a number of items takes at a rate.
+func timeFor(items int, perSecond float64) time.Duration {
+	return time.Duration(float64(items) / perSecond * float64(time.Second))
+}
+
+// addTargets counts the targets and adds up their rates, and returns how long it
+// takes until the first of them is idle.
+func (s *State) addTargets(now time.Time, spec *catalog.Batch, targets []*target) time.Duration {
+	const unknown = time.Duration(-1)
+	firstIdle := unknown
+	for _, t := range targets {
+		s.UsedBytes += t.memory.used()
+		if !t.usable {
+			continue
+		}
+		s.Targets++
+		s.MemoryBytes += spec.MemoryBytes
+		if t.backoff.active(now) {
+			s.BackingOff++
+			continue
+		}
+		s.ItemsPerSecond += float64(spec.MaxItems) / t.expectedFull(now, spec).Seconds()
+		left := time.Duration(0)
+		if t.running != nil {
+			s.Busy++
+			left = max(t.running.expectedEnd.Sub(now), 0)
+		}
+		if firstIdle == unknown || left < firstIdle {
+			firstIdle = left
+		}
+	}
+	return firstIdle
+}
+
+// retention is the learnt use of result memory by one result. The zero value knows
+// nothing.
+//
+// It decides how many results the memory of all targets lets them compute in a
+// second (itemsPerSecond). Its inputs are the results that are released: the time
+// from the sending of their batch to their release, in seconds, and the estimate of
+// their size, in bytes. Results that expire do not count. What was learnt does not
+// age, but each further release outweighs it a little. Both averages start at 0 and
+// are at two thirds after about twenty releases; until then the bound is too high.
+//
+// Without the bound a service that stores results for long seemed faster than it
+// was, and admission let in more than the later stages could carry
+// (docs/decisions/0013-planning-stages.md).
+type retention struct {
+	seconds float64
+	bytes   float64
+}
+
+// learn takes in a released result.
+func (r *retention) learn(now time.Time, released storedResult) {
+	r.seconds += retentionWeight * (now.Sub(released.since).Seconds() - r.seconds)
+	r.bytes += retentionWeight * (float64(released.bytes) - r.bytes)
+}
+
+// itemsPerSecond returns how many results an amount of memory lets targets compute;
+// 0 for unknown.
+func (r *retention) itemsPerSecond(memoryBytes int64) float64 {
+	if r.seconds <= 0 || r.bytes <= 0 {
+		return 0
+	}
+	return memoryInUse * float64(memoryBytes) / (r.bytes * r.seconds)
+}
--- /dev/null
+++ b/internal/gateway/batching/estimate_test.go
@@ -0,0 +1,113 @@
+package batching
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
+)
+
+// coreOf is a core with some targets and nothing to do.
+func coreOf(targets ...*target) *Core {
+	c := New(retrybudget.Policy{})
+	c.spec = testSpec()
+	c.targets = targets
+	return c
+}
+
+func queueItems(c *Core, n int, due time.Duration) {
+	for range n {
+		c.queue = append(c.queue, &queuedItem{Item: Item{Due: noon.Add(due)}})
+	}
+}
+
+func TestBacklogIsTheTimeForWhatWaitsOrIsPlanned(t *testing.T) {
+	// A full batch of 4 takes 320 ms: 12.5 items a second at each target.
+	shouldEstimate := func(c *Core, wait, backlog time.Duration) {
+		s := c.State(noon)
+		convey.So(s.Wait, convey.ShouldEqual, wait)
+		convey.So(s.Backlog, convey.ShouldEqual, backlog)
+	}
+	backsOff := testTarget("b", "d0")
+	backsOff.failed(noon)
+	drains := testTarget("d", "d0")
+	drains.usable = false
+	convey.Convey("Without a catalog nothing is known", t, func() {
+		c := New(retrybudget.Policy{})
+		queueItems(c, 3, time.Second)
+		convey.So(c.State(noon), convey.ShouldResemble, State{Waiting: 3})
+	})
+	convey.Convey("An idle target takes new items at once", t, func() {
+		shouldEstimate(coreOf(testTarget("a", "d0")), 0, 0)
+	})
+	convey.Convey("A busy one takes them once its batch ends", t, func() {
+		shouldEstimate(coreOf(busyTarget("a", "d0", 100*time.Millisecond)), 100*time.Millisecond, 100*time.Millisecond)
+	})
+	convey.Convey("one whose batch is overdue, now", t, func() {
+		shouldEstimate(coreOf(busyTarget("a", "d0", -time.Second)), 0, 0)
+	})
+	convey.Convey("and of several the first that is idle", t, func() {
+		shouldEstimate(coreOf(busyTarget("a", "d0", 200*time.Millisecond), busyTarget("b", "d0", 100*time.Millisecond)), 100*time.Millisecond, 100*time.Millisecond)
+	})
+	convey.Convey("Queued items count in both, planned ones in the backlog", t, func() {
+		c := coreOf(testTarget("a", "d0"), testTarget("b", "d0"))
+		queueItems(c, 5, time.Second)
+		c.plans.add(Plan{Request: "r", Items: 10, Due: noon})
+		shouldEstimate(c, 200*time.Millisecond, 600*time.Millisecond)
+		convey.So(c.State(noon).Planned, convey.ShouldEqual, 10)
+	})
+	convey.Convey("Past-due items count in neither", t, func() {
+		c := coreOf(testTarget("a", "d0"))
+		queueItems(c, 5, 0)
+		shouldEstimate(c, 0, 0)
+		convey.So(c.State(noon).PastDue, convey.ShouldEqual, 5)
+	})
+	convey.Convey("Targets that drain or back off carry nothing", t, func() {
+		c := coreOf(testTarget("a", "d0"), backsOff, drains)
+		queueItems(c, 5, time.Second)
+		shouldEstimate(c, 400*time.Millisecond, 400*time.Millisecond)
+		s := c.State(noon)
+		convey.So(s.Targets, convey.ShouldEqual, 2)
+		convey.So(s.BackingOff, convey.ShouldEqual, 1)
+		convey.So(s.MemoryBytes, convey.ShouldEqual, 2000)
+	})
+	convey.Convey("Without any other target there is no estimate", t, func() {
+		c := coreOf(backsOff, drains)
+		queueItems(c, 5, time.Second)
+		shouldEstimate(c, 0, 0)
+	})
+	convey.Convey("A slow target carries less", t, func() {
+		c := coreOf(slowTarget("a", 2))
+		queueItems(c, 5, time.Second)
+		shouldEstimate(c, 800*time.Millisecond, 800*time.Millisecond)
+	})
+	convey.Convey("Result memory bounds the rate", t, func() {
+		c := coreOf(testTarget("a", "d0"))
+		c.retention = retention{seconds: 2, bytes: 100}
+		queueItems(c, 4, time.Second)
+		shouldBeAbout(c.State(noon).ItemsPerSecond, 4)
+		shouldEstimate(c, time.Second, time.Second)
+	})
+}
+
+func TestRetentionIsLearntFromReleasedResults(t *testing.T) {
+	convey.Convey("Nothing is known before a release", t, func() {
+		var r retention
+		shouldBeAbout(r.itemsPerSecond(1000), 0)
+	})
+	convey.Convey("A released result weighs a twentieth, in time and size", t, func() {
+		r := retention{seconds: 1, bytes: 100}
+		r.learn(noon, storedResult{bytes: 300, since: noon.Add(-3 * time.Second)})
+		shouldBeAbout(r.seconds, 1.1)
+		shouldBeAbout(r.bytes, 110)
+		convey.Convey("and 0.8 of the memory serves results of that time and size", func() {
+			shouldBeAbout(r.itemsPerSecond(1210), 8)
+		})
+	})
+	convey.Convey("A result that was released as its batch was sent tells no rate", t, func() {
+		r := retention{bytes: 100}
+		shouldBeAbout(r.itemsPerSecond(1000), 0)
+	})
+}
--- /dev/null
+++ b/internal/gateway/batching/plans.go
@@ -0,0 +1,59 @@
+package batching
+
+import (
+	"maps"
+	"time"
+)
+
+// planGrace is how long after its items are due a plan is kept, for requests that
+// are late. Not measured; unchanged since plans came with commit 459f9ac.
+const planGrace = 500 * time.Millisecond
+
+// planKey names the plan of one stage of one request.
+type planKey struct {
+	request string
+	stage   int
+}
+
+// plan is what a request announced for one stage.
+type plan struct {
+	items int
+	due   time.Time
+}
+
+// plans are the announced items that have not been submitted. They count in the
+// backlog (State), by which later requests are admitted, and decide nothing else.
+//
+// A plan is kept until the first items of its stage are submitted, until it is
+// cancelled, or until planGrace after its due time: a node that was lost cancels
+// nothing. See docs/decisions/0013-planning-stages.md.
+//
+// A plan kept too long makes admission refuse requests that would fit; one dropped
+// too early lets in more than the service can carry.
+type plans map[planKey]plan
+
+// add takes in an announcement, in place of an earlier one for the same stage.
+func (p plans) add(ev Plan) {
+	p[planKey{ev.Request, ev.Stage}] = plan{items: ev.Items, due: ev.Due}
+}
+
+// remove ends the plan of a stage, if there is one.
+func (p plans) remove(request string, stage int) {
+	delete(p, planKey{request, stage})
+}
+
+// expire drops the plans that are long due.
+func (p plans) expire(now time.Time) {
+	maps.DeleteFunc(p, func(_ planKey, announced plan) bool {
+		return now.After(announced.due.Add(planGrace))
+	})
+}
+
+// items returns how many items are announced.
+func (p plans) items() int {
+	n := 0
+	for _, announced := range p {
+		n += announced.items
+	}
+	return n
+}
--- /dev/null
+++ b/internal/gateway/batching/stuck.go
@@ -0,0 +1,43 @@
+package batching
+
+import "time"
+
+const (
+	// stuckFactor and stuckExtra say after which time a batch counts as stuck: a
+	// multiple of the expected time, for a target that has become slower, and a fixed
+	// time, for the network and for pauses. Not measured; unchanged since the first
+	// version (72a0bc2), see docs/decisions/0012-batches.md.
+	stuckFactor = 2.0
+	stuckExtra  = 250 * time.Millisecond
+	// timeoutFactor is how many times as long as until it counts as stuck a batch is
+	// awaited at all. Not measured; unchanged since the first version (72a0bc2).
+	timeoutFactor = 3
+)
+
+// stuckAfter returns how long after its sending a batch counts as stuck, by the time
+// that it is expected to take at its target (target.expected).
+//
+// The items of a stuck batch are retried on other targets. Its target backs off, and
+// gets no other batch before this one has ended, since it may still run it. Results of a late answer are stored for items that are still wanted and
+// discarded otherwise.
+//
+// Too short a time computes items twice and uses up the retry budget; too long a
+// time makes the items of a frozen target late.
+func stuckAfter(expected time.Duration) time.Duration {
+	return time.Duration(stuckFactor*float64(expected)) + stuckExtra
+}
+
+// timeout returns the longest that the sending of a batch may take, answer included.
+// It frees the target for other batches when no answer ever comes; the items were
+// retried long before.
+//
+// Too short a time sends a target a second batch while it runs the first; too long
+// a time leaves a target unused that lost the batch.
+func timeout(expected time.Duration) time.Duration {
+	return timeoutFactor * stuckAfter(expected)
+}
+
+// becomesStuck says whether the batch counts as stuck from now on.
+func (b *batch) becomesStuck(now time.Time) bool {
+	return !b.stuck && !now.Before(b.stuckAt)
+}
--- /dev/null
+++ b/internal/gateway/batching/stuck_test.go
@@ -0,0 +1,30 @@
+package batching
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+)
+
+func TestBatchCountsAsStuckAfterTwiceItsExpectedTimeAndAQuarterSecond(t *testing.T) {
+	for _, c := range []struct{ expected, stuck, timeout time.Duration }{
+		{0, 250 * time.Millisecond, 750 * time.Millisecond},
+		{260 * time.Millisecond, 770 * time.Millisecond, 2310 * time.Millisecond},
+		{time.Second, 2250 * time.Millisecond, 6750 * time.Millisecond},
+	} {
+		convey.Convey("A batch that should take "+c.expected.String(), t, func() {
+			convey.So(stuckAfter(c.expected), convey.ShouldEqual, c.stuck)
+			convey.Convey("is awaited for three times as long as until it counts as stuck", func() {
+				convey.So(timeout(c.expected), convey.ShouldEqual, c.timeout)
+			})
+		})
+	}
+	convey.Convey("A batch becomes stuck at its time, and only once", t, func() {
+		b := &batch{stuckAt: noon}
+		convey.So(b.becomesStuck(noon.Add(-1)), convey.ShouldBeFalse)
+		convey.So(b.becomesStuck(noon), convey.ShouldBeTrue)
+		b.stuck = true
+		convey.So(b.becomesStuck(noon), convey.ShouldBeFalse)
+	})
+}
