--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -50,7 +50,7 @@
 	return list
 }
 
-func starts(effects []batching.Effect) []batching.Send {
+func sends(effects []batching.Effect) []batching.Send {
 	var list []batching.Send
 	for _, e := range effects {
 		if s, ok := e.(batching.Send); ok {
@@ -60,7 +60,7 @@
 	return list
 }
 
-func made(s batching.Send) batching.Finished {
+func answered(s batching.Send) batching.Finished {
 	f := batching.Finished{Batch: s.Batch}
 	for _, item := range s.Items {
 		f.Outcomes = append(f.Outcomes, batching.Outcome{Handle: fmt.Sprintf("h%d-%d", s.Batch, item.Token)})
@@ -68,114 +68,114 @@
 	return f
 }
 
-func TestCalls(t *testing.T) {
-	convey.Convey("Items of many requests share a call while the target works", t, func() {
+func TestBatchCarriesTheMostUrgentItemsThatFitItsTarget(t *testing.T) {
+	convey.Convey("Items of many requests gather for one batch while the target is busy", t, func() {
 		c := newCore(1)
-		first := starts(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
+		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
 		convey.So(first, convey.ShouldHaveLength, 1)
-		convey.So(starts(c.Handle(start, batching.Submit{Items: items(2, 2, 2*time.Second)})), convey.ShouldBeEmpty)
-		convey.So(starts(c.Handle(start, batching.Submit{Items: items(4, 3, time.Second)})), convey.ShouldBeEmpty)
-		second := starts(c.Handle(start.Add(300*time.Millisecond), made(first[0])))
+		convey.So(sends(c.Handle(start, batching.Submit{Items: items(2, 2, 2*time.Second)})), convey.ShouldBeEmpty)
+		convey.So(sends(c.Handle(start, batching.Submit{Items: items(4, 3, time.Second)})), convey.ShouldBeEmpty)
+		second := sends(c.Handle(start.Add(300*time.Millisecond), answered(first[0])))
 		convey.So(second, convey.ShouldHaveLength, 1)
 		convey.So(second[0].Items, convey.ShouldHaveLength, 4)
 		convey.Convey("and what is due first goes first", func() {
 			convey.So(second[0].Items[0].Token, convey.ShouldEqual, 4)
 		})
 	})
-	convey.Convey("A call never asks for more room than the target has", t, func() {
+	convey.Convey("A batch never needs more result memory than the target has", t, func() {
 		c := newCore(1)
 		big := items(1, 3, 2*time.Second)
 		for i := range big {
 			big[i].Bytes = 400
 		}
-		s := starts(c.Handle(start, batching.Submit{Items: big}))
+		s := sends(c.Handle(start, batching.Submit{Items: big}))
 		convey.So(s[0].Items, convey.ShouldHaveLength, 2)
-		convey.Convey("and the rest waits until a result is freed", func() {
-			convey.So(starts(c.Handle(start.Add(300*time.Millisecond), made(s[0]))), convey.ShouldBeEmpty)
-			freed := c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: "t0", Handles: []string{"h1-1"}})
-			convey.So(starts(freed), convey.ShouldHaveLength, 1)
+		convey.Convey("and the rest waits until a result is released", func() {
+			convey.So(sends(c.Handle(start.Add(300*time.Millisecond), answered(s[0]))), convey.ShouldBeEmpty)
+			released := c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: "t0", Handles: []string{"h1-1"}})
+			convey.So(sends(released), convey.ShouldHaveLength, 1)
 		})
 	})
-	convey.Convey("A target that leaves gets no call", t, func() {
+	convey.Convey("A target that drains gets no batch", t, func() {
 		c := newCore(1)
 		leaving := targets(1)
 		leaving[0].State = directory.Draining
 		c.Handle(start, batching.Configure{Service: service(), Targets: leaving})
-		convey.So(starts(c.Handle(start, batching.Submit{Items: items(1, 1, time.Second)})), convey.ShouldBeEmpty)
+		convey.So(sends(c.Handle(start, batching.Submit{Items: items(1, 1, time.Second)})), convey.ShouldBeEmpty)
 	})
-	convey.Convey("Items wait for a target where their inputs are, but not beyond what is due", t, func() {
+	convey.Convey("Items wait for a target in the data centre of their inputs, but not beyond their due time", t, func() {
 		c := newCore(2)
 		busy := items(1, 1, 2*time.Second)
 		busy[0].DataCentre = "d0"
-		s := starts(c.Handle(start, batching.Submit{Items: busy}))
+		s := sends(c.Handle(start, batching.Submit{Items: busy}))
 		convey.So(s[0].Target.ID, convey.ShouldEqual, "t0")
 		near := items(2, 1, 2*time.Second)
 		near[0].DataCentre = "d0"
-		convey.So(starts(c.Handle(start, batching.Submit{Items: near})), convey.ShouldBeEmpty)
+		convey.So(sends(c.Handle(start, batching.Submit{Items: near})), convey.ShouldBeEmpty)
 		urgent := items(3, 1, 500*time.Millisecond)
 		urgent[0].DataCentre = "d0"
-		far := starts(c.Handle(start, batching.Submit{Items: urgent}))
+		far := sends(c.Handle(start, batching.Submit{Items: urgent}))
 		convey.So(far, convey.ShouldHaveLength, 1)
 		convey.So(far[0].Target.ID, convey.ShouldEqual, "t1")
 	})
 	convey.Convey("With a target that has become slow", t, func() {
 		c := newCore(2)
-		s := starts(c.Handle(start, batching.Submit{Items: items(1, 8, 2*time.Second)}))
-		c.Handle(start.Add(320*time.Millisecond), made(s[0]))
+		s := sends(c.Handle(start, batching.Submit{Items: items(1, 8, 2*time.Second)}))
+		c.Handle(start.Add(320*time.Millisecond), answered(s[0]))
 		now := start.Add(1600 * time.Millisecond)
-		c.Handle(now, made(s[1]))
-		fast := starts(c.Handle(now, batching.Submit{Items: items(10, 4, 4*time.Second)}))
+		c.Handle(now, answered(s[1]))
+		fast := sends(c.Handle(now, batching.Submit{Items: items(10, 4, 4*time.Second)}))
 		convey.So(fast, convey.ShouldHaveLength, 1)
 		convey.So(fast[0].Target.ID, convey.ShouldEqual, "t0")
 		convey.Convey("a few items wait for the fast one", func() {
-			convey.So(starts(c.Handle(now, batching.Submit{Items: items(14, 4, 4*time.Second)})), convey.ShouldBeEmpty)
+			convey.So(sends(c.Handle(now, batching.Submit{Items: items(14, 4, 4*time.Second)})), convey.ShouldBeEmpty)
 		})
 		convey.Convey("more than that one can take next go to the slow one too", func() {
-			slow := starts(c.Handle(now, batching.Submit{Items: items(14, 6, 4*time.Second)}))
+			slow := sends(c.Handle(now, batching.Submit{Items: items(14, 6, 4*time.Second)}))
 			convey.So(slow, convey.ShouldHaveLength, 1)
 			convey.So(slow[0].Target.ID, convey.ShouldEqual, "t1")
 		})
 	})
-	convey.Convey("Items that cannot be in time give way", t, func() {
+	convey.Convey("Items that cannot be in time go last", t, func() {
 		c := newCore(1)
-		s := starts(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
+		s := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
 		back := items(2, 3, time.Second)
 		for i := range back {
 			back[i].Due = start.Add(100 * time.Millisecond)
 		}
 		c.Handle(start, batching.Submit{Items: back})
 		c.Handle(start, batching.Submit{Items: items(5, 4, 2*time.Second)})
-		next := starts(c.Handle(start.Add(300*time.Millisecond), made(s[0])))
+		next := sends(c.Handle(start.Add(300*time.Millisecond), answered(s[0])))
 		convey.So(next[0].Items[0].Token, convey.ShouldEqual, 5)
 		convey.So(next[0].Items[3].Token, convey.ShouldEqual, 8)
 	})
 }
 
-func TestTrouble(t *testing.T) {
-	convey.Convey("A target reads its inputs at once only when it is known to have no other call", t, func() {
+func TestItemsOutliveTroubleAtTheirTarget(t *testing.T) {
+	convey.Convey("A target counts as idle only after its last batch ended with its answer", t, func() {
 		c := newCore(1)
-		first := starts(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
+		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
 		convey.So(first[0].TargetIdle, convey.ShouldBeFalse)
-		c.Handle(start.Add(300*time.Millisecond), made(first[0]))
-		second := starts(c.Handle(start.Add(300*time.Millisecond), batching.Submit{Items: items(2, 1, 2*time.Second)}))
+		c.Handle(start.Add(300*time.Millisecond), answered(first[0]))
+		second := sends(c.Handle(start.Add(300*time.Millisecond), batching.Submit{Items: items(2, 1, 2*time.Second)}))
 		convey.So(second[0].TargetIdle, convey.ShouldBeTrue)
 		lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "reset")
 		c.Handle(start.Add(600*time.Millisecond), batching.Finished{Batch: second[0].Batch, Err: lost})
-		third := starts(c.Handle(start.Add(time.Second), batching.Tick{}))
+		third := sends(c.Handle(start.Add(time.Second), batching.Tick{}))
 		convey.So(third[0].TargetIdle, convey.ShouldBeFalse)
 	})
-	convey.Convey("Items of a call that is stuck go elsewhere, and its late results are freed", t, func() {
+	convey.Convey("Items of a stuck batch go to another target, and its late results are discarded", t, func() {
 		c := newCore(2)
-		s := starts(c.Handle(start, batching.Submit{Items: items(1, 1, 5*time.Second)}))
-		again := starts(c.Handle(start.Add(2*time.Second), batching.Tick{}))
+		s := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 5*time.Second)}))
+		again := sends(c.Handle(start.Add(2*time.Second), batching.Tick{}))
 		convey.So(again, convey.ShouldHaveLength, 1)
 		convey.So(again[0].Target.ID, convey.ShouldNotEqual, s[0].Target.ID)
-		c.Handle(start.Add(2300*time.Millisecond), made(again[0]))
-		late := c.Handle(start.Add(2400*time.Millisecond), made(s[0]))
+		c.Handle(start.Add(2300*time.Millisecond), answered(again[0]))
+		late := c.Handle(start.Add(2400*time.Millisecond), answered(s[0]))
 		convey.So(late, convey.ShouldHaveLength, 1)
 		convey.So(late[0], convey.ShouldHaveSameTypeAs, batching.Discard{})
 	})
-	convey.Convey("An item that cannot be made in the time left is given up at once", t, func() {
+	convey.Convey("An item that cannot finish before its deadline fails at once", t, func() {
 		c := newCore(1)
 		c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)})
 		short := items(2, 1, time.Second)
@@ -185,16 +185,16 @@
 		convey.So(out, convey.ShouldHaveLength, 1)
 		convey.So(out[0].(batching.Resolve).Err.Reason(), convey.ShouldEqual, verdict.ReasonDeadline)
 	})
-	convey.Convey("An item whose input is gone is not tried again", t, func() {
+	convey.Convey("An item whose input is gone is not retried", t, func() {
 		c := newCore(1)
-		s := starts(c.Handle(start, batching.Submit{Items: items(1, 1, time.Second)}))
+		s := sends(c.Handle(start, batching.Submit{Items: items(1, 1, time.Second)}))
 		out := c.Handle(start.Add(time.Second), batching.Finished{Batch: s[0].Batch, Outcomes: []batching.Outcome{{Status: batching.InputGone}}})
 		convey.So(out, convey.ShouldHaveLength, 1)
 		convey.So(out[0].(batching.Resolve).Err.Reason(), convey.ShouldEqual, verdict.ReasonInputGone)
 	})
-	convey.Convey("An answer for other items than were asked counts as a failure", t, func() {
+	convey.Convey("An answer with another number of items than were sent counts as a failure", t, func() {
 		c := newCore(1)
-		s := starts(c.Handle(start, batching.Submit{Items: items(1, 2, 2*time.Second)}))
+		s := sends(c.Handle(start, batching.Submit{Items: items(1, 2, 2*time.Second)}))
 		out := c.Handle(start.Add(300*time.Millisecond), batching.Finished{Batch: s[0].Batch, Outcomes: []batching.Outcome{{Handle: "h"}}})
 		for _, e := range out {
 			_, resolved := e.(batching.Resolve)
@@ -205,15 +205,18 @@
 
 // oracle follows a core from outside and knows what must hold.
 type oracle struct {
-	t       *rapid.T
-	core    *batching.Core
-	now     time.Time
-	open    map[batching.Token]bool
-	running map[batching.BatchID]batching.Send
-	busy    map[string]batching.BatchID
-	leaving map[string]bool
-	made    map[string]bool
-	kept    map[string]string
+	t        *rapid.T
+	core     *batching.Core
+	now      time.Time
+	open     map[batching.Token]bool
+	running  map[batching.BatchID]batching.Send
+	busy     map[string]batching.BatchID
+	draining map[string]bool
+	// unclaimed are results that a target computed and that are neither used nor
+	// discarded yet.
+	unclaimed map[string]bool
+	// used maps the results of ended items to their targets.
+	used    map[string]string
 	next    int
 	handles int
 }
@@ -225,49 +228,49 @@
 			o.start(e)
 		case batching.Resolve:
 			if !o.open[e.Token] {
-				o.t.Fatalf("item %d was resolved twice or after it was withdrawn", e.Token)
+				o.t.Fatalf("item %d ended twice or after it was withdrawn", e.Token)
 			}
 			delete(o.open, e.Token)
 			if e.Err == nil {
-				o.kept[e.Result.Handle] = e.Result.Target
-				delete(o.made, e.Result.Handle)
+				o.used[e.Result.Handle] = e.Result.Target
+				delete(o.unclaimed, e.Result.Handle)
 			}
 		case batching.Discard:
 			for _, h := range e.Handles {
-				if !o.made[h] && o.kept[h] == "" {
-					o.t.Fatalf("result %s was freed twice or never made", h)
+				if !o.unclaimed[h] && o.used[h] == "" {
+					o.t.Fatalf("result %s was discarded twice or never computed", h)
 				}
-				delete(o.made, h)
-				delete(o.kept, h)
+				delete(o.unclaimed, h)
+				delete(o.used, h)
 			}
 		}
 	}
-	if len(o.made) > 0 {
-		o.t.Fatalf("results %v are neither used nor freed", o.made)
+	if len(o.unclaimed) > 0 {
+		o.t.Fatalf("results %v are neither used nor discarded", o.unclaimed)
 	}
 }
 
 func (o *oracle) start(e batching.Send) {
 	if o.busy[e.Target.ID] != 0 {
-		o.t.Fatalf("target %s got a second call", e.Target.ID)
+		o.t.Fatalf("target %s got a second batch", e.Target.ID)
 	}
-	if o.leaving[e.Target.ID] {
-		o.t.Fatalf("target %s leaves and got a call", e.Target.ID)
+	if o.draining[e.Target.ID] {
+		o.t.Fatalf("target %s drains and got a batch", e.Target.ID)
 	}
 	if len(e.Items) == 0 || len(e.Items) > 4 {
-		o.t.Fatalf("a call has %d items", len(e.Items))
+		o.t.Fatalf("a batch has %d items", len(e.Items))
 	}
 	for _, item := range e.Items {
 		if !o.open[item.Token] {
-			o.t.Fatalf("item %d was asked for after its end", item.Token)
+			o.t.Fatalf("item %d was sent after its end", item.Token)
 		}
 	}
 	o.busy[e.Target.ID] = e.Batch
 	o.running[e.Batch] = e
 }
 
-// anyCall returns the oldest call at work.
-func (o *oracle) anyCall() (batching.Send, bool) {
+// oldestBatch returns the oldest running batch.
+func (o *oracle) oldestBatch() (batching.Send, bool) {
 	var oldest batching.Send
 	for id, s := range o.running {
 		if oldest.Batch == 0 || id < oldest.Batch {
@@ -292,19 +295,19 @@
 		if refusal == batching.Done {
 			o.handles++
 			out.Handle = fmt.Sprintf("h%d", o.handles)
-			o.made[out.Handle] = true
+			o.unclaimed[out.Handle] = true
 		}
 		f.Outcomes = append(f.Outcomes, out)
 	}
 	o.handle(f)
 }
 
-func TestCoreAgainstOracle(t *testing.T) {
+func TestEveryItemEndsOnceAndNoResultIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
 			t: t, core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 5, MaxNodes: 1}), now: start,
 			open: map[batching.Token]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
-			leaving: map[string]bool{}, made: map[string]bool{}, kept: map[string]string{},
+			draining: map[string]bool{}, unclaimed: map[string]bool{}, used: map[string]string{},
 		}
 		o.handle(batching.Configure{Service: service(), Targets: targets(3)})
 		t.Repeat(map[string]func(*rapid.T){
@@ -326,15 +329,15 @@
 				o.handle(batching.Withdraw{Tokens: []batching.Token{token}})
 			},
 			"finish": func(t *rapid.T) {
-				if s, ok := o.anyCall(); ok {
+				if s, ok := o.oldestBatch(); ok {
 					o.finish(s)
 				}
 			},
 			"release": func(*rapid.T) {
-				for h, target := range o.kept {
+				for h, target := range o.used {
 					o.handle(batching.Release{Target: target, Handles: []string{h}})
-					// A target that the core has forgotten frees its results itself.
-					delete(o.kept, h)
+					// The core may have forgotten the target; its results then expire there.
+					delete(o.used, h)
 					return
 				}
 			},
@@ -345,24 +348,40 @@
 			"targets": func(t *rapid.T) {
 				list := targets(3)
 				for i := range list {
-					o.leaving[list[i].ID] = rapid.Bool().Draw(t, "leaves")
-					if o.leaving[list[i].ID] {
+					o.draining[list[i].ID] = rapid.Bool().Draw(t, "drains")
+					if o.draining[list[i].ID] {
 						list[i].State = directory.Draining
 					}
 				}
 				o.handle(batching.Configure{Service: service(), Targets: list})
 			},
 		})
-		// In the end every item has an answer.
+		// In the end every item has ended.
 		for range 200 {
 			o.now = o.now.Add(100 * time.Millisecond)
-			if s, ok := o.anyCall(); ok {
+			if s, ok := o.oldestBatch(); ok {
 				o.finish(s)
 			}
 			o.handle(batching.Tick{})
 		}
 		if len(o.open) > 0 {
-			t.Fatalf("items %v never got an answer", o.open)
+			t.Fatalf("items %v never ended", o.open)
+		}
+	})
+}
+
+func TestSameEventsGiveTheSameEffects(t *testing.T) {
+	convey.Convey("Batches that get stuck at once are given up in the order of their targets", t, func() {
+		for range 20 {
+			c := batching.New(retrybudget.Policy{Extra: 4, MaxNodes: 1, Window: 10 * time.Second})
+			c.Handle(start, batching.Configure{Service: service(), Targets: targets(3)})
+			convey.So(sends(c.Handle(start, batching.Submit{Items: items(1, 12, 5*time.Second)})), convey.ShouldHaveLength, 3)
+			// The budget has 4 retries: they go to the items of the first target.
+			effects := c.Handle(start.Add(2*time.Second), batching.Tick{})
+			convey.So(effects, convey.ShouldHaveLength, 8)
+			for i, e := range effects {
+				convey.So(e.(batching.Resolve).Token, convey.ShouldEqual, i+5)
+			}
 		}
 	})
 }
--- a/internal/gateway/batching/bench_test.go
+++ b/internal/gateway/batching/bench_test.go
@@ -22,7 +22,7 @@
 	c.Handle(now, batching.Configure{Service: service(), Targets: targets(benchTargets)})
 	var running []batching.Send
 	for token := 1; token <= benchQueue+4*benchTargets; token += benchGroup {
-		running = append(running, starts(c.Handle(now, batching.Submit{Items: benchItems(now, token)}))...)
+		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, token)}))...)
 	}
 	return c, running
 }
@@ -48,16 +48,16 @@
 	b.ResetTimer()
 	for b.Loop() {
 		now = now.Add(25 * time.Millisecond)
-		running = append(running, starts(c.Handle(now, batching.Submit{Items: benchItems(now, token)}))...)
+		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, token)}))...)
 		token += benchGroup
-		done := made(running[0])
+		done := answered(running[0])
 		target := running[0].Target.ID
-		running = append(running[1:], starts(c.Handle(now, done))...)
+		running = append(running[1:], sends(c.Handle(now, done))...)
 		handles := make([]string, len(done.Outcomes))
 		for i, out := range done.Outcomes {
 			handles[i] = out.Handle
 		}
-		running = append(running, starts(c.Handle(now, batching.Release{Target: target, Handles: handles}))...)
+		running = append(running, sends(c.Handle(now, batching.Release{Target: target, Handles: handles}))...)
 	}
 	b.ReportMetric(float64(c.State(now).Waiting), "waiting")
 }
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -1,10 +1,35 @@
-// Package batching decides which items of many requests share a call to a
-// target of a batch service, in which order and where. It does no input or
-// output and reads no clock: events go in, effects come out.
+// Package batching decides which items of many requests share a batch at a target
+// of a batch service, in which order they go and which target gets them.
 //
-// One node forms all the calls of a service, so that few calls carry many
-// items. A target works on one call at a time; while it works, the items of its
-// next call gather.
+// One node, the coordinator of a service, assembles all its batches, so that few
+// batches carry many items: a batch costs a fixed time and a little for each item.
+// A target works on one batch at a time; while it does, the items of its next one
+// gather. See docs/decisions/0012-batches.md and 0013-planning-stages.md.
+//
+// The package owns the queue of one service, its running batches, its plans, and
+// what is learnt of its targets: slowdown, use of result memory, backoff. It has
+// one Core a service, does no input or output, reads no clock and starts nothing:
+// events go in, effects come out, and the same events at the same times give the
+// same effects (the number of members that share the retry budget is the only other
+// input). Each rule has a file of its own:
+//
+//   - order.go: in which order items go
+//   - eligible.go: which targets may take a batch, and which goes first
+//   - locality.go: whether an item waits for a target in its data centre
+//   - fill.go and memory.go: which items a batch takes, and the result memory
+//   - deadline.go: which items are dropped
+//   - stuck.go, retry.go and targetbackoff.go: what happens after a failure
+//   - slowdown.go: how fast a target is
+//   - estimate.go and plans.go: what a service can carry, for admission
+//
+// It relies on its shell to report each end of a batch, in time or by the timeout of
+// Send, and to send a Tick often while a core is not Idle: without Ticks a stuck
+// batch is detected, and an item past its deadline dropped, only at the next event.
+// It relies on the catalog for sizes and times: without it items wait, and are
+// dropped at their deadlines. When the list of targets is not up to date, batches
+// go to targets that are gone and are retried on others. When the coordinator is
+// lost, all of this is lost with it: another node begins with an empty queue, and
+// the results that it does not know of use memory until they expire.
 package batching
 
 import (
@@ -15,39 +40,40 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// Token names one submitted item within one core.
+// Token identifies one submitted item within one core.
 type Token uint64
 
-// BatchID names one call within one core.
+// BatchID identifies one batch within one core; 0 is none.
 type BatchID uint64
 
-// Item is one piece of a stage's work.
+// Item is one piece of a stage's work, which gives one result.
 type Item struct {
 	Token   Token
 	Request string
 	Stage   int
 	Index   int
-	// Source is the key of what the item is made from; empty when it has inputs.
+	// Source is the key of the data that the item is computed from; empty when it has
+	// inputs.
 	Source string
-	// Inputs are the handles of the results that the item is made from.
+	// Inputs are the handles of the results that the item is computed from.
 	Inputs []string
-	// Bytes is roughly the size of the result.
+	// Bytes is an estimate of the size of the result.
 	Bytes int64
-	// Due is when the item should be ready for its request to be in time.
+	// Due is when the result should be ready for the request to be in time.
 	Due time.Time
-	// Deadline is when the item is of no use any more.
+	// Deadline is when the result is of no use any more.
 	Deadline time.Time
 	// Priority is lower for items that go first.
 	Priority int
-	// DataCentre is where the result will be used; empty for anywhere.
+	// DataCentre is where the inputs are or the result will be used; empty for anywhere.
 	DataCentre string
 }
 
 // Result is a finished item.
 type Result struct {
-	// Handle names the result at the target that made it.
+	// Handle identifies the result at the target that stores it.
 	Handle string
-	// Target is the identity of the target that made it.
+	// Target is the identity of that target.
 	Target string
 	// DataCentre is where that target is.
 	DataCentre string
@@ -60,34 +86,36 @@
 	Status Status
 }
 
-// Status is a target's reason for not making an item.
+// Status is a target's reason for giving no result for an item.
 type Status int
 
-// Reasons of targets.
+// Statuses of items.
 const (
-	// Done means that there is a handle.
+	// Done means that there is a result.
 	Done Status = iota
-	// PastDeadline means that the time left had run out.
+	// PastDeadline means that the item's deadline was over when the target came to it.
 	PastDeadline
 	// InputGone means that an input does not exist any more.
 	InputGone
 	// NoMemory means that the target has no memory for the result.
 	NoMemory
-	// Failed means that the work failed.
+	// Failed means that computing the result failed.
 	Failed
 )
 
 // Event is what can happen to the core.
 type Event interface{ isEvent() }
 
-// Configure tells the service and its targets.
+// Configure sets the service and its targets. A nil service, or one without
+// batches, leaves the earlier one in force; targets that are not listed are not used
+// any more.
 type Configure struct {
 	Service *catalog.Service
 	Targets []directory.Target
 }
 
-// Plan tells of items that will be submitted later. It ends when they are, when
-// it is cancelled, or when they are long due.
+// Plan announces items that will be submitted later. It ends when the first of them
+// are, when it is cancelled, or when they are long due.
 type Plan struct {
 	Request string
 	Stage   int
@@ -95,32 +123,36 @@
 	Due     time.Time
 }
 
-// CancelPlan ends the plans of a request.
+// CancelPlan ends the plan of one stage of a request.
 type CancelPlan struct {
 	Request string
 	Stage   int
 }
 
-// Submit hands in items; each gets one Resolve, unless it is withdrawn.
+// Submit adds items to the queue; each gets one Resolve, unless it is withdrawn.
 type Submit struct{ Items []Item }
 
-// Withdraw takes items back; their results are freed.
+// Withdraw removes items that nobody waits for any more; the results of those in a
+// batch are discarded when it ends.
 type Withdraw struct{ Tokens []Token }
 
-// Finished reports the end of a call.
+// Finished reports the end of a batch.
 type Finished struct {
-	Batch    BatchID
+	Batch BatchID
+	// Outcomes are those of the items of Send, in their order; any other number
+	// counts as a failure. They do not count when there is an error.
 	Outcomes []Outcome
 	Err      *verdict.Error
 }
 
-// Release frees results that have been used or are not needed.
+// Release ends the use of results that have been read or are not needed.
 type Release struct {
+	// Target is the identity of the target that stores them.
 	Target  string
 	Handles []string
 }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Configure) isEvent()  {}
@@ -132,18 +164,18 @@
 func (Release) isEvent()    {}
 func (Tick) isEvent()       {}
 
-// Effect is what a shell must carry out.
+// Effect is what the shell must carry out.
 type Effect interface{ isEffect() }
 
-// Send sends a call to a target.
+// Send sends a batch to a target; its end must be reported by Finished.
 type Send struct {
 	Batch  BatchID
 	Target directory.Target
 	Items  []Item
-	// Timeout is the longest that the call may take.
+	// Timeout is the longest that the batch may take, answer included.
 	Timeout time.Duration
-	// TargetIdle says that the target is known to have no other call, so that it reads
-	// the items' inputs as soon as the call comes.
+	// TargetIdle says that the target is known to run no other batch, so that it reads
+	// the items' inputs as soon as this one arrives.
 	TargetIdle bool
 }
 
@@ -154,7 +186,7 @@
 	Err    *verdict.Error
 }
 
-// Discard tells a target to forget results.
+// Discard asks a target to drop results.
 type Discard struct {
 	Target  directory.Target
 	Handles []string
