--- a/internal/gateway/batching/estimate.go
+++ b/internal/gateway/batching/estimate.go
@@ -121,7 +121,7 @@
 // are at two thirds after about twenty releases; until then the bound is too high.
 //
 // Without the bound a service that stores results for long seemed faster than it
-// was, and admission let in more than the later stages could carry
+// was, and admission accepted more than the later stages could carry
 // (docs/decisions/0013-planning-stages.md).
 type retention struct {
 	seconds float64
--- a/internal/gateway/batching/locality.go
+++ b/internal/gateway/batching/locality.go
@@ -37,8 +37,8 @@
 // ends before the item is due. A batch that is overdue or stuck does not count, as
 // nobody knows when it ends.
 //
-// What crosses data centres takes time and is paid for; a short wait costs less.
-// See docs/decisions/0012-batches.md.
+// Results that cross data centres take time and are among the largest costs of a day
+// (docs/MEASUREMENTS.md); a short wait costs less. See docs/decisions/0012-batches.md.
 //
 // Going far too readily costs transfers between data centres; waiting too readily
 // leaves targets idle and makes items late.
--- a/internal/gateway/batching/order.go
+++ b/internal/gateway/batching/order.go
@@ -24,9 +24,8 @@
 //
 // An item that is past due can no longer be in time, while the items behind it
 // can: taking it first would make them late as well, and an overload would last
-// after its cause is over. See docs/decisions/0012-batches.md and 0013: letting
-// past-due items go last, with inputs released early, took the scores from 0.950
-// to 0.974 (Kowhai) and from 0.647 to 0.844 (Floraria), docs/MEASUREMENTS.md.
+// after its cause is over. See docs/decisions/0012-batches.md. The order has stood
+// since the first version (72a0bc2) and was not measured by itself.
 //
 // A wrong order makes requests late that could have been in time.
 func sortQueue(queue []*queuedItem, earliest time.Time) {
--- a/internal/gateway/batching/plans.go
+++ b/internal/gateway/batching/plans.go
@@ -29,7 +29,7 @@
 // nothing. See docs/decisions/0013-planning-stages.md.
 //
 // A plan kept too long makes admission refuse requests that would fit; one dropped
-// too early lets in more than the service can carry.
+// too early admits more than the service can carry.
 type plans map[planKey]plan
 
 // add takes in an announcement, in place of an earlier one for the same stage.
--- a/internal/gateway/batching/slowdown.go
+++ b/internal/gateway/batching/slowdown.go
@@ -15,10 +15,12 @@
 	slowdownHalfLife = 4 * time.Second
 	// keptPerHalfLife is what a half-life leaves, by its definition.
 	keptPerHalfLife = 0.5
-	// minSlowdown and maxSlowdown bound what one batch may teach, as factors of the
-	// catalog's time, so that a single odd measurement does not decide for long. Not
-	// measured; unchanged since the first version (72a0bc2).
+	// minSlowdown is the least that one batch may teach, as a factor of the catalog's
+	// time, so that a single odd measurement does not decide for long. Not measured;
+	// unchanged since the first version (72a0bc2).
 	minSlowdown = 0.3
+	// maxSlowdown is the most, for the same reason. Not measured; unchanged since the
+	// first version (72a0bc2).
 	maxSlowdown = 20
 )
 
--- a/internal/gateway/batching/stuck.go
+++ b/internal/gateway/batching/stuck.go
@@ -3,12 +3,13 @@
 import "time"
 
 const (
-	// stuckFactor and stuckExtra say after which time a batch counts as stuck: a
-	// multiple of the expected time, for a target that has become slower, and a fixed
-	// time, for the network and for pauses. Not measured; unchanged since the first
-	// version (72a0bc2), see docs/decisions/0012-batches.md.
+	// stuckFactor is how many times as long as expected a batch may take before it
+	// counts as stuck, for targets that have become slower. Not measured; unchanged
+	// since the first version (72a0bc2), see docs/decisions/0012-batches.md.
 	stuckFactor = 2.0
-	stuckExtra  = 250 * time.Millisecond
+	// stuckExtra is what it may take beyond that, for the network and for pauses. Not
+	// measured; unchanged since the first version (72a0bc2).
+	stuckExtra = 250 * time.Millisecond
 	// timeoutFactor is how many times as long as until it counts as stuck a batch is
 	// awaited at all. Not measured; unchanged since the first version (72a0bc2).
 	timeoutFactor = 3
