--- a/internal/native/node/bundles.go
+++ b/internal/native/node/bundles.go
@@ -1,8 +1,11 @@
 package node
 
 import (
+	"github.com/asynkron/protoactor-go/actor"
 	"github.com/pkg/errors"
+	"github.com/rs/zerolog"
 
+	"github.com/honeydyke/honeydyke/internal/native/admission"
 	"github.com/honeydyke/honeydyke/internal/native/rollout"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
@@ -64,3 +67,95 @@
 	}
 	return state, nil
 }
+
+// bundleActor owns the node's rollout.State. It puts plans in force and decides
+// when the node begins to serve.
+type bundleActor struct {
+	incarnation *incarnation
+	gate        *gate
+	members     *members
+	log         zerolog.Logger
+
+	state   rollout.State
+	history bundle.History
+	start   startRule
+}
+
+// Receive implements actor.Actor.
+func (a *bundleActor) Receive(c actor.Context) {
+	switch m := c.Message().(type) {
+	case offered:
+		a.accept(m)
+	case confirmed:
+		a.confirm(m)
+	case peerAnswered:
+		a.start.peerAnswered = true
+		a.serve()
+	case serviceAnswered:
+		a.start.serviceAnswered = true
+		a.serve()
+	case timePassed:
+		a.apply(a.state.WithTime(a.incarnation.now()))
+		a.serve()
+	case describeBundle:
+		c.Respond(bundleState{state: a.state, history: a.history})
+	}
+}
+
+func (a *bundleActor) confirm(m confirmed) {
+	if newest := a.state.Newest(); newest != nil && newest.Digest() == m.digest {
+		a.state = a.state.WithConfirmed(a.incarnation.now())
+	}
+}
+
+// accept takes a verified bundle unless it is older than the newest one. A newer
+// one is passed on to peers at once.
+func (a *bundleActor) accept(m offered) {
+	before := a.state.Newest()
+	next, err := a.state.WithOffer(a.incarnation.now(), m.plan)
+	if err != nil {
+		a.log.Warn().Err(err).Str("source", m.source).Msg("bundle: refused, the one in force stays")
+		return
+	}
+	newer := next.Newest() != before
+	if newer {
+		a.history = a.history.With(m.signed)
+		a.logNewest(before, m)
+	}
+	a.apply(next)
+	if newer {
+		a.members.send(exchangeNow{})
+	}
+}
+
+func (a *bundleActor) logNewest(before *bundle.Plan, m offered) {
+	if before != nil && !bundle.Follows(before, m.plan) {
+		a.log.Warn().Int("from", before.Number()).Int("to", m.plan.Number()).Msg("bundle: numbers were missed, the newest is taken whole")
+	}
+	a.log.Info().Int("number", m.plan.Number()).Str("source", m.source).Msg("bundle: verified")
+}
+
+// apply puts the plan in force that next holds.
+func (a *bundleActor) apply(next rollout.State) {
+	changed := next.InForce() != a.state.InForce()
+	a.state = next
+	if !changed {
+		return
+	}
+	plan := next.InForce()
+	a.gate.apply(admission.Install{Plan: plan})
+	a.incarnation.plan.Store(plan)
+	a.log.Info().Int("number", plan.Number()).Msg("bundle: in force")
+	a.serve()
+}
+
+// serve ends the start of the node once it has a bundle and the start rule is
+// met.
+func (a *bundleActor) serve() {
+	if a.incarnation.currentPhase() != Starting || a.state.InForce() == nil {
+		return
+	}
+	if a.start.met(a.incarnation.age()) && a.incarnation.startServing() {
+		a.log.Info().Int("bundle", a.state.InForce().Number()).Msg("node: serving")
+	}
+}
--- a/internal/native/node/execution.go
+++ b/internal/native/node/execution.go
@@ -11,6 +11,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
+// microsecondsPerMillisecond converts a time to fractions of milliseconds.
 const microsecondsPerMillisecond = 1000
 
 // execution carries out the effects of the package request for one job. Its loop
--- a/internal/native/node/gate.go
+++ b/internal/native/node/gate.go
@@ -12,18 +12,23 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// gate carries out the effects of the admission core: it lets callers wait for
-// their answers and lets time pass in the core. A lock, not an actor, owns the
-// core, because every attempt of the request path passes here (see
-// docs/decisions/0002-lock-around-admission.md).
+// minimumTick is the shortest time between two ticks of the core; not measured.
+const minimumTick = time.Millisecond
+
+// gate owns the admission core and carries out its effects: it wakes those who
+// wait for the core's answers, and applies a Tick when held work is due. A lock,
+// not an actor, guards the core, because every attempt of the request path passes
+// here (docs/decisions/0002-lock-around-admission.md).
 type gate struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	core    *admission.Core
+	mu   sync.Mutex
+	core *admission.Core
+	// waiting holds a channel of capacity 1 for each event that has no answer yet.
 	waiting map[uint64]chan admission.Effect
-	timer   *time.Timer
-	lastID  uint64
+	// timer fires at the core's next tick; nil when nothing is held.
+	timer  *time.Timer
+	lastID uint64
 }
 
 func newGate(cfg admission.Config, now func() time.Time) *gate {
@@ -46,6 +51,7 @@
 	g.schedule(now)
 }
 
+// answer wakes who waits for the answer, unless nobody waits any more.
 func (g *gate) answer(id uint64, effect admission.Effect) {
 	if ch, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
@@ -53,7 +59,7 @@
 	}
 }
 
-// schedule sets the timer for the next time that held work must be looked at.
+// schedule sets the timer for the core's next tick, at least minimumTick from now.
 func (g *gate) schedule(now time.Time) {
 	next := g.core.NextTick(now)
 	if g.timer != nil {
@@ -63,7 +69,7 @@
 	if next.IsZero() {
 		return
 	}
-	g.timer = time.AfterFunc(max(next.Sub(now), time.Millisecond), func() { g.apply(admission.Tick{}) })
+	g.timer = time.AfterFunc(max(next.Sub(now), minimumTick), func() { g.apply(admission.Tick{}) })
 }
 
 // apply applies an event that nobody waits for.
@@ -73,19 +79,20 @@
 	g.step(ev)
 }
 
-// ask applies the event that makes returns and gives the channel of its answer.
-func (g *gate) ask(makeEvent func(id uint64) admission.Event) (uint64, <-chan admission.Effect) {
+// ask applies an event that is answered, and returns its identity and the channel
+// of the answer.
+func (g *gate) ask(newEvent func(id uint64) admission.Event) (uint64, <-chan admission.Effect) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lastID++
 	id := g.lastID
 	ch := make(chan admission.Effect, 1)
 	g.waiting[id] = ch
-	g.step(makeEvent(id))
+	g.step(newEvent(id))
 	return id, ch
 }
 
-// open lets a request in; the returned function closes it.
+// open admits a request or refuses it; the returned function closes it.
 func (g *gate) open(j *job, s request.State) (func(), error) {
 	id, answer := g.ask(func(id uint64) admission.Event {
 		return admission.Open{
@@ -108,7 +115,8 @@
 	return n
 }
 
-// acquire waits for a target. The caller must end the grant.
+// acquire waits for a target, until ctx ends or admission refuses. The caller must
+// end the grant.
 func (g *gate) acquire(ctx context.Context, s admission.Submit) (admission.Grant, error) {
 	id, answer := g.ask(func(id uint64) admission.Event {
 		s.ID = id
@@ -118,14 +126,21 @@
 	case effect := <-answer:
 		return granted(effect)
 	case <-ctx.Done():
-		g.mu.Lock()
-		delete(g.waiting, id)
-		g.step(admission.Withdraw{ID: id})
-		g.mu.Unlock()
+		g.withdraw(id)
 		return admission.Grant{}, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "the request ended while it was held")
 	}
 }
 
+// withdraw ends the wait for a target. A grant that crosses it goes back to the
+// core, which knows it by the same identity.
+func (g *gate) withdraw(id uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.waiting, id)
+	g.step(admission.Withdraw{ID: id})
+}
+
+// granted returns the grant of an answer, or the error of a refusal.
 func granted(effect admission.Effect) (admission.Grant, error) {
 	switch e := effect.(type) {
 	case admission.Grant:
@@ -137,7 +152,7 @@
 	}
 }
 
-// end gives a grant back with the result of its attempt.
+// end releases a grant with the result of its attempt; err is nil for success.
 func (g *gate) end(grant admission.Grant, err *verdict.Error, took time.Duration) {
 	g.apply(admission.Ended{ID: grant.ID, Err: err, Took: took})
 }
@@ -157,6 +172,7 @@
 	organisations []message.OrganisationState
 }
 
+// state copies what the core holds.
 func (g *gate) state() gateState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/native/node/members.go
+++ b/internal/native/node/members.go
@@ -1,9 +1,14 @@
 package node
 
 import (
+	"math/rand/v2"
+
+	"github.com/asynkron/protoactor-go/actor"
 	"github.com/pkg/errors"
+	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/internal/native/admission"
 	"github.com/honeydyke/honeydyke/internal/native/membership"
 )
 
@@ -41,3 +46,76 @@
 	}
 	return v.view, nil
 }
+
+// updateFanOut is to how many peers a node passes an update at once; with nothing
+// new it exchanges with one at each gossipInterval. See
+// docs/decisions/0006-membership.md; the bytes that it costs are in
+// docs/CAPACITY.md.
+const updateFanOut = 3
+
+// memberActor owns the node's membership.View and starts its exchanges.
+type memberActor struct {
+	incarnation *incarnation
+	gate        *gate
+	gossip      *gossip
+	bundles     *bundles
+	log         zerolog.Logger
+
+	view membership.View
+	rng  *rand.Rand
+}
+
+// Receive implements actor.Actor.
+func (a *memberActor) Receive(c actor.Context) {
+	switch m := c.Message().(type) {
+	case *actor.Started, exchangeNow:
+		a.exchange(updateFanOut)
+	case timePassed:
+		now := a.incarnation.now()
+		a.view = a.view.WithTime(now).WithDuty(now)
+		a.gate.apply(admission.Nodes{Count: a.view.Size(now)})
+		a.exchange(1)
+	case received:
+		a.receive(m.update)
+	case listed:
+		a.view = a.view.WithList(a.incarnation.now(), m.addresses)
+	case marked:
+		a.mark(m.marks)
+	case describePeers:
+		c.Respond(peerView{view: a.view})
+	}
+}
+
+// exchange starts exchanges with a few peers; their answers arrive as received.
+func (a *memberActor) exchange(fanOut int) {
+	update := a.gossip.update(a.view, a.rng)
+	for _, p := range a.view.Sample(fanOut, a.rng) {
+		go a.gossip.exchangeWith(p.Address, update)
+	}
+}
+
+func (a *memberActor) receive(update message.Exchange) {
+	view, fresh := a.view.WithWord(a.incarnation.now(), update)
+	a.view = view
+	a.apply(fresh)
+	a.bundles.send(peerAnswered{})
+	a.bundles.send(confirmed{digest: update.Digest})
+}
+
+// mark takes leaving marks and passes on those that are new at once.
+func (a *memberActor) mark(marks []message.LeavingMark) {
+	view, fresh := a.view.WithMarks(a.incarnation.now(), marks)
+	a.view = view
+	a.apply(fresh)
+	if len(fresh) > 0 {
+		a.exchange(updateFanOut)
+	}
+}
+
+// apply passes new leaving marks to admission.
+func (a *memberActor) apply(fresh []message.LeavingMark) {
+	for _, m := range fresh {
+		a.gate.apply(admission.Mark{Target: m.Target, Incarnation: m.Incarnation})
+		a.log.Info().Str("target", m.Target).Str("incarnation", m.Incarnation).Msg("members: target is leaving")
+	}
+}
