--- a/internal/native/node/node_test.go
+++ b/internal/native/node/node_test.go
@@ -1,11 +1,7 @@
 package node_test
 
 import (
-	"bytes"
-	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
 	"strings"
 	"testing"
@@ -25,45 +21,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-const limit = 60 * time.Second
-
-// deployment starts Kōwhai's deployment for one test.
-func deployment(t *testing.T, opts ...lab.Option) (*lab.Lab, context.Context) {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	t.Cleanup(cancel)
-	l, err := lab.Start(ctx, examples.Kowhai(), opts...)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(l.Close)
-	return l, ctx
-}
-
-func clientOf(m *lab.Member, organisation string) *client.Client {
-	return client.New(m.URL(), examples.Key(organisation))
-}
-
-// post sends a raw call to the native endpoint.
-func post(m *lab.Member, pipeline, key, body string, h http.Header) (*http.Response, message.Refusal) {
-	req, _ := http.NewRequest(http.MethodPost, m.URL()+wire.PathPipelines+pipeline, strings.NewReader(body))
-	req.Header = h.Clone()
-	if req.Header == nil {
-		req.Header = http.Header{}
-	}
-	req.Header.Set("Authorization", "Bearer "+key)
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		panic(err)
-	}
-	defer func() { _ = resp.Body.Close() }()
-	raw, _ := io.ReadAll(resp.Body)
-	var refusal message.Refusal
-	_ = json.Unmarshal(raw, &refusal)
-	return resp, refusal
-}
-
-func TestRefusalsOfBadCalls(t *testing.T) {
+func TestBadCallsAreRefusedAsNotRun(t *testing.T) {
 	l, _ := deployment(t, lab.WithNodes(1))
 	m := l.Nodes[0]
 	key := examples.Key("depots")
@@ -90,12 +48,7 @@
 				}
 				h.Set(wire.HeaderIdentity, "mine")
 				resp, refusal := post(m, c.pipeline, c.key, c.body, h)
-				convey.So(resp.StatusCode, convey.ShouldEqual, c.status)
-				convey.So(refusal.Verdict, convey.ShouldEqual, message.RefusalVerdictNotRun)
-				convey.So(refusal.SafeToRetry, convey.ShouldBeTrue)
-				convey.So(resp.Header.Get(wire.HeaderVerdict), convey.ShouldEqual, "not-run")
-				convey.So(resp.Header.Get(wire.HeaderIdentity), convey.ShouldEqual, "mine")
-				convey.So(refusal.Request, convey.ShouldEqual, "mine")
+				shouldBeRefusedAsNotRun(resp, refusal, c.status, "mine")
 			})
 		})
 	}
@@ -106,16 +59,21 @@
 	})
 }
 
-func TestOfficialClient(t *testing.T) {
-	l, ctx := deployment(t, lab.WithNodes(1))
-	c := openai.NewClient(option.WithBaseURL(l.Nodes[0].URL()+"/v1"), option.WithAPIKey(examples.Key("members-app")))
-	params := openai.ChatCompletionNewParams{
+// officialClient returns OpenAI's client of the node and a call for it.
+func officialClient(m *lab.Member) (openai.Client, openai.ChatCompletionNewParams) {
+	c := openai.NewClient(option.WithBaseURL(m.URL()+"/v1"), option.WithAPIKey(examples.Key("members-app")))
+	return c, openai.ChatCompletionNewParams{
 		Model: "chat-reply",
 		Messages: []openai.ChatCompletionMessageParamUnion{
 			openai.SystemMessage("Be brief."), openai.UserMessage("May I bring a dog?"),
 		},
 		MaxTokens: openai.Int(40),
 	}
+}
+
+func TestOpenAIsOfficialClientIsServed(t *testing.T) {
+	l, ctx := deployment(t, lab.WithNodes(1))
+	c, params := officialClient(l.Nodes[0])
 	convey.Convey("OpenAI's official client", t, func() {
 		convey.Convey("gets a whole answer", func() {
 			answer, err := c.Chat.Completions.New(ctx, params)
@@ -141,6 +99,13 @@
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(len(page.Data), convey.ShouldEqual, 6)
 		})
+	})
+}
+
+func TestOpenAIsOfficialClientSeesEachError(t *testing.T) {
+	l, ctx := deployment(t, lab.WithNodes(1))
+	c, params := officialClient(l.Nodes[0])
+	convey.Convey("OpenAI's official client", t, func() {
 		convey.Convey("gets errors in its own shape", func() {
 			bad := params
 			bad.Model = "nothing"
@@ -166,62 +131,27 @@
 	convey.Convey("Given a node with long streams in flight", t, func() {
 		l, ctx := deployment(t, lab.WithNodes(2))
 		m := l.Nodes[1]
-		const streams = 12
-		begun := make(chan struct{}, streams)
-		ends := make(chan error, streams)
-		for i := range streams {
-			go func() {
-				input := fmt.Sprint("stream ", i)
-				first := true
-				answer, err := clientOf(m, "members-app").Run(ctx, client.Request{Pipeline: "chat-reply", Input: input, Stream: true}, func(string) {
-					if first {
-						begun <- struct{}{}
-					}
-					first = false
-				})
-				if err == nil && answer.Output != lab.Expected(l.Plan, "members-app", "chat-reply", input) {
-					err = fmt.Errorf("stream %d got another answer", i)
-				}
-				ends <- err
-			}()
+		var streams []*stream
+		for i := range 12 {
+			streams = append(streams, startStream(ctx, l, m, fmt.Sprint("stream ", i)))
 		}
-		for range streams {
-			<-begun
+		for _, s := range streams {
+			<-s.begun
 		}
-		m.Stop()
-		convey.So(lab.Poll(ctx, func() bool { return m.Phase() == 2 }), convey.ShouldBeNil)
+		stopAndWaitUntilLeaving(ctx, m)
 		_, err := clientOf(m, "members-app").Run(ctx, client.Request{Pipeline: "chat-reply", Input: "new"}, nil)
 		convey.So(verdict.From(err).Verdict(), convey.ShouldEqual, verdict.NotRun)
-		for range streams {
-			convey.So(<-ends, convey.ShouldBeNil)
+		for _, s := range streams {
+			convey.So(<-s.ended, convey.ShouldBeNil)
 		}
 		convey.So(m.Wait(), convey.ShouldBeNil)
 	})
 }
 
-func runsOf(l *lab.Lab, pool, input string) int {
-	n := 0
-	for _, t := range l.Pool(pool) {
-		for _, r := range t.Runs() {
-			if r.Input == input {
-				n++
-			}
-		}
-	}
-	return n
-}
-
 func TestTicketsRunAtMostOnce(t *testing.T) {
 	l, ctx := deployment(t, lab.WithNodes(3))
-	take := func() client.Request {
-		ticket, err := clientOf(l.Nodes[0], "depots").TakeTicket(ctx, "release-locker")
-		if err != nil {
-			t.Fatal(err)
-		}
-		return client.Request{Pipeline: "release-locker", Ticket: ticket.Ticket}
-	}
 	convey.Convey("Given a ticket whose home is node 0", t, func() {
-		req := take()
+		req := takeTicket(ctx, l)
 		convey.Convey("uses at all nodes run it once, and later ones get its answer", func() {
 			req.Input = "locker 1"
 			first, err := clientOf(l.Nodes[1], "depots").Run(ctx, req, nil)
@@ -238,31 +168,27 @@
 		})
 		convey.Convey("a lost answer is never run again", func() {
 			req.Input = "locker 2"
-			for _, target := range l.Pool("fleet-yard") {
-				target.Fail(standin.ResetAfter, 1)
-			}
+			failOnce(l.Pool("fleet-yard"), standin.ResetAfter)
 			for _, m := range l.Nodes {
 				_, err := clientOf(m, "depots").Run(ctx, req, nil)
-				convey.So(verdict.From(err).Verdict(), convey.ShouldNotEqual, verdict.NotRun)
-				convey.So(verdict.From(err).SafeToRetry(), convey.ShouldBeFalse)
+				shouldNeverRetry(err)
 			}
 			convey.So(runsOf(l, "fleet-yard", "locker 2"), convey.ShouldEqual, 1)
-			for _, target := range l.Pool("fleet-yard") {
-				target.ClearFaults()
-			}
 		})
 		convey.Convey("a target's proof that nothing ran leads to another target, not to a refusal", func() {
 			req.Input = "locker 3"
-			for _, target := range l.Pool("fleet-yard")[:2] {
-				target.Fail(standin.Refuse, 1)
-			}
+			failOnce(l.Pool("fleet-yard")[:2], standin.Refuse)
 			_, err := clientOf(l.Nodes[1], "depots").Run(ctx, req, nil)
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(runsOf(l, "fleet-yard", "locker 3"), convey.ShouldEqual, 1)
-			for _, target := range l.Pool("fleet-yard") {
-				target.ClearFaults()
-			}
 		})
+	})
+}
+
+func TestTicketsOnTheWayToTheirHomeAreNeverCalledNotRun(t *testing.T) {
+	l, ctx := deployment(t, lab.WithNodes(3))
+	convey.Convey("Given a ticket whose home is node 0", t, func() {
+		req := takeTicket(ctx, l)
 		convey.Convey("a call refused on the way is not called not run, since another use may have run", func() {
 			body := `{"input":"` + strings.Repeat("x", wire.MaxRequestBytes) + `"}`
 			_, refusal := post(l.Nodes[1], "release-locker", examples.Key("depots"), body, http.Header{wire.HeaderTicket: {req.Ticket}})
@@ -276,13 +202,17 @@
 			convey.So(verdict.From(err).Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
 		})
 	})
+}
+
+func TestTicketsOfAKilledHomeAreNeverRun(t *testing.T) {
+	l, ctx := deployment(t, lab.WithNodes(3))
 	convey.Convey("A ticket whose home was killed is never run and never called not run", t, func() {
-		req := take()
+		req := takeTicket(ctx, l)
 		req.Input = "locker 4"
 		l.Nodes[0].Kill()
 		_, err := clientOf(l.Nodes[1], "depots").Run(ctx, req, nil)
+		shouldNeverRetry(err)
 		convey.So(verdict.From(err).Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
-		convey.So(verdict.From(err).SafeToRetry(), convey.ShouldBeFalse)
 		convey.So(runsOf(l, "fleet-yard", "locker 4"), convey.ShouldEqual, 0)
 	})
 }
@@ -291,38 +221,24 @@
 	convey.Convey("Given a spent ticket whose home is leaving", t, func() {
 		l, ctx := deployment(t, lab.WithNodes(2), lab.WithSpeed(bundle.KindEngine, standin.Speed{PerToken: 2 * time.Millisecond}))
 		home := l.Nodes[0]
-		c := clientOf(home, "depots")
-		ticket, err := c.TakeTicket(ctx, "release-locker")
-		convey.So(err, convey.ShouldBeNil)
-		req := client.Request{Pipeline: "release-locker", Input: "locker", Ticket: ticket.Ticket}
-		_, err = c.Run(ctx, req, nil)
+		req := takeTicket(ctx, l)
+		req.Input = "locker"
+		_, err := clientOf(home, "depots").Run(ctx, req, nil)
 		convey.So(err, convey.ShouldBeNil)
 		// A long stream keeps the home from ending while the ticket is used again.
-		streaming := make(chan error, 1)
-		begun := make(chan struct{})
-		go func() {
-			first := true
-			_, err := clientOf(home, "members-app").Run(ctx, client.Request{Pipeline: "chat-reply", Input: "x", Stream: true}, func(string) {
-				if first {
-					close(begun)
-				}
-				first = false
-			})
-			streaming <- err
-		}()
-		<-begun
-		home.Stop()
-		convey.So(lab.Poll(ctx, func() bool { return home.Phase() == 2 }), convey.ShouldBeNil)
+		s := startStream(ctx, l, home, "x")
+		<-s.begun
+		stopAndWaitUntilLeaving(ctx, home)
 		for _, m := range l.Nodes {
 			_, err := clientOf(m, "depots").Run(ctx, req, nil)
 			convey.So(err, convey.ShouldBeNil)
 		}
-		convey.So(<-streaming, convey.ShouldBeNil)
+		convey.So(<-s.ended, convey.ShouldBeNil)
 		convey.So(runsOf(l, "fleet-yard", "locker"), convey.ShouldEqual, 1)
 	})
 }
 
-func TestKeysThatTargetsCheck(t *testing.T) {
+func TestKeysReachTheTargetsThatCheckThem(t *testing.T) {
 	convey.Convey("A caller's key goes to targets that check keys, and runs once at all nodes", t, func() {
 		l, ctx := deployment(t, lab.WithNodes(2))
 		for _, m := range l.Nodes {
@@ -333,37 +249,31 @@
 	})
 }
 
-func TestPeersAreAuthenticated(t *testing.T) {
-	convey.Convey("Calls between nodes need the nodes' key", t, func() {
+func TestCallsBetweenNodesNeedTheNodesKey(t *testing.T) {
+	convey.Convey("A call without the key is refused at every path", t, func() {
 		l, _ := deployment(t, lab.WithNodes(1))
-		for _, path := range []string{wire.PathExchange, wire.PathBundle, wire.PathForward + "release-locker"} {
-			resp, err := http.Post("http://"+l.Nodes[0].PeerAddress()+path, "application/json", bytes.NewReader(nil))
-			convey.So(err, convey.ShouldBeNil)
-			_ = resp.Body.Close()
-			convey.So(resp.StatusCode, convey.ShouldEqual, http.StatusUnauthorized)
-		}
+		shouldAnswerPosts(l.Nodes[0].PeerAddress(), http.StatusUnauthorized, wire.PathExchange, wire.PathBundle, wire.PathForward+"release-locker")
 	})
-	convey.Convey("Nothing on the admin address can be written", t, func() {
+}
+
+func TestNothingOnTheAdminAddressCanBeWritten(t *testing.T) {
+	convey.Convey("A write is refused at every path", t, func() {
 		l, _ := deployment(t, lab.WithNodes(1))
-		for _, path := range []string{wire.PathState, wire.PathMetrics, wire.PathReady, wire.PathHealth} {
-			resp, err := http.Post("http://"+l.Nodes[0].AdminAddress()+path, "application/json", bytes.NewReader(nil))
-			convey.So(err, convey.ShouldBeNil)
-			_ = resp.Body.Close()
-			convey.So(resp.StatusCode, convey.ShouldEqual, http.StatusMethodNotAllowed)
-		}
+		shouldAnswerPosts(l.Nodes[0].AdminAddress(), http.StatusMethodNotAllowed, wire.PathState, wire.PathMetrics, wire.PathReady, wire.PathHealth)
 	})
 }
 
-func TestBundleFollowsThePublishedOne(t *testing.T) {
+func TestNodesFollowThePublishedBundle(t *testing.T) {
 	convey.Convey("Given two nodes", t, func() {
 		l, ctx := deployment(t, lab.WithNodes(2))
-		old, _ := http.Get("http://" + l.Nodes[0].AdminAddress() + wire.PathHealth)
-		_ = old.Body.Close()
+		resp, err := http.Get("http://" + l.Nodes[0].AdminAddress() + wire.PathHealth)
+		convey.So(err, convey.ShouldBeNil)
+		_ = resp.Body.Close()
 		convey.So(l.Publish(func(b *bundle.Bundle) { b.Rollout = nil }), convey.ShouldBeNil)
 		for _, m := range l.Nodes {
 			convey.So(lab.Poll(ctx, func() bool { return m.Bundle() == 2 }), convey.ShouldBeNil)
 		}
-		convey.Convey("an older number, put into the service by mistake, changes nothing, and a new node takes the newer from its peers", func() {
+		convey.Convey("with the service down, a new node takes the newest from its peers", func() {
 			l.Configuration.SetDown(true)
 			m, err := l.AddNode()
 			convey.So(err, convey.ShouldBeNil)
--- a/internal/native/node/tls_test.go
+++ b/internal/native/node/tls_test.go
@@ -49,7 +49,7 @@
 	return certificate, string(pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: rawKey}))
 }
 
-func TestTLSOnAllSides(t *testing.T) {
+func TestTLSIsSpokenOnAllSides(t *testing.T) {
 	convey.Convey("Given nodes and targets that speak TLS", t, func() {
 		certificate, key := selfSigned(t)
 		pair, err := tls.X509KeyPair([]byte(certificate), []byte(key))
