--- a/internal/native/node/control.go
+++ b/internal/native/node/control.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// gossipInterval is how often a node exchanges updates with a peer. The bytes
-	// that it costs are in docs/CAPACITY.md.
+	// gossipInterval is how often a node exchanges updates with a peer. Commit
+	// 98de79e measured the bytes that it costs with updateFanOut.
 	gossipInterval = time.Second
 	// reportInterval is how often one load report is read; admission names the
 	// target whose report is worth most. Commit 071f13f set it, so that control
--- a/internal/native/node/members.go
+++ b/internal/native/node/members.go
@@ -48,9 +48,8 @@
 }
 
 // updateFanOut is to how many peers a node passes an update at once; with nothing
-// new it exchanges with one at each gossipInterval. See
-// docs/decisions/0006-membership.md; the bytes that it costs are in
-// docs/CAPACITY.md.
+// new it exchanges with one at each gossipInterval. Commit 98de79e measured the
+// bytes that it costs; see docs/decisions/0006-membership.md.
 const updateFanOut = 3
 
 // memberActor owns the node's membership.View and starts its exchanges.
--- a/internal/native/node/reply.go
+++ b/internal/native/node/reply.go
@@ -15,9 +15,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// maxRecorded bounds the answer that a ticket's home remembers, in bytes; not
-// measured. A longer one is not kept, and a later use of the ticket learns only
-// its verdict.
+// maxRecorded bounds the answer that a ticket's home remembers, in bytes; it is
+// that of docs/decisions/0004-at-most-once.md and was not measured. A longer one is
+// not kept, and a later use of the ticket gets only its verdict.
 const maxRecorded = 64 << 10
 
 // reply writes one answer to one caller: the whole answer, or an explicit error.
@@ -42,160 +42,160 @@
 }
 
 // text takes the next piece of the output.
-func (p *reply) text(text string) error {
-	if !streams(p.form) || p.record {
-		p.output.WriteString(text)
+func (r *reply) text(text string) error {
+	if !streams(r.form) || r.record {
+		r.output.WriteString(text)
 	}
-	if !streams(p.form) {
+	if !streams(r.form) {
 		return nil
 	}
-	err := p.streamText(text)
-	if err != nil && p.record {
-		p.gone = true // the run goes on for the ticket
+	err := r.streamText(text)
+	if err != nil && r.record {
+		r.gone = true // the run goes on for the ticket
 		return nil
 	}
 	return err
 }
 
 // streamText writes the next piece of a stream.
-func (p *reply) streamText(text string) error {
-	if p.gone {
+func (r *reply) streamText(text string) error {
+	if r.gone {
 		return nil
 	}
-	if err := p.begin(); err != nil {
+	if err := r.begin(); err != nil {
 		return err
 	}
-	switch f := p.form.(type) {
+	switch f := r.form.(type) {
 	case nativeForm:
-		return p.event(message.StreamEvent{Request: p.id, Text: text})
+		return r.event(message.StreamEvent{Request: r.id, Text: text})
 	case chatForm:
-		return p.event(f.chunk(openai.Delta{Content: text}, nil, nil))
+		return r.event(f.chunk(openai.Delta{Content: text}, nil, nil))
 	}
 	return nil
 }
 
 // begin writes the header of a stream, once.
-func (p *reply) begin() error {
-	if p.begun {
+func (r *reply) begin() error {
+	if r.begun {
 		return nil
 	}
-	p.begun = true
-	p.w.Header().Set("Content-Type", "text/event-stream")
-	p.w.Header().Set("Cache-Control", "no-store")
-	p.w.WriteHeader(http.StatusOK)
-	if f, ok := p.form.(chatForm); ok {
-		return p.event(f.chunk(openai.Delta{Role: openai.RoleAssistant}, nil, nil))
+	r.begun = true
+	r.w.Header().Set("Content-Type", "text/event-stream")
+	r.w.Header().Set("Cache-Control", "no-store")
+	r.w.WriteHeader(http.StatusOK)
+	if f, ok := r.form.(chatForm); ok {
+		return r.event(f.chunk(openai.Delta{Role: openai.RoleAssistant}, nil, nil))
 	}
 	return nil
 }
 
 // event writes one server-sent event.
-func (p *reply) event(payload any) error {
+func (r *reply) event(payload any) error {
 	raw, err := json.Marshal(payload)
 	if err != nil {
 		return err
 	}
-	return p.data(string(raw))
+	return r.data(string(raw))
 }
 
 // data writes one server-sent event whose data is text.
-func (p *reply) data(text string) error {
+func (r *reply) data(text string) error {
 	var m sse.Message
 	m.AppendData(text)
-	if _, err := m.WriteTo(p.w); err != nil {
+	if _, err := m.WriteTo(r.w); err != nil {
 		return err
 	}
-	return http.NewResponseController(p.w).Flush()
+	return http.NewResponseController(r.w).Flush()
 }
 
 // finish writes the end of a whole answer.
-func (p *reply) finish(res *result) {
-	p.verdict = verdict.Ran
-	p.status = http.StatusOK
-	switch f := p.form.(type) {
+func (r *reply) finish(res *result) {
+	r.verdict = verdict.Ran
+	r.status = http.StatusOK
+	switch f := r.form.(type) {
 	case nativeForm:
-		p.finishNative(f, res)
+		r.finishNative(f, res)
 	case chatForm:
-		p.finishChat(f, res)
+		r.finishChat(f, res)
 	}
 }
 
-func (p *reply) finishNative(f nativeForm, res *result) {
-	answer := message.PipelineAnswer{Request: p.id, Output: p.output.String(), Finish: res.finish, Bundle: f.bundle, Stages: res.stages}
-	p.w.Header().Set(wire.HeaderBundle, strconv.Itoa(f.bundle))
-	p.remember(answer)
-	if p.gone {
+func (r *reply) finishNative(f nativeForm, res *result) {
+	answer := message.PipelineAnswer{Request: r.id, Output: r.output.String(), Finish: res.finish, Bundle: f.bundle, Stages: res.stages}
+	r.w.Header().Set(wire.HeaderBundle, strconv.Itoa(f.bundle))
+	r.remember(answer)
+	if r.gone {
 		return
 	}
 	if !f.stream {
-		writeJSON(p.w, http.StatusOK, answer)
+		writeJSON(r.w, http.StatusOK, answer)
 		return
 	}
 	answer.Output = "" // the stream has carried it
-	p.end(message.StreamEvent{Request: p.id, Answer: &answer})
+	r.end(message.StreamEvent{Request: r.id, Answer: &answer})
 }
 
-func (p *reply) finishChat(f chatForm, res *result) {
+func (r *reply) finishChat(f chatForm, res *result) {
 	finish := res.finish
 	if finish == "" {
 		finish = openai.FinishStop
 	}
 	usage := openai.Usage{CompletionTokens: res.tokens, TotalTokens: res.tokens}
 	if !f.stream {
-		writeJSON(p.w, http.StatusOK, f.completion(p.output.String(), finish, usage))
+		writeJSON(r.w, http.StatusOK, f.completion(r.output.String(), finish, usage))
 		return
 	}
-	p.end(f.chunk(openai.Delta{}, &finish, nil))
+	r.end(f.chunk(openai.Delta{}, &finish, nil))
 	if f.usage {
-		p.end(f.chunk(openai.Delta{}, nil, &usage))
+		r.end(f.chunk(openai.Delta{}, nil, &usage))
 	}
-	_ = p.data(openai.DoneMark) // fails only when the caller is gone, as in end
+	_ = r.data(openai.DoneMark) // fails only when the caller is gone, as in end
 }
 
 // end writes one of the last events of a stream. An error means that the caller
 // is gone: nobody is left to answer, and the run has ended.
-func (p *reply) end(payload any) {
-	_ = p.begin()
-	_ = p.event(payload)
+func (r *reply) end(payload any) {
+	_ = r.begin()
+	_ = r.event(payload)
 }
 
 // refuse writes an explicit error, in the middle of a stream as its last event.
-func (p *reply) refuse(err error) {
+func (r *reply) refuse(err error) {
 	e := verdict.From(err)
-	if p.undecided {
+	if r.undecided {
 		e = e.WithVerdict(verdict.MayHaveRun).WithUnsafeRetry()
 	}
-	p.verdict = e.Verdict()
-	p.status = statusOf(e.Reason())
-	refusal := refusalOf(p.id, e)
-	p.remember(refusal)
+	r.verdict = e.Verdict()
+	r.status = statusOf(e.Reason())
+	refusal := refusalOf(r.id, e)
+	r.remember(refusal)
 	switch {
-	case p.gone:
-	case p.begun:
-		p.refuseStream(e, refusal)
+	case r.gone:
+	case r.begun:
+		r.refuseStream(e, refusal)
 	default:
-		refusalHeaders(p.w.Header(), e)
-		writeJSON(p.w, p.status, p.errorBody(e, refusal))
+		refusalHeaders(r.w.Header(), e)
+		writeJSON(r.w, r.status, r.errorBody(e, refusal))
 	}
 }
 
 // refuseStream ends a stream that has begun with an error.
-func (p *reply) refuseStream(e *verdict.Error, refusal message.Refusal) {
-	switch p.form.(type) {
+func (r *reply) refuseStream(e *verdict.Error, refusal message.Refusal) {
+	switch r.form.(type) {
 	case nativeForm:
-		p.end(message.StreamEvent{Request: p.id, Refusal: &refusal})
+		r.end(message.StreamEvent{Request: r.id, Refusal: &refusal})
 	case chatForm:
-		p.end(p.errorBody(e, refusal))
+		r.end(r.errorBody(e, refusal))
 	}
 }
 
 // errorBody is a refusal in the shape of the endpoint.
-func (p *reply) errorBody(e *verdict.Error, refusal message.Refusal) any {
-	if _, ok := p.form.(chatForm); !ok {
+func (r *reply) errorBody(e *verdict.Error, refusal message.Refusal) any {
+	if _, ok := r.form.(chatForm); !ok {
 		return refusal
 	}
 	kind := "server_error"
-	if p.status < http.StatusInternalServerError {
+	if r.status < http.StatusInternalServerError {
 		kind = "invalid_request_error"
 	}
 	return openai.ErrorAnswer{Error: openai.ErrorBody{
@@ -205,27 +205,27 @@
 }
 
 // remember keeps the answer for the ticket's book.
-func (p *reply) remember(answer any) {
-	if !p.record {
+func (r *reply) remember(answer any) {
+	if !r.record {
 		return
 	}
 	// Both types of answer always encode.
 	raw, err := json.Marshal(answer)
 	if err == nil && len(raw) <= maxRecorded {
-		p.recorded = raw
+		r.recorded = raw
 	}
 }
 
 // outcome is what the ticket's book keeps of the answer.
-func (p *reply) outcome() ticket.Outcome {
-	return ticket.Outcome{Verdict: p.verdict, Answer: p.recorded, Status: p.status}
+func (r *reply) outcome() ticket.Outcome {
+	return ticket.Outcome{Verdict: r.verdict, Answer: r.recorded, Status: r.status}
 }
 
 // replay answers with the outcome of the ticket's one run, never as a stream.
-func (p *reply) replay(out ticket.Outcome) {
+func (r *reply) replay(out ticket.Outcome) {
 	if out.Verdict != verdict.Ran || out.Status != http.StatusOK {
-		p.w.Header().Set(wire.HeaderVerdict, out.Verdict.String())
-		p.w.Header().Set(headerShouldRetry, "false")
+		r.w.Header().Set(wire.HeaderVerdict, out.Verdict.String())
+		r.w.Header().Set(headerShouldRetry, "false")
 	}
-	writeRaw(p.w, out.Status, out.Answer)
+	writeRaw(r.w, out.Status, out.Answer)
 }
--- a/internal/native/node/startrule.go
+++ b/internal/native/node/startrule.go
@@ -2,12 +2,13 @@
 
 import "time"
 
+// Both figures are those of docs/decisions/0005-bundle.md; neither was measured.
 const (
-	// startWait is how long a new node waits for the configuration service once a
-	// peer has answered; not measured.
+	// startWait is how long after its start a new node to which a peer has answered
+	// waits for the configuration service.
 	startWait = 2 * time.Second
 	// aloneWait is how long a new node whose peers are all silent waits before it
-	// serves the bundle of the configuration service alone; not measured.
+	// serves the bundle of the configuration service alone.
 	aloneWait = 30 * time.Second
 )
 
--- a/internal/native/node/tickets.go
+++ b/internal/native/node/tickets.go
@@ -8,12 +8,13 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// See docs/decisions/0004-at-most-once.md for both figures; neither was measured.
+// Both figures are those of docs/decisions/0004-at-most-once.md.
 const (
 	// ticketLife is how long a ticket can be spent, and how long its outcome is
-	// known at its home.
+	// known at its home; not measured.
 	ticketLife = 10 * time.Minute
-	// bookCapacity bounds the spent tickets that have not expired.
+	// bookCapacity bounds the spent tickets that have not expired: 35 MB by the
+	// memory of a ticket in docs/CAPACITY.md.
 	bookCapacity = 100_000
 )
 
