--- a/internal/native/node/node_test.go
+++ b/internal/native/node/node_test.go
@@ -196,7 +196,7 @@
 			convey.So(refusal.Verdict, convey.ShouldEqual, message.RefusalVerdictMayHaveRun)
 			convey.So(refusal.SafeToRetry, convey.ShouldBeFalse)
 		})
-		convey.Convey("another organisation cannot use it, and is not told that it did not run", func() {
+		convey.Convey("another organisation cannot use it, and gets no answer that it did not run", func() {
 			_, err := clientOf(l.Nodes[1], "partners").Run(ctx, req, nil)
 			convey.So(verdict.From(err).Reason(), convey.ShouldEqual, verdict.ReasonTicketInvalid)
 			convey.So(verdict.From(err).Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
--- a/internal/native/node/runner.go
+++ b/internal/native/node/runner.go
@@ -19,7 +19,7 @@
 }
 
 // run takes the job through its stages and passes the output to emit, in order.
-// The error is a *verdict.Error whose verdict speaks of the whole request.
+// The error is a *verdict.Error whose verdict is about the whole request.
 func (r *runner) run(ctx context.Context, j *job, emit func(text string) error) (*result, error) {
 	state := request.New(j.pipeline, j.deadline)
 	closeRequest, err := r.gate.open(j, state)
