--- a/internal/native/node/wiring.go
+++ b/internal/native/node/wiring.go
@@ -122,8 +122,9 @@
 	}
 }
 
-// newControl connects the actors with what feeds them. The platform and the load
-// reports of targets are read without a certificate of the node's own.
+// newControl connects the actors with what feeds them. The client of the platform
+// and of load reports trusts the system's authorities alone: where the settings
+// name authorities of their own for targets, no load report is read.
 func (w *wiring) newControl(g *gossip) *control {
 	plain := newControlClient(w.traffic, nil)
 	return &control{
