--- a/internal/contract/deploy_test.go
+++ b/internal/contract/deploy_test.go
@@ -9,25 +9,24 @@
 
 const settingsTemplate = "deploy/settings.hujson"
 
-// gaps are the values that the platform could put in the template's gaps.
-// {{,}} in a section stands between its items.
-var gaps = []string{
-	"{{zone}}", "laredo",
-	"{{listenAddresses.frontend}}", "10.1.2.3:8000",
-	"{{listenAddresses.controlPlane}}", "10.1.2.3:8001",
-	"{{listenAddresses.ready}}", "10.1.2.3:8002",
-	"{{ipAddress}}", "10.1.2.3",
-	`{{#seedNodes}}"{{.}}"{{,}}{{/seedNodes}}`, `"10.1.2.4:8001","10.1.2.5:8001"`,
-	"{{platform.address}}", "10.9.9.9:7000",
-	"{{limits.memoryMb|json}}", "2048",
-	"{{limits.cpuFraction|json}}", "0.5",
-	"{{limits.linkBandwidthMbps|json}}", "1000",
-	"{{limits.fileDescriptorLimit|json}}", "4096",
-	"{{bounds.gracePeriodS}}", "30",
-	"{{bounds.drainTimeoutMs}}", "5000",
-	"{{bounds.retryBudgetRatio|json}}", "0.1",
-	"{{bounds.retryWindowS}}", "10",
-	"{{bounds.retryBudgetExtra|json}}", "20",
+// gapsFile holds a line for each gap of the template: the gap, a tab, and the
+// value that the platform could put there. The gaps bear the platform's names,
+// which Go code outside its adapter does not use. {{,}} in a section stands
+// between its items.
+const gapsFile = "internal/contract/testdata/deploy/gaps.txt"
+
+// readGaps returns gaps and values in turn.
+func readGaps(t *testing.T) []string {
+	t.Helper()
+	var gaps []string
+	for line := range strings.Lines(string(readSource(t, gapsFile))) {
+		gap, value, found := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+		if !found {
+			t.Fatalf("%s: no tab in %q", gapsFile, line)
+		}
+		gaps = append(gaps, gap, value)
+	}
+	return gaps
 }
 
 // TestDeployFiles holds the text of the files that the platform reads.
@@ -58,7 +57,7 @@
 
 // TestRenderedSettings holds what a node reads from the filled template.
 func TestRenderedSettings(t *testing.T) {
-	text := strings.NewReplacer(gaps...).Replace(string(readSource(t, settingsTemplate)))
+	text := strings.NewReplacer(readGaps(t)...).Replace(string(readSource(t, settingsTemplate)))
 	if strings.Contains(text, "{{") {
 		t.Fatalf("a gap is left:\n%s", text)
 	}
@@ -72,6 +71,7 @@
 // TestNoOtherGaps fails when the template doesn't use one of the gaps.
 func TestNoOtherGaps(t *testing.T) {
 	template := string(readSource(t, settingsTemplate))
+	gaps := readGaps(t)
 	for i := 0; i < len(gaps); i += 2 {
 		if !strings.Contains(template, gaps[i]) {
 			t.Errorf("the template has no %s", gaps[i])
