--- /dev/null
+++ b/internal/gateway/relay/bench_test.go
@@ -0,0 +1,20 @@
+package relay_test
+
+import (
+	"testing"
+	"time"
+)
+
+// BenchmarkAdmit measures a request with three stages from its arrival to its
+// refusal: finding its route, planning its stages and comparing their time.
+func BenchmarkAdmit(b *testing.B) {
+	w, s := setup(chain(), true)
+	w.wait = 3 * time.Second
+	out := &client{}
+	b.ReportAllocs()
+	for b.Loop() {
+		if err := s.Serve(b.Context(), request(1, 4, 2), out); err == nil {
+			b.Fatal("admitted")
+		}
+	}
+}
