--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -116,7 +116,8 @@
 // comeBack asks clients to come back when the load may have passed, spread over
 // some time.
 func (j *job) comeBack() time.Duration {
-	after := min(time.Duration(comeBackShare*float64(j.until.Sub(j.s.cfg.Now()))), maxComeBack)
+	left := max(j.until.Sub(j.s.cfg.Now()), 0)
+	after := min(time.Duration(comeBackShare*float64(left)), maxComeBack)
 	return max(after*3/4+rand.N(after/4+1), 50*time.Millisecond)
 }
 
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -250,6 +250,18 @@
 	})
 }
 
+func TestLate(t *testing.T) {
+	convey.Convey("A request that a target may not be sent any more, as its time is over, is refused with a time to retry", t, func() {
+		_, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+		late := request()
+		late.Arrived = late.Arrived.Add(-late.Timeout)
+		err := s.Serve(t.Context(), late, &client{})
+		convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
+		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonDeadline)
+		convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 0)
+	})
+}
+
 func TestRepeatable(t *testing.T) {
 	convey.Convey("A request that may be repeated goes to another target, as often as its route allows", t, func() {
 		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
