--- /dev/null
+++ b/internal/gateway/relay/rules/admission.go
@@ -0,0 +1,142 @@
+package rules
+
+import "time"
+
+const (
+	// planShare is the part of the time to the objective that the stages may be
+	// planned to take. The rest covers what the estimate does not know. Set by
+	// 541dc1a (docs/MEASUREMENTS.md, "planned for 0.85 of the objective"); 0.72
+	// refused requests on an idle system (3249830), 0.95 made no difference (c6fcf5d).
+	planShare = 0.85
+	// priorityMargin is kept free for each step of a route's priority, so that the
+	// less urgent is refused first. Not measured when it was set (459f9ac); 250 ms
+	// made no difference (c6fcf5d).
+	priorityMargin = 150 * time.Millisecond
+	// minWait is the wait for other requests that is always allowed, so that an idle
+	// system refuses nobody, however short the objective. The need was measured in
+	// 47842d0, the figure was not.
+	minWait = 150 * time.Millisecond
+	// retriedShare is the part of the longest timeout seen from a route's clients
+	// below which a request counts as a retry of a refused one: clients send the time
+	// that they have left. Not measured (b3a4e62).
+	retriedShare = 0.97
+	// retriedWaitShare is the part of its time for which a retried request waits to
+	// be admitted. c6fcf5d measured that refusing then beats admitting it late; the
+	// half itself was not measured.
+	retriedWaitShare = 0.5
+	// retriedPause is the time between two plans of a retried request. Not measured
+	// (459f9ac).
+	retriedPause = 250 * time.Millisecond
+)
+
+// Admission is what decides whether a request's stages can be done in time.
+type Admission struct {
+	// Estimated is how long all stages take behind the work that other requests have
+	// planned, and Alone how long they take without it (Stages.Total). The backlogs
+	// were asked for just before; a service whose backlog is not known has 0.
+	Estimated, Alone time.Duration
+	// Left is the time to the objective now, and Objective what it was on arrival.
+	Left, Objective time.Duration
+	// Elapsed is the time since the request arrived, and AnswerTime the time that it
+	// had then for its answer (Times.Answer).
+	Elapsed, AnswerTime time.Duration
+	// Priority is that of the route, 0 for the most urgent.
+	Priority int
+	// Retried says that the request was refused before (Retried).
+	Retried bool
+}
+
+// Comparison is what admission compared: the wait for others' work with the
+// bound that is left for it.
+type Comparison struct {
+	// Wait is what the stages wait for others' work, Bound the most that is allowed.
+	Wait, Bound time.Duration
+	// Window is the time to the objective that Bound was made of: PlanShare of it,
+	// less Alone, Lead and PriorityMargin, and at least MinWait.
+	Window                               time.Duration
+	PlanShare                            float64
+	Alone, Lead, PriorityMargin, MinWait time.Duration
+}
+
+// AdmissionDecision is Admitted, PlanAgain or Refused.
+type AdmissionDecision interface{ isAdmissionDecision() }
+
+// Admitted lets the stages begin.
+type Admitted struct{ Comparison Comparison }
+
+// PlanAgain has a retried request wait for Pause and plan its stages again.
+type PlanAgain struct {
+	Comparison Comparison
+	Pause      time.Duration
+}
+
+// Refused ends the request at once, as not run.
+type Refused struct {
+	Comparison Comparison
+	Reason     RefusalReason
+}
+
+// RefusalReason says why a request is not admitted.
+type RefusalReason string
+
+// Reasons of refusals.
+const (
+	// WaitTooLong is a first attempt whose stages would be late.
+	WaitTooLong RefusalReason = "wait too long"
+	// RetryWaitedTooLong is a retried request that has used up its waiting time.
+	RetryWaitedTooLong RefusalReason = "retry waited too long"
+)
+
+func (Admitted) isAdmissionDecision()  {}
+func (PlanAgain) isAdmissionDecision() {}
+func (Refused) isAdmissionDecision()   {}
+
+// Admit decides whether a request's stages may begin (docs/decisions/0013).
+//
+// What counts first is the wait for others' work. It is compared with the bound:
+// planShare of the time to the objective, less the request's own work, the
+// engine's part and a margin by priority. The request's own work never speaks
+// against it, so minWait is always allowed. A retried request is measured by its
+// whole objective, which it can no longer meet, and waits for its turn during
+// retriedWaitShare of its time; any other is refused at once.
+//
+// Without known backlogs every request is admitted. A wrong admission makes this
+// request late and delays those behind it; a wrong refusal costs the client one
+// retry, and its answer comes late.
+func Admit(a Admission) AdmissionDecision {
+	c := compare(a)
+	switch {
+	case c.Wait <= c.Bound:
+		return Admitted{Comparison: c}
+	case !a.Retried:
+		return Refused{Comparison: c, Reason: WaitTooLong}
+	case a.Elapsed+retriedPause > time.Duration(retriedWaitShare*float64(a.AnswerTime)):
+		return Refused{Comparison: c, Reason: RetryWaitedTooLong}
+	}
+	return PlanAgain{Comparison: c, Pause: retriedPause}
+}
+
+func compare(a Admission) Comparison {
+	c := Comparison{
+		Wait: a.Estimated - a.Alone, Window: a.Left, PlanShare: planShare, Alone: a.Alone, Lead: engineLead,
+		PriorityMargin: time.Duration(a.Priority) * priorityMargin, MinWait: minWait,
+	}
+	if a.Retried {
+		c.Window = a.Objective
+	}
+	planned := time.Duration(c.PlanShare * float64(c.Window))
+	c.Bound = max(planned-c.Alone-c.Lead-c.PriorityMargin, c.MinWait)
+	return c
+}
+
+// Retried says whether a request is the retry of one that was refused: its client
+// has clearly less time left (timeout) than the longest that any client of the
+// route had (longest, since this node started). A timeout of 0 is unknown and
+// counts as a first attempt. A wrong yes holds a first attempt that should be
+// refused at once; a wrong no refuses a retry sooner.
+func Retried(timeout, longest time.Duration) bool {
+	if timeout <= 0 {
+		return false
+	}
+	return float64(timeout) < retriedShare*float64(longest)
+}
--- /dev/null
+++ b/internal/gateway/relay/rules/doc.go
@@ -0,0 +1,12 @@
+// Package rules holds what decides about one request of the gateway: whether it
+// is admitted, by when its parts are due, how long an attempt may be silent,
+// whether it is sent again and when a refused client should retry.
+//
+// Each rule is a function of its arguments alone. The package reads no clock,
+// draws no random number, holds no state and does no input or output; package
+// relay gathers the inputs, asks the rule once and acts. A rule that may end in
+// several ways returns one type for each, with the reason.
+//
+// The figures of a rule stand in one block above it, each with its unit and the
+// commit or note that set it. "Not measured" says that nothing did.
+package rules
--- /dev/null
+++ b/internal/gateway/relay/rules/retryafter.go
@@ -0,0 +1,29 @@
+package rules
+
+import "time"
+
+const (
+	// retryAfterShare is the part of the client's time left after which it should
+	// retry. Clients wait at most a third of theirs, by the platform's bound; the
+	// figure below it was not measured (b3a4e62).
+	retryAfterShare = 0.28
+	// maxRetryAfter and minRetryAfter bound the time. Not measured (b3a4e62).
+	maxRetryAfter = 4 * time.Second
+	minRetryAfter = 50 * time.Millisecond
+	// retryAfterParts is how many parts the time is cut into; the last one is random,
+	// so that clients refused together do not return together. Not measured.
+	retryAfterParts = 4
+)
+
+// RetryAfter decides when a refused client should retry, from the time left
+// until its answer is due now and a random number jitter, from 0 up to but not
+// including 1 (docs/decisions/0013). The share of the time left counts first, then
+// the upper bound, the random part, and the lower bound. A client without time
+// left gets the lower bound. Too short a time has clients retry into the same
+// overload; too long a time lets their timeout pass.
+func RetryAfter(left time.Duration, jitter float64) time.Duration {
+	after := min(time.Duration(retryAfterShare*float64(max(left, 0))), maxRetryAfter)
+	least := after * (retryAfterParts - 1) / retryAfterParts
+	spread := time.Duration(jitter * float64(after/retryAfterParts+1))
+	return max(least+spread, minRetryAfter)
+}
