--- /dev/null
+++ b/internal/gateway/relay/delivery.go
@@ -0,0 +1,145 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// delivery sends one request to targets until one of them has answered it.
+type delivery struct {
+	*resolved
+	upstream Upstream
+	placer   Placer
+	view     func() *view.View
+	now      func() time.Time
+	decided  func(Decision)
+	targets  *targets
+	budgets  *retryBudgets
+	prefills *prefillRates
+	chooser  *chooser
+	stages   *stageWork
+	answer   *answer
+	outcome  *Outcome
+	// resends, refusals and sends count attempts as rules.Failure does.
+	resends, refusals, sends int
+}
+
+func (s *Server) delivery(r *resolved, out Responder, outcome *Outcome) *delivery {
+	c, decided := s.chooser(r), s.decided(r)
+	return &delivery{
+		resolved: r, upstream: s.cfg.Upstream, placer: s.cfg.Placer, view: s.cfg.View, now: s.cfg.Now, decided: decided,
+		targets: s.targets, budgets: s.budgets, prefills: s.prefills,
+		chooser: c, stages: newStageWork(r, &s.cfg, decided, c),
+		answer: &answer{out: out, arrived: r.req.Arrived, now: s.cfg.Now, outcome: outcome, lastEvent: r.req.LastEvent}, outcome: outcome,
+	}
+}
+
+// deliver sends the request to targets until one answers, the time is over or no
+// other may be tried.
+func (d *delivery) deliver(ctx context.Context) *verdict.Error {
+	for first := true; ; first = false {
+		if err := d.stages.ensure(ctx); err != nil {
+			return err
+		}
+		if !d.mayAttempt(first) {
+			return d.endError(verdict.ReasonRetryExhausted, "the budget of repeats is spent")
+		}
+		target, ok := d.chooser.place(ctx, d.inputBytes())
+		if !ok {
+			return d.endError(verdict.ReasonNoTarget, "no target can take the request")
+		}
+		next, err := d.try(ctx, target)
+		if err == nil {
+			return nil
+		}
+		d.report(next)
+		switch next.(type) {
+		case rules.GiveUp:
+			return err
+		case rules.Recompute:
+			d.stages.results.lost = true
+		case rules.OtherTarget:
+			d.chooser.tried = append(d.chooser.tried, target.ID)
+		}
+	}
+}
+
+// mayAttempt counts a first attempt, or takes a retry from the service's budget.
+func (d *delivery) mayAttempt(first bool) bool {
+	if first {
+		d.budgets.first(d.service.Name)
+		return true
+	}
+	return d.budgets.spend(d.service.Name)
+}
+
+// inputBytes returns the bytes of the inputs in each data centre for an engine.
+func (d *delivery) inputBytes() map[string]int64 {
+	if d.service.Engine == nil {
+		return nil
+	}
+	return d.stages.results.bytes()
+}
+
+// try sends the request to one target, over another connection where an idle one
+// had ended. An error comes with what follows it.
+func (d *delivery) try(ctx context.Context, target directory.Target) (rules.NextAttempt, *verdict.Error) {
+	for {
+		err := d.attempt(ctx, target)
+		if err == nil {
+			return nil, nil
+		}
+		next := rules.AfterFailure(rules.Failure{
+			Verdict: err.Verdict(), Reason: err.Reason(), Ended: ctx.Err() != nil,
+			Resends: d.resends, Refusals: d.refusals, Sends: d.sends,
+			Retryable: d.route.MayRepeat(), MaxAttempts: d.route.MaxAttempts,
+		})
+		if _, ok := next.(rules.Resend); ok {
+			d.resends++
+			continue
+		}
+		if err.Verdict() == verdict.NotRun {
+			d.refusals++
+		} else {
+			d.sends++
+		}
+		return next, err
+	}
+}
+
+// report reports a failed attempt and what follows. The end of a request that too
+// many targets refused is reported with its end alone, which lists the attempts.
+func (d *delivery) report(next rules.NextAttempt) {
+	giveUp, over := next.(rules.GiveUp)
+	if over && giveUp.Reason == rules.RefusalsSpent {
+		return
+	}
+	d.decided(AttemptFailed{
+		Attempt: d.outcome.Attempts[len(d.outcome.Attempts)-1], Events: d.outcome.Events, LastEvent: d.answer.lastEvent,
+		Left: d.times.Answer.Sub(d.now()), WillRetry: !over,
+	})
+}
+
+// endError returns the error of a request that cannot be sent any more.
+func (d *delivery) endError(reason verdict.Reason, text string) *verdict.Error {
+	var last *verdict.Error
+	if n := len(d.outcome.Attempts); n > 0 {
+		last = d.outcome.Attempts[n-1].Err
+	}
+	return rules.EndError(last, verdict.New(verdict.NotRun, reason, "%s", text))
+}
+
+// final completes the error that ends the request, with whether it may have run
+// and when the client should retry.
+func (d *delivery) final(err *verdict.Error) *verdict.Error {
+	err = rules.FinalVerdict(err, d.sends, d.route.MayRepeat())
+	if err.Verdict() == verdict.NotRun && err.RetryAfter() == 0 {
+		err = err.WithRetryAfter(retryAfter(d.times.Answer.Sub(d.now())))
+	}
+	return err
+}
--- /dev/null
+++ b/internal/gateway/relay/resolve.go
@@ -0,0 +1,105 @@
+package relay
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// unreadyRetryAfter is when a client should retry at a node without a
+// configuration: the store is usually read within a second of the start. Not
+// measured (72a0bc2).
+const unreadyRetryAfter = time.Second
+
+// resolved is a request with the part of the configuration that governs it. It
+// does not change while the request lasts.
+type resolved struct {
+	req     *Request
+	route   *catalog.Route
+	service *catalog.Service
+	// org is the holder of the caller's key; nil for none.
+	org *catalog.Organisation
+	// stages has one entry for each stage of the route.
+	stages rules.Stages
+	times  rules.Times
+}
+
+// resolve finds the route, the organisation and the service of a request, and
+// notes them in the outcome as far as it comes.
+func (s *Server) resolve(req *Request, outcome *Outcome) (*resolved, *verdict.Error) {
+	v := s.cfg.View()
+	c := v.Catalog
+	if c == nil {
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "no configuration is known yet").WithRetryAfter(unreadyRetryAfter)
+	}
+	outcome.Version, outcome.Revision = c.Version, v.Revision
+	r := &resolved{req: req, route: c.Route(req.Host, req.Path)}
+	outcome.Route = r.route
+	if r.route == nil {
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotFound, "no route leads there")
+	}
+	if !r.route.Public && c.NeedsKeys() {
+		if r.org = c.Organisation(req.Key); r.org == nil {
+			return nil, verdict.New(verdict.NotRun, verdict.ReasonUnauthorised, "the key is not known")
+		}
+		outcome.Organisation = r.org.Name
+	}
+	r.service = serviceOf(c, r.route, req.ID)
+	outcome.Service = r.service.Name
+	r.stages = stagesOf(c, r.route, req.Items)
+	r.times = rules.NewTimes(rules.TimesInput{
+		Arrived: req.Arrived, ClientTimeout: req.Timeout, RouteTimeout: r.route.Timeout, Objective: r.route.Objective,
+		Prefill: s.prefills.time(r.service.Name, req.Tokens),
+	})
+	return r, nil
+}
+
+// serviceOf returns the service that a request goes to; the route's split is
+// drawn by the request's identity, so that a retry by a client that keeps it goes
+// to the same one.
+func serviceOf(c *catalog.Catalog, route *catalog.Route, id string) *catalog.Service {
+	name := route.Service(xxhash.Sum64String(id))
+	if service := c.Service(name); service != nil {
+		return service
+	}
+	return &catalog.Service{Name: name}
+}
+
+// stagesOf returns the stages of a route with the items of one request.
+func stagesOf(c *catalog.Catalog, route *catalog.Route, items []int) rules.Stages {
+	if len(route.Stages) == 0 {
+		return nil
+	}
+	stages := make(rules.Stages, len(route.Stages))
+	for i, s := range route.Stages {
+		stages[i].After = s.After
+		if i < len(items) {
+			stages[i].Items = max(items[i], 0)
+		}
+		if service := c.Service(s.Service); service != nil && service.Batch != nil {
+			b := service.Batch
+			stages[i].Time = rules.BatchTime(b.CallLatency, b.PerItem, b.MaxItems)
+		}
+	}
+	return stages
+}
+
+// organisation returns the name passed to targets; empty for none.
+func (r *resolved) organisation() string {
+	if r.org == nil {
+		return ""
+	}
+	return r.org.Name
+}
+
+// priority returns the priority of the request's items and prompt at targets.
+func (r *resolved) priority() int {
+	if r.org == nil {
+		return rules.EnginePriority(0, r.route.Priority)
+	}
+	return rules.EnginePriority(r.org.Priority, r.route.Priority)
+}
--- /dev/null
+++ b/internal/gateway/relay/results.go
@@ -0,0 +1,151 @@
+package relay
+
+import (
+	"sync"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// stageResults holds the results of one run of a request's stages, and releases
+// each as soon as nothing needs it any more.
+type stageResults struct {
+	work *stageWork
+
+	mu      sync.Mutex
+	results [][]batching.Result
+	// users counts the later stages that still need a stage's results.
+	users []int
+	// read says which stages have read their inputs.
+	read []bool
+	done []bool
+	// lost says that the request's inputs were released or are gone at their targets.
+	// Only the goroutine that delivers the request uses it.
+	lost bool
+}
+
+func newStageResults(w *stageWork) *stageResults {
+	n := len(w.stages)
+	r := &stageResults{work: w, results: make([][]batching.Result, n), users: make([]int, n), read: make([]bool, n), done: make([]bool, n)}
+	for _, s := range w.stages {
+		for _, a := range s.After {
+			r.users[a]++
+		}
+	}
+	for _, last := range w.route.LastStages() {
+		r.users[last]++
+	}
+	return r
+}
+
+// inputsRead notes that a stage has read its inputs, and releases those that no
+// other stage needs. A result that is released too early is computed again.
+func (r *stageResults) inputsRead(i int) {
+	r.mu.Lock()
+	known := r.read[i]
+	r.read[i] = true
+	r.mu.Unlock()
+	for _, a := range r.work.stages[i].After {
+		if known {
+			r.releaseUnused(a)
+			continue
+		}
+		r.used(a)
+	}
+}
+
+// countRecompute counts that results are computed again, and ends that when it
+// happens too often.
+func (r *stageResults) countRecompute() *verdict.Error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.work.recomputes++
+	if !rules.MayRecompute(r.work.recomputes) {
+		return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "results were lost too often")
+	}
+	return nil
+}
+
+func (r *stageResults) held(i int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.results[i] != nil
+}
+
+// set replaces the results of a stage and releases the old ones.
+func (r *stageResults) set(i int, results []batching.Result) {
+	r.mu.Lock()
+	old := r.results[i]
+	r.results[i] = results
+	r.mu.Unlock()
+	r.release(i, old)
+}
+
+// releaseUnused releases the results of a stage that no later stage still needs.
+func (r *stageResults) releaseUnused(i int) {
+	r.mu.Lock()
+	unused := rules.ReleaseResults(r.users[i])
+	r.mu.Unlock()
+	if unused {
+		r.set(i, nil)
+	}
+}
+
+// used notes that one of the users of a stage's results has read them.
+func (r *stageResults) used(i int) {
+	r.mu.Lock()
+	r.users[i]--
+	r.mu.Unlock()
+	r.releaseUnused(i)
+}
+
+func (r *stageResults) release(i int, results []batching.Result) {
+	if len(results) > 0 {
+		r.work.batcher.Release(r.work.route.Stages[i].Service, results)
+	}
+}
+
+// releaseAll releases what is still held.
+func (r *stageResults) releaseAll() {
+	for i := range r.results {
+		r.set(i, nil)
+	}
+}
+
+// inputs returns the handles that the request itself needs.
+func (r *stageResults) inputs() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var handles []string
+	for _, last := range r.work.route.LastStages() {
+		for _, result := range r.results[last] {
+			handles = append(handles, result.Handle)
+		}
+	}
+	return handles
+}
+
+// bytes returns how many bytes of the request's inputs lie in each data centre.
+func (r *stageResults) bytes() map[string]int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	sizes := make(map[string]int64)
+	for _, last := range r.work.route.LastStages() {
+		for _, result := range r.results[last] {
+			sizes[result.DataCentre] += r.work.route.Stages[last].ResultBytes
+		}
+	}
+	return sizes
+}
+
+// consumed releases the inputs once the request's target has read them.
+func (r *stageResults) consumed() {
+	if r.lost {
+		return
+	}
+	r.lost = true
+	for _, last := range r.work.route.LastStages() {
+		r.used(last)
+	}
+}
