--- /dev/null
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -0,0 +1,60 @@
+package rules
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+)
+
+// failed is a failure of a target's own that may be tried elsewhere.
+func failed() Answer {
+	return Answer{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
+}
+
+func shouldBecome(a Answer, want AnswerDecision) {
+	convey.So(AfterAnswer(a), convey.ShouldResemble, want)
+}
+
+func TestAfterAnswer(t *testing.T) {
+	convey.Convey("A target's own failure is tried at another target", t, func() {
+		shouldBecome(failed(), TryAnother{})
+	})
+	for _, c := range []struct {
+		what   string
+		change func(*Answer)
+		reason PassOnReason
+	}{
+		{"a success", func(a *Answer) { a.Status, a.Succeeded = 200, true }, Success},
+		{"a failure that another target would report as well", func(a *Answer) { a.Status = 404 }, CallerFault},
+		{"a failure of a request that must not run twice", func(a *Answer) { a.Retryable = false }, RunOnce},
+		{"a failure of the last attempt", func(a *Answer) { a.Sends = 1 }, NoAttemptLeft},
+		{"a failure while the retry budget is spent", func(a *Answer) { a.Budget = 0.9 }, NoBudget},
+		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }, NoTime},
+	} {
+		a := failed()
+		c.change(&a)
+		convey.Convey("The caller gets "+c.what, t, func() { shouldBecome(a, PassOn{Reason: c.reason}) })
+		a.Begun = true
+		convey.Convey("A stream that has begun is broken off by "+c.what, t, func() { shouldBecome(a, BreakOff{Reason: c.reason}) })
+	}
+}
+
+func TestEventPassed(t *testing.T) {
+	convey.Convey("A continued stream leaves out what the caller has", t, func() {
+		for _, c := range []struct {
+			id, last string
+			want     bool
+		}{
+			{"3", "3", true},
+			{"2", "3", true},
+			{"10", "9", false},
+			{"4", "3", false},
+			{"1", "", false},
+			{"", "3", false},
+			{"a", "b", false},
+		} {
+			convey.So(EventPassed(c.id, c.last), convey.ShouldEqual, c.want)
+		}
+	})
+}
--- /dev/null
+++ b/internal/gateway/relay/rules/retry_test.go
@@ -0,0 +1,138 @@
+package rules
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+func shouldFollow(f Failure, want NextAttempt) {
+	convey.So(AfterFailure(f), convey.ShouldResemble, want)
+}
+
+// notRun is the first failure of a request that must not run twice, with a proof
+// that it did not run.
+func notRun(reason verdict.Reason) Failure {
+	return Failure{Verdict: verdict.NotRun, Reason: reason, MaxAttempts: 1}
+}
+
+// lost is the first failure of a request that may run twice, without a proof.
+func lost(reason verdict.Reason) Failure {
+	return Failure{Verdict: verdict.MayHaveRun, Reason: reason, Retryable: true, MaxAttempts: 2}
+}
+
+func TestAfterFailureNotRun(t *testing.T) {
+	convey.Convey("A request that provably did not run", t, func() {
+		convey.Convey("goes to another target, whatever its route allows", func() {
+			shouldFollow(notRun(verdict.ReasonRefused), OtherTarget{})
+		})
+		convey.Convey("goes to the same target over another connection, twice", func() {
+			f := notRun(verdict.ReasonConnection)
+			shouldFollow(f, Resend{})
+			f.Resends = maxResends
+			shouldFollow(f, OtherTarget{})
+		})
+		convey.Convey("is given up after the third refusal", func() {
+			f := notRun(verdict.ReasonRefused)
+			f.Refusals = maxRefusals - 1
+			shouldFollow(f, OtherTarget{})
+			f.Refusals = maxRefusals
+			shouldFollow(f, GiveUp{Reason: RefusalsSpent})
+		})
+		convey.Convey("is given up when it is at fault itself", func() {
+			shouldFollow(notRun(verdict.ReasonBadRequest), GiveUp{Reason: BadRequest})
+		})
+		convey.Convey("is given up when there was no time to send it", func() {
+			shouldFollow(notRun(verdict.ReasonDeadline), GiveUp{Reason: TimeOver})
+		})
+		convey.Convey("has its inputs computed again when they are gone", func() {
+			shouldFollow(notRun(verdict.ReasonInputGone), Recompute{})
+		})
+	})
+}
+
+func TestAfterFailureMayHaveRun(t *testing.T) {
+	convey.Convey("A request that may have run", t, func() {
+		convey.Convey("goes to another target when its route allows it", func() {
+			shouldFollow(lost(verdict.ReasonCut), OtherTarget{})
+		})
+		convey.Convey("is given up when it must not run twice", func() {
+			f := lost(verdict.ReasonConnection)
+			f.Retryable = false
+			shouldFollow(f, GiveUp{Reason: MayHaveRun})
+		})
+		convey.Convey("is given up when it may have run as often as its route allows", func() {
+			f := lost(verdict.ReasonStalled)
+			f.Sends = 1
+			shouldFollow(f, GiveUp{Reason: AttemptsSpent})
+		})
+		convey.Convey("is given up when its own time is over or its caller has gone", func() {
+			f := lost(verdict.ReasonCancelled)
+			f.Ended = true
+			shouldFollow(f, GiveUp{Reason: RequestEnded})
+		})
+	})
+}
+
+func TestEndError(t *testing.T) {
+	last := verdict.New(verdict.MayHaveRun, verdict.ReasonCut, "cut")
+	own := verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
+	convey.Convey("A request that cannot be sent again ends with its last attempt's error", t, func() {
+		convey.So(EndError(last, own), convey.ShouldEqual, last)
+		convey.Convey("and with its own when there was none", func() {
+			convey.So(EndError(nil, own), convey.ShouldEqual, own)
+		})
+	})
+}
+
+func TestFinalVerdict(t *testing.T) {
+	refused := verdict.New(verdict.NotRun, verdict.ReasonRefused, "full")
+	shouldSay := func(sends int, retryable bool, want verdict.Verdict) {
+		convey.So(FinalVerdict(refused, sends, retryable).Verdict(), convey.ShouldEqual, want)
+	}
+	convey.Convey("A last refusal says nothing of earlier attempts at a request that must not run twice", t, func() {
+		shouldSay(1, false, verdict.MayHaveRun)
+		shouldSay(0, false, verdict.NotRun)
+		shouldSay(1, true, verdict.NotRun)
+	})
+}
+
+func TestTargetFault(t *testing.T) {
+	convey.Convey("What the caller, the request or a planned stop caused does not count against the target", t, func() {
+		for _, reason := range []verdict.Reason{verdict.ReasonCancelled, verdict.ReasonInputGone, verdict.ReasonLeaving, verdict.ReasonBadRequest} {
+			convey.So(TargetFault(reason), convey.ShouldBeFalse)
+		}
+	})
+	convey.Convey("Everything else does", t, func() {
+		for _, reason := range []verdict.Reason{verdict.ReasonDial, verdict.ReasonConnection, verdict.ReasonCut, verdict.ReasonStalled, verdict.ReasonDeadline, verdict.ReasonTargetError, verdict.ReasonRefused} {
+			convey.So(TargetFault(reason), convey.ShouldBeTrue)
+		}
+	})
+}
+
+func TestAttemptTimeout(t *testing.T) {
+	should := func(a Attempt, want TimeoutDecision) {
+		convey.So(AttemptTimeout(a), convey.ShouldResemble, want)
+	}
+	plain := Attempt{Retryable: true, MaxAttempts: 2, Objective: 2 * time.Second, PauseLimit: 500 * time.Millisecond}
+	convey.Convey("An attempt that another may follow", t, func() {
+		convey.Convey("may take a multiple of the objective", func() { should(plain, Timeout{Limit: 5 * time.Second}) })
+		convey.Convey("may be silent for three pauses of its stream", func() {
+			stream := plain
+			stream.Stream = true
+			should(stream, Timeout{Limit: 1500 * time.Millisecond})
+			stream.PauseLimit = 100 * time.Millisecond
+			should(stream, Timeout{Limit: minStreamTimeout})
+		})
+	})
+	convey.Convey("An attempt that no other may follow lasts as long as the request", t, func() {
+		once, last := plain, plain
+		once.Retryable = false
+		last.Sends = 1
+		should(once, NoTimeout{Reason: NotRetryable})
+		should(last, NoTimeout{Reason: LastAttempt})
+	})
+}
--- /dev/null
+++ b/internal/gateway/relay/rules/retryafter_test.go
@@ -0,0 +1,32 @@
+package rules
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+)
+
+func TestRetryAfter(t *testing.T) {
+	between := func(left, least, most time.Duration) {
+		convey.So(RetryAfter(left, 0), convey.ShouldEqual, least)
+		latest := RetryAfter(left, 0.999999)
+		convey.So(latest, convey.ShouldBeGreaterThanOrEqualTo, least)
+		convey.So(latest, convey.ShouldBeLessThanOrEqualTo, most)
+	}
+	convey.Convey("A refused client should retry", t, func() {
+		convey.Convey("after three quarters to all of a share of its time", func() {
+			between(10*time.Second, 2100*time.Millisecond, 2800*time.Millisecond)
+		})
+		convey.Convey("within the third of its time that clients wait", func() {
+			convey.So(RetryAfter(9*time.Second, 0.999999), convey.ShouldBeLessThan, 3*time.Second)
+		})
+		convey.Convey("after the upper bound at most", func() {
+			between(time.Minute, 3*time.Second, maxRetryAfter)
+		})
+		convey.Convey("after the lower bound when no time is left", func() {
+			between(0, minRetryAfter, minRetryAfter)
+			between(-time.Second, minRetryAfter, minRetryAfter)
+		})
+	})
+}
