--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -13,7 +13,8 @@
 
 // Part is a part of a prompt; parts are shared between requests.
 type Part struct {
-	ID     string
+	ID string
+	// Tokens is its length.
 	Tokens int
 }
 
@@ -30,11 +31,11 @@
 	Timeout time.Duration
 	// Parts are the shared parts of the prompt, in order.
 	Parts []Part
-	// Tokens is how long the prompt is.
+	// Tokens is the length of the whole prompt.
 	Tokens int
-	// Items is how many items each stage has.
+	// Items is how many items the request has in each stage of its route.
 	Items []int
-	// Source is the key of what the first items are made from.
+	// Source is the key of the data that the first stages' items are computed from.
 	Source string
 	// LastEvent is the event after which the client goes on; empty for the start.
 	LastEvent string
@@ -48,21 +49,22 @@
 	ID     string
 	// Payload is the request's.
 	Payload any
-	// Until is when the target may stop working.
+	// Until is the answer deadline: after it the answer is of no use.
 	Until time.Time
 	// Organisation is the holder of the caller's key; empty for none.
 	Organisation string
-	// Priority is the rank at an engine, from 0 (first) to 9; -1 for none.
+	// Priority is the priority at an engine, from 0 (first) to 9; -1 for none.
 	Priority int
 	// Inputs are the handles of the last stages' results.
 	Inputs []string
 	// LastEvent is the event after which the target goes on; empty for the start.
 	LastEvent string
-	// Permit is asked just before the first byte is written.
+	// Permit is asked just before the first byte is written; with an error the call
+	// must not be sent.
 	Permit func() error
 }
 
-// Reply is a target's answer to a call whose head has come.
+// Reply is a target's answer to a call, from its head on.
 type Reply struct {
 	// Status is the target's own status.
 	Status int
@@ -70,68 +72,80 @@
 	Succeeded bool
 	// Head is the adapter's own form of what is passed back.
 	Head any
-	// Body gives the answer; an end without error proves that it is whole.
+	// Body is the answer; io.EOF at its end proves that it is whole.
 	Body io.ReadCloser
-	// Load is what the target told of itself; nil for nothing.
+	// Load is what the target reported of its load; nil for nothing.
 	Load *placement.Load
 }
 
 // Upstream sends calls to targets.
 type Upstream interface {
+	// Send returns once the head of the answer is there. The error says whether the
+	// target may have run the call; without proof it may have.
 	Send(ctx context.Context, c Call) (*Reply, *verdict.Error)
 }
 
-// Responder answers a caller. Begin is called once, before any Write.
+// Responder answers a caller. Begin is called once, before any Write; an error
+// means that the caller has gone.
 type Responder interface {
-	// Begin passes on a target's head; length is -1 for a stream.
+	// Begin passes back a target's head; length is in bytes, -1 for a stream.
 	Begin(r *Reply, length int) error
-	// Write passes on bytes at once.
+	// Write passes back bytes without delay.
 	Write(p []byte) error
 }
 
 // Group is the items of one stage of one request.
 type Group struct {
+	// Request is the request's identity, Stage the index in its route.
 	Request string
 	Stage   int
-	Count   int
-	// Source or Inputs are what the items are made from.
-	Source     string
-	Inputs     []string
-	Bytes      int64
-	Due        time.Time
-	Deadline   time.Time
-	Priority   int
+	// Count is the number of items.
+	Count int
+	// Source or Inputs are what the items are computed from: a key, or the handles of
+	// earlier results.
+	Source string
+	Inputs []string
+	// Bytes is roughly the size of one result.
+	Bytes int64
+	// Due and Deadline are as in rules.StageTimes.
+	Due      time.Time
+	Deadline time.Time
+	// Priority is from 0 (first) to 9.
+	Priority int
+	// DataCentre is where the targets should be; empty for anywhere.
 	DataCentre string
 }
 
-// Batcher has items made.
+// Batcher runs the items of stages at their services' targets.
 type Batcher interface {
-	// Run returns the results in the order of the items' numbers. It calls
-	// started, if at all, once the items should have read their inputs.
+	// Run returns the results in the order of the items' numbers. It calls started,
+	// at most once, when the items should have read their inputs. An error with
+	// verdict.ReasonInputGone means that inputs are lost and have to be computed again.
 	Run(ctx context.Context, service string, g Group, started func()) ([]batching.Result, *verdict.Error)
-	// Release frees results.
+	// Release releases results at their targets.
 	Release(service string, results []batching.Result)
-	// Plan tells of the stages that a request will ask for, and returns how long
-	// each stage's service takes for what was planned or asked for before; 0 where
-	// that is not known.
+	// Plan announces the stages that a request will run, and returns each service's
+	// backlog: how long it takes for what was planned or waits already; 0 where that
+	// is not known.
 	Plan(ctx context.Context, request string, stages []PlannedStage) []time.Duration
-	// Cancel takes plans back.
+	// Cancel withdraws plans.
 	Cancel(request string, stages []PlannedStage)
 }
 
-// Placer chooses engines with regard to what all nodes sent.
+// Placer chooses engines by what all nodes have sent to them.
 type Placer interface {
-	// Place returns the identity of an engine; false when none could be asked for.
+	// Place returns the identity of an engine; false when there was no answer in time.
 	Place(ctx context.Context, service string, p placement.Prompt) (string, bool)
-	// Prefilled says that a prompt that was placed has been read, or that its request
-	// has ended without.
+	// Prefilled reports that a placed prompt loads its engine no longer: whole says
+	// whether it was read to the end.
 	Prefilled(service, request string, whole bool)
 }
 
-// PlannedStage is work that a request will ask for.
+// PlannedStage is a stage that a request will run.
 type PlannedStage struct {
 	Service string
 	Stage   int
 	Items   int
-	Due     time.Time
+	// Due is when the results should be there for the answer to be in time.
+	Due time.Time
 }
--- a/internal/gateway/relay/resolve.go
+++ b/internal/gateway/relay/resolve.go
@@ -10,9 +10,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// unreadyRetryAfter is when a client should retry at a node without a
-// configuration: the store is usually read within a second of the start. Not
-// measured (72a0bc2).
+// unreadyRetryAfter is when a client should retry that met a node without a
+// configuration. Not measured (72a0bc2).
 const unreadyRetryAfter = time.Second
 
 // resolved is a request with the part of the configuration that governs it. It
--- a/internal/gateway/relay/rules/prefill.go
+++ b/internal/gateway/relay/rules/prefill.go
@@ -9,8 +9,8 @@
 	// firstPrefillRate is assumed for each token until a rate is measured: about the
 	// median of the users' deployments (docs/decisions/0013).
 	firstPrefillRate = 20 * time.Microsecond
-	// minPrefillTokens is the shortest prompt that the rate is measured from; in
-	// shorter ones firstTokenTime prevails. Not measured (d6c9969).
+	// minPrefillTokens is the shortest prompt that the rate is measured from: at the
+	// first rate its prefill takes as long as firstTokenTime. Not measured (d6c9969).
 	minPrefillTokens = 2000
 	// prefillWeight is the weight of the newest prompt in the average. Not measured
 	// (d6c9969).
--- a/internal/gateway/relay/rules/results.go
+++ b/internal/gateway/relay/rules/results.go
@@ -22,8 +22,8 @@
 // they were released or are gone at their targets.
 func NeedsInput(items int, held bool) bool { return items > 0 && !held }
 
-// MayRecompute says whether results may be computed once more, after recomputes
-// that include this one. Beyond, the request ends as not run.
+// MayRecompute says whether results may be computed again; recomputes counts how
+// often that happened to the request, this time included. Beyond, it ends as not run.
 func MayRecompute(recomputes int) bool { return recomputes <= maxRecomputes }
 
 // WorthNearness says whether results are large enough to prefer targets in their
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -3,8 +3,8 @@
 import "github.com/honeydyke/honeydyke/pkg/verdict"
 
 const (
-	// maxRefusals bounds the targets that may refuse one request: each refusal costs
-	// a round trip, and those that follow see the same load. Not measured (72a0bc2).
+	// maxRefusals bounds the targets that may refuse one request before it is given
+	// up. Not measured (72a0bc2).
 	maxRefusals = 2
 	// maxResends bounds how often a request is sent again to the same target because
 	// an idle connection had ended. Not measured (754c152).
--- a/internal/gateway/relay/rules/retryafter.go
+++ b/internal/gateway/relay/rules/retryafter.go
@@ -7,8 +7,10 @@
 	// retry. Clients wait at most a third of theirs, by the platform's bound; the
 	// figure below it was not measured (b3a4e62).
 	retryAfterShare = 0.28
-	// maxRetryAfter and minRetryAfter bound the time. Not measured (b3a4e62).
+	// maxRetryAfter bounds the time for clients with much time left. Not measured
+	// (b3a4e62).
 	maxRetryAfter = 4 * time.Second
+	// minRetryAfter is the time for clients with none left. Not measured (b3a4e62).
 	minRetryAfter = 50 * time.Millisecond
 	// retryAfterParts is how many parts the time is cut into; the last one is random,
 	// so that clients refused together do not return together. Not measured.
--- a/internal/gateway/relay/rules/share.go
+++ b/internal/gateway/relay/rules/share.go
@@ -1,10 +1,11 @@
 package rules
 
-// spareConnections is what a node leaves of its share of a target's connections
-// for those that the target has not closed yet, and leastConnections what it may
-// use in any case. Not measured (72a0bc2).
 const (
+	// spareConnections is what a node leaves of its share of a target's connections.
+	// Not measured, and no reason was recorded (72a0bc2).
 	spareConnections = 1
+	// leastConnections is what a node may use however many others there are, or it
+	// could serve nothing. Not measured (72a0bc2).
 	leastConnections = 1
 )
 
--- a/internal/gateway/relay/rules/timeout.go
+++ b/internal/gateway/relay/rules/timeout.go
@@ -6,10 +6,11 @@
 	// plainTimeoutShare is how long an attempt without a stream may take, as a
 	// multiple of the route's objective. Not measured (72a0bc2).
 	plainTimeoutShare = 2.5
-	// minStreamTimeout and streamTimeoutPauses bound the silence of a stream: the
-	// longer of 1.2 s and three pauses that would still be in time. Not measured
-	// (72a0bc2).
-	minStreamTimeout    = 1200 * time.Millisecond
+	// minStreamTimeout is the least silence that ends the attempt of a stream. Not
+	// measured (72a0bc2).
+	minStreamTimeout = 1200 * time.Millisecond
+	// streamTimeoutPauses is how many pauses that would each be in time end it on
+	// routes where that is longer. Not measured (72a0bc2).
 	streamTimeoutPauses = 3
 )
 
--- a/internal/gateway/relay/rules/times.go
+++ b/internal/gateway/relay/rules/times.go
@@ -4,9 +4,10 @@
 
 const (
 	// answerMargin is kept free before the end of the client's time, so that the
-	// answer reaches it: 25 ms, and no more than one part in answerMarginParts of a
-	// short time. Not measured (72a0bc2).
-	answerMargin      = 25 * time.Millisecond
+	// answer reaches it. Not measured (72a0bc2).
+	answerMargin = 25 * time.Millisecond
+	// answerMarginParts bounds the margin of a short time: no more than one part of
+	// so many. Not measured (72a0bc2).
 	answerMarginParts = 10
 	// defaultTimeout is assumed of clients that send none. Not measured (72a0bc2).
 	defaultTimeout = 30 * time.Second
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -214,6 +214,9 @@
 	if !rules.WorthNearness(w.route.Stages[i].ResultBytes * int64(w.stages[i].Items)) {
 		return ""
 	}
-	target, _ := w.chooser.own(w.results.bytes())
+	target, ok := w.chooser.own(w.results.bytes())
+	if !ok {
+		return ""
+	}
 	return target.DataCentre
 }
--- /dev/null
+++ b/internal/gateway/relay/stages_test.go
@@ -0,0 +1,137 @@
+package relay_test
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// chain is a route with stages one, two after one, and three after two.
+func chain() *catalog.Route {
+	return &catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2, Stages: []catalog.Stage{
+		{Service: "one", ResultBytes: 8000}, {Service: "two", After: []int{0}, ResultBytes: 60000}, {Service: "three", After: []int{1}, ResultBytes: 6000},
+	}}
+}
+
+func gone() *verdict.Error { return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "gone") }
+
+func TestStages(t *testing.T) {
+	convey.Convey("Stages run in order, each on all results of those before it", t, func() {
+		w, s := setup(chain(), true)
+		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
+		convey.So(w.groups, convey.ShouldHaveLength, 3)
+		convey.So(w.groups[0].Source, convey.ShouldEqual, "k")
+		convey.So(w.groups[1].Source, convey.ShouldBeEmpty)
+		convey.So(w.groups[1].Inputs, convey.ShouldHaveLength, 1)
+		convey.So(w.groups[2].Inputs, convey.ShouldHaveLength, 4)
+		convey.So(w.calls[0].Inputs, convey.ShouldHaveLength, 2)
+		convey.So(w.held, convey.ShouldBeEmpty)
+	})
+	convey.Convey("The stages of a long prompt are due sooner", t, func() {
+		due := func(tokens int) time.Duration {
+			w, s := setup(chain(), true)
+			r := request(1, 4, 2)
+			r.Tokens = tokens
+			convey.So(s.Serve(t.Context(), r, &client{}), convey.ShouldBeNil)
+			return w.groups[0].Due.Sub(r.Arrived)
+		}
+		convey.So(due(100)-due(2000), convey.ShouldEqual, 0)
+		convey.So(due(100)-due(30_000), convey.ShouldBeGreaterThan, 400*time.Millisecond)
+	})
+	convey.Convey("A stage without items is not run", t, func() {
+		w, s := setup(chain(), true)
+		convey.So(s.Serve(t.Context(), request(1, 1, 0), &client{}), convey.ShouldBeNil)
+		convey.So(w.groups, convey.ShouldHaveLength, 2)
+	})
+	convey.Convey("A stage that fails ends the request as not run", t, func() {
+		w, s := setup(chain(), true)
+		w.groupErrs = []*verdict.Error{nil, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "late")}
+		err := s.Serve(t.Context(), request(1, 4, 2), &client{})
+		convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
+		convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 0)
+		convey.So(w.calls, convey.ShouldBeEmpty)
+		convey.So(w.held, convey.ShouldBeEmpty)
+	})
+}
+
+func TestLostInputs(t *testing.T) {
+	convey.Convey("When an input is gone, the stages run again from the first one whose results are not held", t, func() {
+		w, s := setup(chain(), true)
+		w.groupErrs = []*verdict.Error{nil, nil, gone()}
+		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
+		for i, m := range w.groups {
+			convey.So(m.Stage == 0 || len(m.Inputs) > 0, convey.ShouldBeTrue)
+			convey.So(m.Stage, convey.ShouldEqual, []int{0, 1, 2, 0, 1, 2}[i])
+		}
+		convey.So(w.held, convey.ShouldBeEmpty)
+	})
+	convey.Convey("A stream that is continued elsewhere has its released inputs computed again", t, func() {
+		w, s := setup(chain(), true)
+		w.answers = []answer{{status: 200, body: events(1, 2), cut: true}, {status: 200, body: events(3, 4)}}
+		out := &client{}
+		convey.So(s.Serve(t.Context(), request(1, 4, 2), out), convey.ShouldBeNil)
+		convey.So(out.body.String(), convey.ShouldEqual, events(1, 4))
+		convey.So(w.held, convey.ShouldBeEmpty)
+	})
+}
+
+func TestAdmission(t *testing.T) {
+	convey.Convey("When the stages cannot be done in time", t, func() {
+		w, s := setup(chain(), true)
+		w.wait = 3 * time.Second
+		convey.Convey("the request is refused before any item is run, and its plans are cancelled", func() {
+			err := s.Serve(t.Context(), request(1, 4, 2), &client{})
+			convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
+			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonOverload)
+			convey.So(err.RetryAfter(), convey.ShouldBeBetween, time.Second, 10*time.Second/3)
+			convey.So(w.groups, convey.ShouldBeEmpty)
+			convey.So(w.planned, convey.ShouldEqual, 0)
+		})
+	})
+	convey.Convey("An idle system refuses nobody, however short the objective", t, func() {
+		r := chain()
+		w, s := setup(r, true)
+		r.Objective = 500 * time.Millisecond
+		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
+		convey.So(w.groups, convey.ShouldHaveLength, 3)
+	})
+	convey.Convey("A retry waits, and is refused while it has half of its time left", t, func() {
+		synctest.Test(t, func(t *testing.T) {
+			w, s := setup(chain(), true)
+			w.wait = 3 * time.Second
+			_ = s.Serve(t.Context(), request(1, 4, 2), &client{})
+			retry := request(1, 4, 2)
+			retry.Timeout = 7 * time.Second
+			err := s.Serve(t.Context(), retry, &client{})
+			took := time.Since(retry.Arrived)
+			if err == nil || err.Verdict() != verdict.NotRun || err.RetryAfter() <= 0 || len(w.groups) > 0 {
+				t.Errorf("got %v after %d groups", err, len(w.groups))
+			}
+			if took < 2*time.Second || took > 3500*time.Millisecond {
+				t.Errorf("held for %v", took)
+			}
+		})
+	})
+	convey.Convey("A retry is admitted as soon as it can be in time", t, func() {
+		synctest.Test(t, func(t *testing.T) {
+			w, s := setup(chain(), true)
+			w.wait = 3 * time.Second
+			_ = s.Serve(t.Context(), request(1, 4, 2), &client{})
+			time.AfterFunc(time.Second, func() {
+				w.mu.Lock()
+				defer w.mu.Unlock()
+				w.wait = 0
+			})
+			retry := request(1, 4, 2)
+			retry.Timeout = 7 * time.Second
+			if err := s.Serve(t.Context(), retry, &client{}); err != nil {
+				t.Error(err)
+			}
+		})
+	})
+}
