--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -121,7 +121,7 @@
 	}
 	d.decided(AttemptFailed{
 		Attempt: d.outcome.Attempts[len(d.outcome.Attempts)-1], Events: d.outcome.Events, LastEvent: d.answer.lastEvent,
-		Left: d.times.Answer.Sub(d.now()), WillRetry: !over,
+		Left: d.times.Answer.Sub(d.now()), WillRetry: !over, Next: next,
 	})
 }
 
--- a/internal/gateway/relay/outcome.go
+++ b/internal/gateway/relay/outcome.go
@@ -66,6 +66,8 @@
 	Left time.Duration
 	// WillRetry says whether another target may be asked.
 	WillRetry bool
+	// Next is what follows, with the reason where the request is given up.
+	Next rules.NextAttempt
 }
 
 func (Refused) isDecision()       {}
--- a/internal/gateway/relay/stages_test.go
+++ b/internal/gateway/relay/stages_test.go
@@ -100,6 +100,9 @@
 		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
 		convey.So(w.groups, convey.ShouldHaveLength, 3)
 	})
+}
+
+func TestRetryAdmission(t *testing.T) {
 	convey.Convey("A retry waits, and is refused while it has half of its time left", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			w, s := setup(chain(), true)
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -9,6 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
@@ -65,7 +66,7 @@
 	case relay.AttemptFailed:
 		logError(g.log.Warn(), d.Attempt.Err).Str("request", request).Str("target", d.Attempt.Target).Int("status", d.Attempt.Status).
 			Dur("took", d.Attempt.Took).Int("events", d.Events).Str("lastEvent", d.LastEvent).Dur("left", d.Left).Bool("again", d.WillRetry).
-			Msg("request: attempt failed")
+			Str("next", nextText(d.Next)).Msg("request: attempt failed")
 	}
 }
 
@@ -82,6 +83,21 @@
 		Bool("retried", d.Retried).Msg("request: refused, the stages would take too long")
 }
 
+// nextText says what follows a failed attempt.
+func nextText(next rules.NextAttempt) string {
+	switch next := next.(type) {
+	case rules.Resend:
+		return "same target"
+	case rules.OtherTarget:
+		return "other target"
+	case rules.Recompute:
+		return "recompute inputs"
+	case rules.GiveUp:
+		return "given up, " + string(next.Reason)
+	}
+	return ""
+}
+
 func logError(ev *zerolog.Event, err *verdict.Error) *zerolog.Event {
 	if err == nil {
 		return ev
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -23,6 +23,21 @@
 	return line
 }
 
+func TestAttemptLine(t *testing.T) {
+	shouldSay := func(next rules.NextAttempt, again bool, want string) {
+		line := logged(relay.AttemptFailed{Attempt: relay.Attempt{Target: "t"}, WillRetry: again, Next: next})
+		convey.So(line["message"], convey.ShouldEqual, "request: attempt failed")
+		convey.So(line["again"], convey.ShouldEqual, again)
+		convey.So(line["next"], convey.ShouldEqual, want)
+	}
+	convey.Convey("A failed attempt's line says what follows, and why nothing does", t, func() {
+		shouldSay(rules.OtherTarget{}, true, "other target")
+		shouldSay(rules.Recompute{}, true, "recompute inputs")
+		shouldSay(rules.GiveUp{Reason: rules.MayHaveRun}, false, "given up, may have run")
+		shouldSay(rules.GiveUp{Reason: rules.RequestEnded}, false, "given up, request ended")
+	})
+}
+
 func TestRefusedLine(t *testing.T) {
 	convey.Convey("A refusal's line has what was planned, what was compared and what the bound was made of", t, func() {
 		decision := rules.Admit(rules.Admission{
--- a/pkg/cmd/explain/explain.go
+++ b/pkg/cmd/explain/explain.go
@@ -85,6 +85,7 @@
 		found, err := read(name, bytes.NewReader(text), opts.Request)
 		lines = append(lines, found...)
 		if err != nil {
+			// A failure to write to standard error leaves nothing to report it with.
 			fmt.Fprintf(opts.Factory.Err, "%s: the rest is left out: %v\n", name, err)
 		}
 	}
--- a/pkg/cmd/explain/explain_test.go
+++ b/pkg/cmd/explain/explain_test.go
@@ -42,6 +42,9 @@
 		convey.So(out, convey.ShouldContainSubstring, "reason: connection-lost")
 		convey.So(out, convey.ShouldNotContainSubstring, "r2")
 	})
+}
+
+func TestExplainRefusal(t *testing.T) {
 	convey.Convey("A refusal says in a sentence what was compared", t, func() {
 		shouldPrint := func(request, sentence string) {
 			out, err := execute(request)
@@ -55,6 +58,9 @@
 			shouldPrint("second", "The stages would have waited 1253.8 ms for other requests, more than the 150.0 ms that are always allowed: 0.85 of the 500.0 ms of the whole objective, as for each retry, less 280.0 ms for the stages themselves, 150.0 ms for the engine and 0.0 ms for the route's priority.")
 		})
 	})
+}
+
+func TestExplainInput(t *testing.T) {
 	convey.Convey("The lines are to be had as JSON", t, func() {
 		out, err := execute("r1", "--json")
 		convey.So(err, convey.ShouldBeNil)
