--- a/internal/gateway/relay/rules/admission.go
+++ b/internal/gateway/relay/rules/admission.go
@@ -6,11 +6,12 @@
 	// planShare is the part of the time to the objective that the stages may be
 	// planned to take. The rest covers what the estimate does not know. Set by
 	// 541dc1a (docs/MEASUREMENTS.md, "planned for 0.85 of the objective"); 0.72
-	// refused requests on an idle system (3249830), 0.95 made no difference (c6fcf5d).
+	// refused requests on an idle system (3249830), 0.95 with 250 ms a step of priority
+	// made no difference (c6fcf5d).
 	planShare = 0.85
 	// priorityMargin is kept free for each step of a route's priority, so that the
-	// less urgent is refused first. Not measured when it was set (459f9ac); 250 ms
-	// made no difference (c6fcf5d).
+	// less urgent is refused first. Not measured when it was set (459f9ac); a trial
+	// with 250 ms and a share of 0.95 made no difference (c6fcf5d).
 	priorityMargin = 150 * time.Millisecond
 	// minWait is the wait for other requests that is always allowed, so that an idle
 	// system refuses nobody, however short the objective. The need was measured in
@@ -21,8 +22,9 @@
 	// that they have left. Not measured (b3a4e62).
 	retriedShare = 0.97
 	// retriedWaitShare is the part of its time for which a retried request waits to
-	// be admitted. c6fcf5d measured that refusing then beats admitting it late; the
-	// half itself was not measured.
+	// be admitted. Refusing then was measured against admitting it late (c6fcf5d,
+	// docs/MEASUREMENTS.md, "nobody let in behind all others"); the half itself only
+	// by a trial with 0.45 that changed more (same table, reverted).
 	retriedWaitShare = 0.5
 	// retriedPause is the time between two plans of a retried request. Not measured
 	// (459f9ac).
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -74,8 +74,8 @@
 // number of refusals and the request's own end count. A proof that it did not run
 // allows another target, unless the request itself is at fault or late; without
 // the proof the route decides (docs/decisions/0004). Inputs that are gone at their
-// targets are recomputed first. The shell asks the retry budget before the next
-// attempt. A wrong retry runs a request twice; a wrong end returns an error to a
+// targets are recomputed first. The shell asks the retry budget
+// (docs/decisions/0011) before the next attempt. A wrong retry runs a request twice; a wrong end returns an error to a
 // client that could have had its answer.
 func AfterFailure(f Failure) NextAttempt {
 	notRun := f.Verdict == verdict.NotRun
