--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -20,29 +20,29 @@
 const unknownLength = -1
 
 // passBack gives a target's answer to the caller.
-func (d *delivery) passBack(ctx context.Context, reply *Reply, timer attemptTimer) *verdict.Error {
+func (s *sender) passBack(ctx context.Context, reply *Reply, timer attemptTimer, sends int) *verdict.Error {
 	defer reply.Body.Close()
-	if d.route.Kind == catalog.Stream && reply.Succeeded {
-		return d.answer.passStream(ctx, reply, timer)
+	if s.route.Kind == catalog.Stream && reply.Succeeded {
+		return s.answer.passStream(ctx, reply, timer)
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes+1))
 	if err != nil || len(body) > maxAnswerBytes {
 		return broken(ctx, err)
 	}
-	switch rules.AfterAnswer(d.answerInput(reply)).(type) {
+	switch rules.AfterAnswer(s.answerInput(reply, sends)).(type) {
 	case rules.TryAnother:
 		return verdict.New(verdict.Ran, verdict.ReasonTargetError, "the target answered with status %d", reply.Status)
 	case rules.BreakOff:
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "the stream could not be continued: status %d", reply.Status)
 	}
-	return d.answer.passWhole(reply, body)
+	return s.answer.passWhole(reply, body)
 }
 
-func (d *delivery) answerInput(reply *Reply) rules.Answer {
+func (s *sender) answerInput(reply *Reply, sends int) rules.Answer {
 	return rules.Answer{
-		Status: reply.Status, Succeeded: reply.Succeeded, Begun: d.answer.begun.Load(),
-		Retryable: d.route.MayRepeat(), Sends: d.sends, MaxAttempts: d.route.MaxAttempts,
-		Budget: d.budgets.left(d.service.Name), Left: d.times.Answer.Sub(d.now()), Objective: d.route.Objective,
+		Status: reply.Status, Succeeded: reply.Succeeded, Begun: s.answer.begun.Load(),
+		Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
+		Budget: s.budgets.left(s.service.Name), Left: s.times.Answer.Sub(s.now()), Objective: s.route.Objective,
 	}
 }
 
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -6,36 +6,34 @@
 
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
-	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
 // delivery sends one request to targets until one of them has answered it.
 type delivery struct {
 	*resolved
-	upstream Upstream
-	placer   Placer
-	view     func() *view.View
-	now      func() time.Time
-	decided  func(Decision)
-	targets  *targets
-	budgets  *retryBudgets
-	prefills *prefillRates
-	chooser  *chooser
-	stages   *stageWork
-	answer   *answer
-	outcome  *Outcome
+	now     func() time.Time
+	decided func(Decision)
+	budgets *retryBudgets
+	chooser *chooser
+	work    *stageWork
+	sender  *sender
+	answer  *answer
+	outcome *Outcome
 	// resends, refusals and sends count attempts as rules.Failure does.
 	resends, refusals, sends int
 }
 
 func (s *Server) delivery(r *resolved, out Responder, outcome *Outcome) *delivery {
 	c, decided := s.chooser(r), s.decided(r)
+	work := newStageWork(r, &s.cfg, decided, c)
+	answer := &answer{out: out, arrived: r.req.Arrived, now: s.cfg.Now, outcome: outcome, lastEvent: r.req.LastEvent}
 	return &delivery{
-		resolved: r, upstream: s.cfg.Upstream, placer: s.cfg.Placer, view: s.cfg.View, now: s.cfg.Now, decided: decided,
-		targets: s.targets, budgets: s.budgets, prefills: s.prefills,
-		chooser: c, stages: newStageWork(r, &s.cfg, decided, c),
-		answer: &answer{out: out, arrived: r.req.Arrived, now: s.cfg.Now, outcome: outcome, lastEvent: r.req.LastEvent}, outcome: outcome,
+		resolved: r, now: s.cfg.Now, decided: decided, budgets: s.budgets, chooser: c, work: work, answer: answer, outcome: outcome,
+		sender: &sender{
+			resolved: r, upstream: s.cfg.Upstream, placer: s.cfg.Placer, view: s.cfg.View, now: s.cfg.Now,
+			targets: s.targets, budgets: s.budgets, prefills: s.prefills, work: work, answer: answer, outcome: outcome,
+		},
 	}
 }
 
@@ -43,7 +41,7 @@
 // other may be tried.
 func (d *delivery) deliver(ctx context.Context) *verdict.Error {
 	for first := true; ; first = false {
-		if err := d.stages.ensure(ctx); err != nil {
+		if err := d.work.ensure(ctx); err != nil {
 			return err
 		}
 		if !d.mayAttempt(first) {
@@ -62,7 +60,7 @@
 		case rules.GiveUp:
 			return err
 		case rules.Recompute:
-			d.stages.results.lost = true
+			d.work.results.lost = true
 		case rules.OtherTarget:
 			d.chooser.tried = append(d.chooser.tried, target.ID)
 		}
@@ -83,14 +81,14 @@
 	if d.service.Engine == nil {
 		return nil
 	}
-	return d.stages.results.bytes()
+	return d.work.results.bytes()
 }
 
 // try sends the request to one target, over another connection where an idle one
 // had ended. An error comes with what follows it.
 func (d *delivery) try(ctx context.Context, target directory.Target) (rules.NextAttempt, *verdict.Error) {
 	for {
-		err := d.attempt(ctx, target)
+		err := d.sender.send(ctx, target, d.sends)
 		if err == nil {
 			return nil, nil
 		}
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -99,9 +99,9 @@
 	}
 	d := s.delivery(r, out, outcome)
 	defer s.cancelOnStop(cancel, &d.answer.begun)()
-	defer func() { outcome.Recomputed = d.stages.recomputes }()
-	defer func() { d.stages.results.releaseAll() }()
-	if err := d.stages.results.run(ctx); err != nil {
+	defer func() { outcome.Recomputed = d.work.recomputes }()
+	defer func() { d.work.results.releaseAll() }()
+	if err := d.work.results.run(ctx); err != nil {
 		return d.final(err)
 	}
 	outcome.StagesTook = s.cfg.Now().Sub(req.Arrived)
--- a/internal/gateway/relay/attempt.go
+++ b/internal/gateway/relay/sender.go
@@ -9,6 +9,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
@@ -18,36 +19,51 @@
 // errTimeout ends the context of an attempt that was silent for too long.
 var errTimeout = errors.New("the target took too long")
 
-// attempt sends the request to one target and passes its answer back.
-func (d *delivery) attempt(ctx context.Context, target directory.Target) *verdict.Error {
-	start := d.now()
-	d.targets.sent(target.ID)
+// sender sends one request to one target at a time and passes the answer back.
+type sender struct {
+	*resolved
+	upstream Upstream
+	placer   Placer
+	view     func() *view.View
+	now      func() time.Time
+	targets  *targets
+	budgets  *retryBudgets
+	prefills *prefillRates
+	work     *stageWork
+	answer   *answer
+	outcome  *Outcome
+}
+
+// send is one attempt. sends counts those before it that may have run.
+func (s *sender) send(ctx context.Context, target directory.Target, sends int) *verdict.Error {
+	start := s.now()
+	s.targets.sent(target.ID)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := d.startTimer(cancel)
+	timer := s.startTimer(cancel, sends)
 	defer timer.stop()
 	tried := Attempt{Target: target.ID}
 	answered := time.Duration(0)
-	reply, err := d.upstream.Send(ctx, d.call(target))
+	reply, err := s.upstream.Send(ctx, s.call(target))
 	if err == nil {
-		answered = d.now().Sub(start)
+		answered = s.now().Sub(start)
 		tried.Status = reply.Status
-		d.answer.began = func(reply *Reply) { d.answerBegan(reply, start) }
-		err = d.passBack(ctx, reply, timer)
+		s.answer.began = func(reply *Reply) { s.answerBegan(reply, start) }
+		err = s.passBack(ctx, reply, timer, sends)
 	}
-	if err != nil && !d.answer.begun.Load() {
-		d.prefilled(false)
+	if err != nil && !s.answer.begun.Load() {
+		s.prefilled(false)
 	}
 	if err != nil && errors.Is(context.Cause(ctx), errTimeout) {
 		err = err.WithReason(verdict.ReasonStalled)
 	}
-	tried.Took = d.now().Sub(start)
+	tried.Took = s.now().Sub(start)
 	tried.Err = err
-	d.outcome.Attempts = append(d.outcome.Attempts, tried)
+	s.outcome.Attempts = append(s.outcome.Attempts, tried)
 	if answered == 0 {
 		answered = tried.Took
 	}
-	d.noteEnd(target, reply, err, answered)
+	s.noteEnd(target, reply, err, answered)
 	return err
 }
 
@@ -71,10 +87,10 @@
 	}
 }
 
-func (d *delivery) startTimer(cancel context.CancelCauseFunc) attemptTimer {
+func (s *sender) startTimer(cancel context.CancelCauseFunc, sends int) attemptTimer {
 	decision := rules.AttemptTimeout(rules.Attempt{
-		Stream: d.route.Kind == catalog.Stream, Retryable: d.route.MayRepeat(), Sends: d.sends, MaxAttempts: d.route.MaxAttempts,
-		Objective: d.route.Objective, PauseLimit: d.route.PauseLimit,
+		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
+		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
 	})
 	timeout, limited := decision.(rules.Timeout)
 	if !limited {
@@ -83,27 +99,27 @@
 	return attemptTimer{limit: timeout.Limit, timer: time.AfterFunc(timeout.Limit, func() { cancel(errTimeout) })}
 }
 
-func (d *delivery) call(target directory.Target) Call {
+func (s *sender) call(target directory.Target) Call {
 	c := Call{
-		Target: target, ID: d.req.ID, Payload: d.req.Payload, Until: d.times.Answer,
-		Organisation: d.organisation(), Priority: noPriority, LastEvent: d.answer.lastEvent,
-		Permit: func() error { return d.permit(target.ID) },
+		Target: target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.Answer,
+		Organisation: s.organisation(), Priority: noPriority, LastEvent: s.answer.lastEvent,
+		Permit: func() error { return s.permit(target.ID) },
 	}
-	if d.service.Engine != nil {
-		c.Priority = d.priority()
-		c.Inputs = d.stages.results.inputs()
+	if s.service.Engine != nil {
+		c.Priority = s.priority()
+		c.Inputs = s.work.results.inputs()
 	}
 	return c
 }
 
 // permit is asked just before the first byte is written: the target may have
 // begun to leave, and a process that was paused may be too late.
-func (d *delivery) permit(id string) error {
-	now := d.now()
-	if !now.Before(d.times.Answer) {
+func (s *sender) permit(id string) error {
+	now := s.now()
+	if !now.Before(s.times.Answer) {
 		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time is over")
 	}
-	if !d.view().Directory.Usable(id, now) {
+	if !s.view().Directory.Usable(id, now) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target leaves")
 	}
 	return nil
@@ -111,24 +127,24 @@
 
 // answerBegan notes the first bytes of an answer to an attempt that was sent at
 // the given time: the engine has read the prompt and the inputs.
-func (d *delivery) answerBegan(reply *Reply, sent time.Time) {
-	d.prefilled(true)
-	if d.service.Engine != nil && reply.Succeeded {
-		d.prefills.note(d.service.Name, d.req.Tokens, d.now().Sub(sent))
+func (s *sender) answerBegan(reply *Reply, sent time.Time) {
+	s.prefilled(true)
+	if s.service.Engine != nil && reply.Succeeded {
+		s.prefills.note(s.service.Name, s.req.Tokens, s.now().Sub(sent))
 	}
-	d.stages.results.consumed()
+	s.work.results.consumed()
 }
 
 // prefilled reports to the placer that the prompt no longer loads its engine:
 // whole says whether it was read.
-func (d *delivery) prefilled(whole bool) {
-	if d.service.Engine != nil {
-		d.placer.Prefilled(d.service.Name, d.req.ID, whole)
+func (s *sender) prefilled(whole bool) {
+	if s.service.Engine != nil {
+		s.placer.Prefilled(s.service.Name, s.req.ID, whole)
 	}
 }
 
 // noteEnd takes in how a target answered.
-func (d *delivery) noteEnd(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
+func (s *sender) noteEnd(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
 	e := attemptEnd{target: target.ID, took: took}
 	if reply != nil {
 		e.load = reply.Load
@@ -137,5 +153,5 @@
 		e.fault = rules.TargetFault(err.Reason())
 		e.unreachable = err.Reason() == verdict.ReasonDial
 	}
-	d.targets.ended(e)
+	s.targets.ended(e)
 }
