--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -21,6 +21,7 @@
 
 // passBack gives a target's answer to the caller.
 func (s *sender) passBack(ctx context.Context, reply *Reply, timer attemptTimer, sends int) *verdict.Error {
+	// The body has been read to its end or is of no use: its close has nothing to say.
 	defer reply.Body.Close()
 	if s.route.Kind == catalog.Stream && reply.Succeeded {
 		return s.answer.passStream(ctx, reply, timer)
