--- /dev/null
+++ b/internal/gateway/placement/candidates.go
@@ -0,0 +1,89 @@
+package placement
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+)
+
+// tier says how well a candidate may be used at all. A candidate of a lower tier
+// goes before all of a higher one, whatever their costs.
+type tier int
+
+// Tiers of candidates.
+const (
+	// healthy candidates are used first.
+	healthy tier = iota
+	// connectionsFull candidates have this node's share of their connections in
+	// use: a call more waits or is refused there.
+	connectionsFull
+	// lapsed candidates may be gone; the source could not say (directory.Lapsed).
+	lapsed
+	// ejected candidates failed lately (outlier); only used when all others are
+	// excluded or gone.
+	ejected
+)
+
+// assessment is what a rule says of one candidate. Costs of different rules have
+// different units and are never compared.
+type assessment struct {
+	tier tier
+	cost float64
+}
+
+// before says whether a goes before b.
+func (a assessment) before(b assessment) bool {
+	if a.tier != b.tier {
+		return a.tier < b.tier
+	}
+	return a.cost < b.cost
+}
+
+// best returns the candidate that goes before all others, among the usable targets
+// that are not excluded; of two alike the earlier one. It returns false when there
+// is none.
+func best(now time.Time, targets []directory.Target, exclude []string, assess func(directory.Target) assessment) (directory.Target, bool) {
+	var chosen directory.Target
+	least := assessment{tier: math.MaxInt}
+	for _, c := range targets {
+		if slices.Contains(exclude, c.ID) || !c.Usable(now) {
+			continue
+		}
+		if a := assess(c); a.before(least) {
+			chosen, least = c, a
+		}
+	}
+	return chosen, least.tier != math.MaxInt
+}
+
+// Query asks a TargetTable for a target.
+type Query struct {
+	// DataCentre is where the node is.
+	DataCentre string
+	// Exclude names targets that must not be chosen, such as those that were tried.
+	Exclude []string
+	// Key is the hash of the prompt's shared part; 0 for none.
+	Key uint64
+	// SharedTokens is the length of the prompt's shared part, in tokens.
+	SharedTokens int
+	// MaxInflight bounds this node's calls at one target; 0 for no bound.
+	MaxInflight int
+	// InputBytes is how many bytes of results the call reads from each data centre.
+	InputBytes map[string]int64
+}
+
+// tier returns the tier of a candidate in a state, of which this node may use
+// maxInflight calls at a time; 0 for no bound.
+func (s *stats) tier(now time.Time, state directory.State, maxInflight int) tier {
+	switch {
+	case s.outlier.ejected(now):
+		return ejected
+	case state == directory.Lapsed:
+		return lapsed
+	case maxInflight > 0 && s.inflight >= maxInflight:
+		return connectionsFull
+	}
+	return healthy
+}
--- /dev/null
+++ b/internal/gateway/placement/chooser.go
@@ -0,0 +1,130 @@
+package placement
+
+import (
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+)
+
+// How long what was placed counts.
+const (
+	// cachedFor is how long an engine is taken to have a shared part cached after
+	// its last use. Not measured (commit e368e2f).
+	cachedFor = 30 * time.Second
+	// pendingFor is how long a prompt counts as pending when neither its first
+	// event nor its end is reported. Not measured (commit e368e2f).
+	pendingFor = 5 * time.Second
+)
+
+// How the prefill rate is learnt.
+const (
+	// firstPrefillRate is assumed until a rate is learnt, in milliseconds a token.
+	// An idle engine took 210 ms for 12,000 tokens (commit e368e2f), 0.0175 each.
+	firstPrefillRate = 0.02
+	// rateWeight is the weight of the newest prompt in the prefill rate, a share.
+	// Not measured (commit e368e2f).
+	rateWeight = 0.1
+	// minRateTokens is the shortest prefill that the rate is learnt from, in tokens:
+	// of shorter ones firstEventDelay is most. Not measured (commit e368e2f).
+	minRateTokens = 1000
+)
+
+// EngineChooser chooses engines for the prompts of all nodes, at the member that
+// coordinates them. It knows what every engine has to prefill and which shared
+// parts it has cached, as far as it placed them itself; a new coordinator knows
+// nothing. It is not safe for concurrent use.
+type EngineChooser struct {
+	// cached says when each engine last used a shared part, by the part's key.
+	cached map[uint64]map[string]time.Time
+	// pending are the prompts that have no first event yet, by request.
+	pending map[string]pendingPrompt
+	// prefillRate is the average time to prefill a token, in milliseconds.
+	prefillRate float64
+}
+
+// pendingPrompt is a prompt that waits for its prefill or is in it.
+type pendingPrompt struct {
+	engine string
+	// tokens is how many tokens the engine has to prefill.
+	tokens int
+	placed time.Time
+	// alone says whether the engine had nothing else to prefill when the prompt
+	// was placed.
+	alone bool
+}
+
+// NewEngineChooser returns a chooser that knows nothing.
+func NewEngineChooser() *EngineChooser {
+	return &EngineChooser{
+		cached: map[uint64]map[string]time.Time{}, pending: map[string]pendingPrompt{}, prefillRate: firstPrefillRate,
+	}
+}
+
+// Prefilled reports that a prompt has its first event, or that its request has
+// ended. The prefill rate is learnt from whole prompts that an engine prefilled
+// alone. Unknown requests are ignored: they were placed by another member or have
+// expired.
+func (p *EngineChooser) Prefilled(now time.Time, request string, whole bool) {
+	r, known := p.pending[request]
+	if !known {
+		return
+	}
+	delete(p.pending, request)
+	if whole && r.alone && r.tokens >= minRateTokens {
+		took := float64(now.Sub(r.placed).Milliseconds()) - firstEventDelay
+		p.prefillRate += rateWeight * (max(took, 0)/float64(r.tokens) - p.prefillRate)
+	}
+}
+
+// Prune forgets what engines have cached that are not in the directory.
+func (p *EngineChooser) Prune(d *directory.Directory) {
+	for _, engines := range p.cached {
+		for e := range engines {
+			if _, known := d.Target(e); !known {
+				delete(engines, e)
+			}
+		}
+	}
+}
+
+// add counts a prompt as pending at an engine, and its shared part as cached there
+// from now on.
+func (p *EngineChooser) add(now time.Time, engine string, q Prompt, alone bool) {
+	_, cached := p.cached[q.Key][engine]
+	p.pending[q.Request] = pendingPrompt{engine: engine, tokens: q.prefillTokens(cached), placed: now, alone: alone}
+	if q.Key == 0 {
+		return
+	}
+	if p.cached[q.Key] == nil {
+		p.cached[q.Key] = map[string]time.Time{}
+	}
+	p.cached[q.Key][engine] = now
+}
+
+// backlogs returns how many tokens each engine has to prefill.
+func (p *EngineChooser) backlogs() map[string]int {
+	tokens := make(map[string]int)
+	for _, r := range p.pending {
+		tokens[r.engine] += r.tokens
+	}
+	return tokens
+}
+
+// forgetExpired drops what is too old to count.
+func (p *EngineChooser) forgetExpired(now time.Time) {
+	for request, r := range p.pending {
+		if now.Sub(r.placed) > pendingFor {
+			delete(p.pending, request)
+		}
+	}
+	for key, engines := range p.cached {
+		for e, used := range engines {
+			if now.Sub(used) > cachedFor {
+				delete(engines, e)
+			}
+		}
+		if len(engines) == 0 {
+			delete(p.cached, key)
+		}
+	}
+}
--- /dev/null
+++ b/internal/gateway/placement/rendezvous.go
@@ -0,0 +1,54 @@
+package placement
+
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+)
+
+// Rendezvous hashing orders names for a key: each name has a weight by the hash of
+// both, and the highest comes first. All nodes that know the same names compute the
+// same order without any exchange, and a name that comes or goes leaves the order
+// of the others as it is.
+
+// rendezvousWeight is the weight of a name for a key.
+func rendezvousWeight(key uint64, name string) uint64 {
+	return mix(key ^ xxhash.Sum64String(name))
+}
+
+// rendezvousRanks returns the rank of each target for a key: how many targets come
+// before it, 0 for the first.
+func rendezvousRanks(targets []directory.Target, key uint64) map[string]int {
+	weights := make([]uint64, len(targets))
+	for i, t := range targets {
+		weights[i] = rendezvousWeight(key, t.ID)
+	}
+	ranks := make(map[string]int, len(targets))
+	for i, t := range targets {
+		for _, w := range weights {
+			if w > weights[i] {
+				ranks[t.ID]++
+			}
+		}
+	}
+	return ranks
+}
+
+// The shift and multipliers of mix are those of the finalizer of MurmurHash3
+// (fmix64).
+const (
+	mixShift  = 33
+	mixFirst  = 0xff51afd7ed558ccd
+	mixSecond = 0xc4ceb9fe1a85ec53
+)
+
+// mix spreads the bits of a combined hash, so that each bit of the key and of the
+// name changes each bit of the weight.
+func mix(x uint64) uint64 {
+	x ^= x >> mixShift
+	x *= mixFirst
+	x ^= x >> mixShift
+	x *= mixSecond
+	x ^= x >> mixShift
+	return x
+}
--- /dev/null
+++ b/internal/gateway/placement/targets.go
@@ -0,0 +1,152 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+)
+
+// How what was learnt of a target ages.
+const (
+	// latencyWeight is the weight of the newest answer in the average latency, a
+	// share. Not measured (commit 72a0bc2).
+	latencyWeight = 0.2
+	// failureWeight is the weight of the newest outcome in the average of
+	// failures, a share: two failures in a row lead to ejection. Not measured
+	// (commit 72a0bc2).
+	failureWeight = 2 * latencyWeight
+	// halfLife is the time in which a learnt latency or average of failures loses
+	// half its weight when no call adds to it. Not measured (commit 72a0bc2).
+	halfLife = 3 * time.Second
+	// maxLoadAge is how long a reported load counts; after that only this node's
+	// own calls do. Not measured (commit 72a0bc2).
+	maxLoadAge = 500 * time.Millisecond
+	// defaultSlots is the number of calls at a time assumed of a target for which
+	// neither a report nor the directory gives one. Not measured (commit 72a0bc2).
+	defaultSlots = 4
+)
+
+// Load is what a target reported of itself, in calls of all nodes.
+type Load struct {
+	// Running is how many calls the target works on.
+	Running int
+	// Waiting is how many calls wait at the target.
+	Waiting int
+	// Slots is how many calls the target works on at a time; 0 for unknown.
+	Slots int
+}
+
+// TargetTable is what a node learnt of all targets, by its own calls and by what
+// answers reported. It is not safe for concurrent use.
+type TargetTable struct {
+	targets map[string]*stats
+}
+
+// stats is what a node learnt of one target.
+type stats struct {
+	// inflight is how many calls of this node the target works on.
+	inflight int
+	// latency is the average time of an answer, in seconds; 0 for unknown.
+	latency float64
+	// failing is the average of failures, from 0 for none to 1 for nothing else.
+	failing float64
+	// learntAt is when latency and failing were last added to.
+	learntAt time.Time
+	// load is what the target last reported, at loadAt.
+	load   Load
+	loadAt time.Time
+	// sentSinceLoad counts this node's calls since that report.
+	sentSinceLoad int
+	outlier       outlier
+}
+
+// NewTargetTable returns an empty table.
+func NewTargetTable() *TargetTable { return &TargetTable{targets: map[string]*stats{}} }
+
+func (t *TargetTable) of(id string) *stats {
+	s := t.targets[id]
+	if s == nil {
+		s = &stats{}
+		t.targets[id] = s
+	}
+	return s
+}
+
+// Sent counts a call that is being sent to a target.
+func (t *TargetTable) Sent(id string) {
+	s := t.of(id)
+	s.inflight++
+	s.sentSinceLoad++
+	s.outlier.sent()
+}
+
+// Ended counts the end of a call that took some time. A failure is the target's
+// own: no answer, a broken one, or one that says that the target is in trouble.
+func (t *TargetTable) Ended(now time.Time, id string, took time.Duration, failed bool) {
+	s := t.of(id)
+	s.inflight--
+	s.failing *= remainingWeight(now, s.learntAt)
+	s.learntAt = now
+	if s.latency == 0 {
+		s.latency = took.Seconds()
+	}
+	s.latency += latencyWeight * (took.Seconds() - s.latency)
+	outcome := 0.0
+	if failed {
+		outcome = 1
+	}
+	s.failing += failureWeight * (outcome - s.failing)
+	s.outlier.ended(now, failed, s.failing)
+}
+
+// Report takes in the load that a target reported.
+func (t *TargetTable) Report(now time.Time, id string, load Load) {
+	s := t.of(id)
+	s.load = load
+	s.loadAt = now
+	s.sentSinceLoad = 0
+}
+
+// Inflight returns how many calls of this node a target works on.
+func (t *TargetTable) Inflight(id string) int { return t.of(id).inflight }
+
+// Prune forgets targets that are not in the directory and have no call.
+func (t *TargetTable) Prune(d *directory.Directory) {
+	for id, s := range t.targets {
+		if _, known := d.Target(id); !known && s.inflight <= 0 {
+			delete(t.targets, id)
+		}
+	}
+}
+
+// remainingWeight is the share of its weight that something learnt earlier still
+// has, by halfLife; 0 when it was never learnt.
+func remainingWeight(now, learntAt time.Time) float64 {
+	if learntAt.IsZero() {
+		return 0
+	}
+	return math.Exp2(-now.Sub(learntAt).Seconds() / halfLife.Seconds())
+}
+
+// outstanding estimates how many calls the target has to work on: at least those
+// of this node, and all that a fresh report and the calls since add up to.
+func (s *stats) outstanding(now time.Time) float64 {
+	own := float64(s.inflight)
+	if s.loadAt.IsZero() || now.Sub(s.loadAt) > maxLoadAge {
+		return own
+	}
+	return max(own, float64(s.load.Running+s.load.Waiting+s.sentSinceLoad))
+}
+
+// slots returns how many calls the target works on at a time: as it last reported,
+// however long ago, else as configured, else defaultSlots.
+func (s *stats) slots(configured int) float64 {
+	switch {
+	case s.load.Slots > 0:
+		return float64(s.load.Slots)
+	case configured > 0:
+		return float64(configured)
+	}
+	return defaultSlots
+}
