--- a/internal/gateway/placement/byprefix.go
+++ b/internal/gateway/placement/byprefix.go
@@ -18,9 +18,11 @@
 	// that fails at times. Not measured (commit 72a0bc2).
 	failingCost = 2 * fullCost
 	// busyShare is the share of an engine's slots beyond which each call costs
-	// busyCost besides. Neither was measured (commit 72a0bc2).
+	// busyCost besides. Not measured (commit 72a0bc2).
 	busyShare = 0.75
-	busyCost  = 100.0
+	// busyCost is the cost of each call outstanding beyond busyShare of the slots.
+	// Not measured (commit 72a0bc2).
+	busyCost = 100.0
 	// rankTokensCost is the cost of a thousand shared tokens for each rank that an
 	// engine is behind the first for the session: it has probably to prefill them.
 	// Set to 250 from a flat 60 in commit b3a4e62; measured there together with
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -54,7 +54,7 @@
 
 func TestLeast(t *testing.T) {
 	q := placement.Query{DataCentre: "d0"}
-	convey.Convey("A target that fails is left alone and found again", t, func() {
+	convey.Convey("A target that fails is ejected and probed", t, func() {
 		table := placement.NewTargetTable()
 		table.Sent("t0")
 		table.Ended(now, "t0", time.Millisecond, true)
@@ -77,13 +77,13 @@
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
 	})
-	convey.Convey("Targets that leave or were tried are never chosen", t, func() {
+	convey.Convey("Targets that drain or were tried are never chosen", t, func() {
 		list := engines(2)
 		list[0].State = directory.Draining
 		_, ok := placement.NewTargetTable().LeastLoaded(now, list, placement.Query{Exclude: []string{"t1"}})
 		convey.So(ok, convey.ShouldBeFalse)
 	})
-	convey.Convey("What a target told counts until it is old", t, func() {
+	convey.Convey("What a target reported counts until it is old", t, func() {
 		table := placement.NewTargetTable()
 		table.Report(now, "t0", placement.Load{Running: 8, Waiting: 30, Slots: 8})
 		got, _ := table.LeastLoaded(now, engines(2), q)
@@ -93,14 +93,14 @@
 	})
 }
 
-func TestOwner(t *testing.T) {
-	convey.Convey("A service's owner moves only when the owner goes", t, func() {
+func TestCoordinator(t *testing.T) {
+	convey.Convey("A service's coordinator changes only when it goes", t, func() {
 		members := []string{"a", "b", "c", "d"}
 		for i := range 50 {
 			name := fmt.Sprint("s", i)
-			owner := placement.Coordinator(name, members)
-			if owner != "d" {
-				convey.So(placement.Coordinator(name, members[:3]), convey.ShouldEqual, owner)
+			coordinator := placement.Coordinator(name, members)
+			if coordinator != "d" {
+				convey.So(placement.Coordinator(name, members[:3]), convey.ShouldEqual, coordinator)
 			}
 		}
 		convey.So(placement.Coordinator("s", nil), convey.ShouldBeEmpty)
--- a/internal/gateway/placement/prompts_test.go
+++ b/internal/gateway/placement/prompts_test.go
@@ -51,7 +51,7 @@
 		}
 		convey.So(len(used), convey.ShouldBeGreaterThan, 6)
 	})
-	convey.Convey("A prompt of which nothing is heard is forgotten", t, func() {
+	convey.Convey("A prompt of which nothing is reported is forgotten", t, func() {
 		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(2), prompt("a", 7))
 		later, _ := p.Place(now.Add(10*time.Second), engines(2), prompt("b", 7))
