--- /dev/null
+++ b/internal/gateway/membership/readers.go
@@ -0,0 +1,77 @@
+package membership
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// How many members read the source.
+const (
+	// allRead is how many serving members all read. Commit ece0c10: with few readers
+	// among nine members a change was in force 4.8 s after it was made.
+	allRead = 9
+	// minReaders is how many of more members read at least, and one more for each
+	// membersPerReader. Commits aae942d (one for each 40, two at least) and ece0c10
+	// (four); calls to the source were the largest price of grown sites before.
+	minReaders = 4
+	// membersPerReader is how many serving members there are for each further
+	// reader. Commit aae942d.
+	membersPerReader = 40
+)
+
+// IsReader says whether this member reads the source itself. Readers watch it; the
+// others get what changed from members.
+//
+// All read while no more than allRead members serve. Of more members a few read:
+// the eligible ones first, then the others, each by the hash of their address, which
+// all members compute alike. Inputs are Serving and Eligible, as old as gossip. A
+// member that knows nobody else reads. Too many readers cost calls to the source;
+// too few make changes late, such as that a target drains. See docs/decisions/0011.
+func (r *Roster) IsReader(now time.Time) bool {
+	serving := r.Serving(now)
+	if len(serving) <= allRead {
+		return true
+	}
+	readers := minReaders + len(serving)/membersPerReader
+	eligible := r.Eligible(now)
+	if slices.Contains(eligible, r.self.Address) {
+		return isAmongFirst(r.self.Address, eligible, readers)
+	}
+	others := slices.DeleteFunc(serving, func(a string) bool { return slices.Contains(eligible, a) })
+	return isAmongFirst(r.self.Address, others, readers-len(eligible))
+}
+
+// isAmongFirst says whether fewer than n members have a higher weight than this one.
+func isAmongFirst(self string, members []string, n int) bool {
+	own := readerWeight(self)
+	higher := 0
+	for _, a := range members {
+		if readerWeight(a) > own {
+			higher++
+		}
+	}
+	return higher < n
+}
+
+// readerWeight is the weight of a member among those that might read.
+func readerWeight(address string) uint64 { return xxhash.Sum64String("reader/" + address) }
+
+// FollowsReaders says whether this member leaves the source to others: it is no
+// reader, and some live member reports that the source answered it lately.
+//
+// Inputs are the reports of others, as old as gossip. A member that follows nobody
+// reads itself, so that the loss of all readers costs calls to the source and no
+// change. See docs/decisions/0011.
+func (r *Roster) FollowsReaders(now time.Time) bool {
+	if r.IsReader(now) {
+		return false
+	}
+	for _, e := range r.known {
+		if e.Hears && live(now, e) {
+			return true
+		}
+	}
+	return false
+}
