--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -29,7 +29,7 @@
 		convey.Convey("both take work", func() {
 			convey.So(r.Serving(rosterStart), convey.ShouldResemble, []string{"a", "self"})
 		})
-		convey.Convey("a silent member is taken for dead", func() {
+		convey.Convey("a silent member is not live", func() {
 			convey.So(r.Serving(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
 		})
 		convey.Convey("though it is remembered how many there were", func() {
@@ -37,7 +37,7 @@
 			convey.So(r.Size(rosterStart.Add(3*time.Second)), convey.ShouldEqual, 1)
 			convey.So(r.PeakSize(), convey.ShouldEqual, 2)
 		})
-		convey.Convey("old news does not bring it back", func() {
+		convey.Convey("an older report does not make it live again", func() {
 			r.Merge(rosterStart.Add(3*time.Second), gossip(member("a", 4, 99), member("a", 5, 1)))
 			convey.So(r.Serving(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
 		})
@@ -46,16 +46,16 @@
 			convey.So(r.Serving(rosterStart), convey.ShouldResemble, []string{"self"})
 			convey.So(r.Serving(rosterStart.Add(2*time.Second)), convey.ShouldResemble, []string{"a", "self"})
 		})
-		convey.Convey("a member that leaves gets no work", func() {
+		convey.Convey("a member that stops gets no work", func() {
 			m := member("a", 5, 2)
 			m.Leaving = true
 			r.Merge(rosterStart, gossip(m))
 			convey.So(r.Serving(rosterStart), convey.ShouldResemble, []string{"self"})
 		})
-		convey.Convey("a seed that is not known is still asked", func() {
+		convey.Convey("gossip still goes to a seed that is not known", func() {
 			convey.So(r.Partners(rosterStart, 2), convey.ShouldContain, "seed")
 		})
-		convey.Convey("what is told of an earlier life is outbid", func() {
+		convey.Convey("a report of an earlier start is refuted", func() {
 			r.Merge(rosterStart, gossip(member("self", 9, 4)))
 			convey.So(r.Gossip(rosterStart).Members[0].Incarnation, convey.ShouldBeGreaterThan, 9)
 		})
@@ -71,7 +71,7 @@
 }
 
 func TestRosterReaders(t *testing.T) {
-	convey.Convey("All of a few members look at the source often, and a small part of many", t, func() {
+	convey.Convey("All of a few members read the source, and a small part of many", t, func() {
 		addresses := make([]string, 80)
 		for i := range addresses {
 			addresses[i] = fmt.Sprint("m", i)
@@ -93,7 +93,7 @@
 		convey.So(readers(7), convey.ShouldEqual, 7)
 		convey.So(readers(80), convey.ShouldEqual, 6)
 	})
-	convey.Convey("A member that hears nobody looks itself", t, func() {
+	convey.Convey("A member that knows nobody reads the source itself", t, func() {
 		r := membership.NewRoster("self", 1, nil)
 		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		convey.So(r.IsReader(rosterStart), convey.ShouldBeTrue)
@@ -104,19 +104,19 @@
 // exchanges ends the same.
 func TestRosterOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var news []message.GossipMember
-		for range rapid.IntRange(1, 20).Draw(t, "news") {
+		var reports []message.GossipMember
+		for range rapid.IntRange(1, 20).Draw(t, "reports") {
 			m := member(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "address"),
 				rapid.IntRange(1, 3).Draw(t, "incarnation"), rapid.IntRange(1, 5).Draw(t, "beat"))
 			m.Version = m.Incarnation*10 + m.Beat
-			news = append(news, m)
+			reports = append(reports, m)
 		}
 		one := membership.NewRoster("self", 1, nil)
-		for _, m := range news {
+		for _, m := range reports {
 			one.Merge(rosterStart, gossip(m))
 		}
 		two := membership.NewRoster("self", 1, nil)
-		for _, m := range rapid.Permutation(append(news, news...)).Draw(t, "order") {
+		for _, m := range rapid.Permutation(append(reports, reports...)).Draw(t, "order") {
 			two.Merge(rosterStart, gossip(m))
 		}
 		if diff := cmp.Diff(one.Members(), two.Members()); diff != "" {
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestRosterDuties(t *testing.T) {
+func TestRosterEligible(t *testing.T) {
 	strong := func(address string, capacity int) message.GossipMember {
 		m := member(address, 1, 1)
 		m.Capacity = capacity
@@ -141,13 +141,13 @@
 			convey.So(r.Eligible(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
 		})
 	})
-	convey.Convey("Members that tell no capacity are all alike", t, func() {
+	convey.Convey("Members that report no capacity are all alike", t, func() {
 		r := membership.NewRoster("self", 1, nil)
 		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		r.Merge(rosterStart, gossip(strong("a", 0)))
 		convey.So(r.Eligible(rosterStart), convey.ShouldResemble, []string{"a", "self"})
 	})
-	convey.Convey("Of many members the strong ones look at the source, and others only where those are too few", t, func() {
+	convey.Convey("Of many members the eligible ones read the source, and others only where those are too few", t, func() {
 		readers := func(strongOnes int) (strongReaders, all int) {
 			for self := range 80 {
 				r := membership.NewRoster("", 1, nil)
@@ -188,7 +188,7 @@
 	})
 }
 
-func TestRosterRelayed(t *testing.T) {
+func TestRosterFollows(t *testing.T) {
 	roster := func(hearing bool) *membership.Roster {
 		r := membership.NewRoster("self", 1, nil)
 		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
@@ -200,11 +200,11 @@
 		}
 		return r
 	}
-	convey.Convey("One of many leaves the source to members that hear it", t, func() {
+	convey.Convey("One of many leaves the source to members that the source answers", t, func() {
 		convey.So(roster(true).FollowsReaders(rosterStart), convey.ShouldBeTrue)
 	})
-	convey.Convey("and looks itself", t, func() {
-		convey.Convey("when none of them hears it", func() {
+	convey.Convey("and reads it itself", t, func() {
+		convey.Convey("when it answers none of them", func() {
 			convey.So(roster(false).FollowsReaders(rosterStart), convey.ShouldBeFalse)
 		})
 		convey.Convey("when they have fallen silent", func() {
