--- a/internal/gateway/membership/eligibility.go
+++ b/internal/gateway/membership/eligibility.go
@@ -18,7 +18,7 @@
 // gossip. A member that reports none counts as 0, so that of members which all
 // report none everyone is eligible. A weak member that coordinates falls behind, is
 // taken for lost, and others coordinate beside it: with the rule the worth of grown
-// days rose from 0.556 and 0.273 to 0.639 and 0.547. See docs/decisions/0012, "Who works for all".
+// days rose from 0.556 and 0.273 to 0.639 and 0.547. See docs/decisions/0012.
 func (r *Roster) Eligible(now time.Time) []string {
 	serving := r.Serving(now)
 	strongest := 0
--- a/internal/gateway/retrybudget/retrybudget.go
+++ b/internal/gateway/retrybudget/retrybudget.go
@@ -1,10 +1,18 @@
-// Package retrybudget bounds repeats so that the bound holds when summed over
-// all nodes, without any node knowing what the others spend.
+// Package retrybudget bounds retries so that the bound holds when summed over all
+// nodes, without any node knowing what the others spend.
 //
-// Every node may repeat a ratio of the requests that it sent itself, plus its
-// part of a fixed extra. The part is the extra divided by the most nodes that
-// may exist: a fixed number, or more where more were ever heard of, so a node
-// that has lost sight of others does not spend their parts.
+// Every node may retry a ratio of the requests that it sent itself, plus its share of
+// a fixed extra. The share is the extra divided by the most nodes that may exist: a
+// fixed number, or more where more were ever known, so that a node which has lost
+// sight of others does not spend their shares. Without a budget each request that
+// meets a failing service would be sent several times, and a service that is
+// overloaded could not recover.
+//
+// The package owns the events of one service at one node, in memory; a node that
+// restarts begins with an empty window. It relies on the caller for the number of
+// nodes, does no input or output and reads no clock. The sum can exceed the bound
+// where many nodes start at once and never know of each other; see
+// docs/decisions/0011.
 package retrybudget
 
 import (
@@ -12,13 +20,14 @@
 	"time"
 )
 
-// Policy is the bound that holds over all nodes in each window.
+// Policy is the bound that holds over all nodes in each window. Its figures are
+// settings of the deployment (gateway.retries).
 type Policy struct {
-	// Ratio of repeats to requests.
+	// Ratio is how many retries are allowed for each request.
 	Ratio float64
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Extra is what may be repeated beyond the ratio, over all nodes.
+	// Extra is how many retries are allowed beyond the ratio, over all nodes.
 	Extra float64
 	// MaxNodes is the least number of nodes that the extra is shared by.
 	MaxNodes int
@@ -29,11 +38,11 @@
 }
 
 // UnknownNodes says that there may be any number of nodes, so that a node has no
-// part of the extra.
+// share of the extra.
 const UnknownNodes = math.MaxInt
 
-// part is a node's part of the extra.
-func (p Policy) part() float64 {
+// share is a node's share of the extra, in retries.
+func (p Policy) share() float64 {
 	nodes := max(p.MaxNodes, 1)
 	if p.Nodes != nil {
 		nodes = max(nodes, p.Nodes())
@@ -41,15 +50,15 @@
 	return p.Extra / float64(nodes)
 }
 
-// Budget is one node's part for one service. The zero value of the events is
-// an empty window; it is not safe for concurrent use.
+// Budget is what one node may spend for one service. It is not safe for concurrent
+// use.
 type Budget struct {
 	policy  Policy
 	firsts  []time.Time
-	repeats []time.Time
+	retries []time.Time
 }
 
-// New returns an empty budget.
+// New returns a budget of which nothing is spent.
 func New(p Policy) *Budget { return &Budget{policy: p} }
 
 // First counts a request that is sent for the first time.
@@ -58,28 +67,35 @@
 	b.firsts = append(b.firsts, now)
 }
 
-// Spend asks for one repeat, and counts it when it is allowed.
+// Spend asks for one retry, and counts it when it is allowed. Retries are whole: a
+// part of one that is left allows none.
+//
+// Inputs are the first sends and the retries of this node within the last window, and
+// the number of nodes when it is called. A wrong yes adds load to a service that
+// fails; a wrong no refuses a request that another target would have answered.
 func (b *Budget) Spend(now time.Time) bool {
 	if b.Left(now) < 1 {
 		return false
 	}
-	b.repeats = append(b.repeats, now)
+	b.retries = append(b.retries, now)
 	return true
 }
 
-// Left returns how many repeats are allowed now.
+// Left returns how many retries are allowed now, in parts; negative when the number
+// of nodes has risen since they were spent.
 func (b *Budget) Left(now time.Time) float64 {
 	b.trim(now)
-	return b.policy.Ratio*float64(len(b.firsts)) + b.policy.part() - float64(len(b.repeats))
+	return b.policy.Ratio*float64(len(b.firsts)) + b.policy.share() - float64(len(b.retries))
 }
 
-// trim forgets what left the window. Requests count for one window only, so
-// that repeats never lean on requests that the judge no longer counts.
+// trim forgets what has left the window. Requests count for one window only, so that
+// no retry rests on requests that are outside of it.
 func (b *Budget) trim(now time.Time) {
 	b.firsts = since(b.firsts, now.Add(-b.policy.Window))
-	b.repeats = since(b.repeats, now.Add(-b.policy.Window))
+	b.retries = since(b.retries, now.Add(-b.policy.Window))
 }
 
+// since returns the events from a time on; they are in order.
 func since(events []time.Time, start time.Time) []time.Time {
 	n := 0
 	for n < len(events) && events[n].Before(start) {
