--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -1,5 +1,9 @@
-// Package directory holds the targets that are known one by one, as the
-// platform tells of them. A Directory is immutable and does no input or output.
+// Package directory holds the targets of all services, as the platform lists them.
+// A Directory is immutable; it does no input or output and reads no clock.
+//
+// The package owns the states of a target and the rule which of them takes new work
+// (Target.Usable). It relies on package view, which says what a change of the
+// platform's list means; without changes the targets stay as they are.
 package directory
 
 import (
@@ -9,17 +13,18 @@
 	"time"
 )
 
-// State is the part of its life that a target is in.
+// State says whether a target takes new work.
 type State int
 
 // States of a target.
 const (
 	// Ready targets take new work.
 	Ready State = iota
-	// Draining targets finish what they have.
+	// Draining targets finish what they have and take nothing new.
 	Draining
-	// Lapsed targets vanished from the list while the list itself was in
-	// trouble; they are used until the list has had time to name them again.
+	// Lapsed targets vanished from the list during or soon after an outage of it.
+	// They take new work until LapsesAt, by which a target that lives is listed
+	// again.
 	Lapsed
 )
 
@@ -28,18 +33,27 @@
 
 // Target is one start of one replica of a service.
 type Target struct {
-	ID         string
-	Service    string
-	Address    string
+	// ID is the identity of this start; another start of the replica has another.
+	ID string
+	// Service is the name of the target's service.
+	Service string
+	// Address is where calls are sent, as host and port.
+	Address string
+	// DataCentre is where the target runs.
 	DataCentre string
-	Slots      int
-	State      State
-	// LapsesAt is when a lapsed target is given up.
+	// Slots is how many calls the target works on at a time; 0 for unknown.
+	Slots int
+	// State is as listed, or Lapsed.
+	State State
+	// LapsesAt is until when a lapsed target is used, by this node's clock; zero for
+	// others.
 	LapsesAt time.Time
 }
 
 // Directory is what is known of all targets.
 type Directory struct {
+	// targets are all, by identity; services are those of each service, in the order
+	// of their identities.
 	targets  map[string]Target
 	services map[string][]Target
 }
@@ -78,17 +92,17 @@
 	return (&Directory{targets: targets}).indexed()
 }
 
-// WithLapsed marks a target as vanished while the list was in trouble. A target
-// that said that it leaves is dropped.
+// WithLapsed returns the directory with a target lapsed until a time. A target that
+// was draining is dropped: it vanished as announced. One that has lapsed already
+// keeps its time.
 func (d *Directory) WithLapsed(id string, until time.Time) *Directory {
 	t, known := d.targets[id]
-	if !known {
+	switch {
+	case !known:
 		return d
-	}
-	if t.State == Draining {
+	case t.State == Draining:
 		return d.Without(id)
-	}
-	if t.State == Lapsed {
+	case t.State == Lapsed:
 		return d
 	}
 	t.State = Lapsed
@@ -96,7 +110,7 @@
 	return d.With(t)
 }
 
-// WithTime drops the lapsed targets whose time is over.
+// WithTime returns the directory without the lapsed targets whose time is over.
 func (d *Directory) WithTime(now time.Time) *Directory {
 	for id, t := range d.targets {
 		if t.State == Lapsed && !now.Before(t.LapsesAt) {
@@ -106,25 +120,28 @@
 	return d
 }
 
-// Service returns the targets of a service; the caller must not change them.
+// Service returns the targets of a service in any state, in the order of their
+// identities; the caller must not change them.
 func (d *Directory) Service(name string) []Target { return d.services[name] }
 
-// Target returns a target by identity.
+// Target returns a target in any state by identity; false for unknown.
 func (d *Directory) Target(id string) (Target, bool) {
 	t, known := d.targets[id]
 	return t, known
 }
 
-// All returns every target.
+// All returns every target by identity; the caller must not change them.
 func (d *Directory) All() map[string]Target { return d.targets }
 
-// Usable says whether a target takes new work at the given time.
+// Usable says whether a target is known and takes new work at the given time.
 func (d *Directory) Usable(id string, now time.Time) bool {
 	t, known := d.targets[id]
 	return known && t.Usable(now)
 }
 
-// Usable says whether the target takes new work at the given time.
+// Usable says whether the target takes new work at the given time: when it is ready,
+// or lapsed and its time is not over. Whether this node leaves it unused for failing
+// is another question (placement.TargetTable.Ejected).
 func (t Target) Usable(now time.Time) bool {
 	return t.State == Ready || (t.State == Lapsed && now.Before(t.LapsesAt))
 }
--- /dev/null
+++ b/internal/gateway/directory/directory_test.go
@@ -0,0 +1,74 @@
+package directory_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+)
+
+var (
+	now   = time.Unix(1000, 0)
+	until = now.Add(2 * time.Second)
+)
+
+// TestUsable goes through which targets take new work.
+func TestUsable(t *testing.T) {
+	cases := []struct {
+		why    string
+		target directory.Target
+		at     time.Time
+		want   bool
+	}{
+		{"that is ready does", directory.Target{}, now, true},
+		{"that drains does not", directory.Target{State: directory.Draining}, now, false},
+		{"that has lapsed does", directory.Target{State: directory.Lapsed, LapsesAt: until}, until.Add(-1), true},
+		{"that has lapsed does not when its time is over", directory.Target{State: directory.Lapsed, LapsesAt: until}, until, false},
+	}
+	convey.Convey("A target", t, func() {
+		for _, c := range cases {
+			convey.Convey(c.why, func() {
+				c.target.ID = "a"
+				convey.So(c.target.Usable(c.at), convey.ShouldEqual, c.want)
+				convey.So(directory.New(c.target).Usable("a", c.at), convey.ShouldEqual, c.want)
+			})
+		}
+		convey.Convey("that is unknown does not", func() {
+			convey.So(directory.New().Usable("a", now), convey.ShouldBeFalse)
+		})
+	})
+}
+
+// TestLapse goes through what becomes of targets that lapse.
+func TestLapse(t *testing.T) {
+	states := func(d *directory.Directory) map[string]directory.State {
+		out := map[string]directory.State{}
+		for id, target := range d.All() {
+			out[id] = target.State
+		}
+		return out
+	}
+	convey.Convey("Given a target that is ready and one that drains", t, func() {
+		d := directory.New(directory.Target{ID: "r", Service: "s"}, directory.Target{ID: "d", Service: "s", State: directory.Draining})
+		convey.Convey("the ready one lapses and the draining one goes", func() {
+			d = d.WithLapsed("r", until).WithLapsed("d", until)
+			convey.So(states(d), convey.ShouldResemble, map[string]directory.State{"r": directory.Lapsed})
+			convey.Convey("to be dropped when its time is over", func() {
+				convey.So(d.WithTime(until.Add(-1)), convey.ShouldEqual, d)
+				convey.So(states(d.WithTime(until)), convey.ShouldBeEmpty)
+			})
+			convey.Convey("and keeps its time when it lapses again", func() {
+				convey.So(d.WithLapsed("r", until.Add(time.Hour)), convey.ShouldEqual, d)
+			})
+			convey.Convey("and is ready when it is listed again", func() {
+				d = d.With(directory.Target{ID: "r", Service: "s"})
+				convey.So(states(d), convey.ShouldResemble, map[string]directory.State{"r": directory.Ready})
+			})
+		})
+		convey.Convey("an unknown one does not lapse", func() {
+			convey.So(d.WithLapsed("x", until), convey.ShouldEqual, d)
+		})
+	})
+}
--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -6,51 +6,53 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// maxHistory bounds the changes that a History remembers.
+// maxHistory bounds the reports of changes that a History remembers. A member that is
+// further behind gets the whole view. Not measured (commit f2b371a).
 const maxHistory = 512
 
-// touched is the targets that one batch of news concerned.
-type touched struct {
+// changed is the identities of the targets that changed up to a revision, as they
+// were reported together.
+type changed struct {
 	revision int64
 	ids      []string
 }
 
-// History remembers which targets changed at which revision, so that a member
-// that lags behind can be told only that. It is immutable; the zero value
-// remembers nothing.
+// History remembers which targets changed at which revision, so that a member that is
+// behind can be sent only those. It is immutable; the zero value remembers nothing.
 type History struct {
 	// from and until are the revisions between which all changes are remembered; 0
 	// for none.
 	from, until int64
-	batches     []touched
+	reports     []changed
 }
 
 // newHistory returns a history that remembers what comes after a revision.
 func newHistory(revision int64) History { return History{from: revision, until: revision} }
 
-// With returns the history with the news that a watch brought.
+// With returns the history with changes that were reported. Older ones than it knows
+// are dropped.
 func (h History) With(ch Changes) History {
 	if ch.Revision <= h.until {
 		return h
 	}
 	h.until = ch.Revision
-	batch := touched{revision: ch.Revision}
+	report := changed{revision: ch.Revision}
 	for _, c := range ch.List {
 		switch c := c.(type) {
 		case TargetChange:
-			batch.ids = append(batch.ids, c.Target.ID)
+			report.ids = append(report.ids, c.Target.ID)
 		case TargetGone:
-			batch.ids = append(batch.ids, c.ID)
+			report.ids = append(report.ids, c.ID)
 		case CatalogChange, Rejected:
 		}
 	}
-	if len(batch.ids) == 0 {
+	if len(report.ids) == 0 {
 		return h
 	}
-	h.batches = append(slices.Clip(h.batches), batch)
-	if n := len(h.batches) - maxHistory; n > 0 {
-		h.from = h.batches[n-1].revision
-		h.batches = h.batches[n:]
+	h.reports = append(slices.Clip(h.reports), report)
+	if n := len(h.reports) - maxHistory; n > 0 {
+		h.from = h.reports[n-1].revision
+		h.reports = h.reports[n:]
 	}
 	return h
 }
@@ -62,9 +64,9 @@
 		return nil, false
 	}
 	var ids []string
-	for _, b := range h.batches {
-		if b.revision > revision {
-			ids = append(ids, b.ids...)
+	for _, r := range h.reports {
+		if r.revision > revision {
+			ids = append(ids, r.ids...)
 		}
 	}
 	slices.Sort(ids)
@@ -73,11 +75,13 @@
 
 // Delta is what changed between two revisions, as it stands at the later one.
 type Delta struct {
-	// Since is the revision of the views that the delta can be added to.
-	Since    int64
-	Revision int64
-	Targets  []directory.Target
-	Gone     []string
+	// Since is the revision of the views that the delta can be added to, Revision
+	// the one that they have afterwards.
+	Since, Revision int64
+	// Targets are those that were added or changed; Gone the identities of those that
+	// vanished.
+	Targets []directory.Target
+	Gone    []string
 }
 
 // DeltaSince returns what changed after a revision; false when that is not
@@ -98,8 +102,8 @@
 	return d, true
 }
 
-// WithDelta takes in what a member told. A view that has moved on since it was
-// asked for stays as it is.
+// WithDelta returns the view with a member's delta taken in. A view that has another
+// revision than the delta is for stays as it is.
 func (v *View) WithDelta(d Delta) *View {
 	if d.Since != v.Revision || d.Revision <= v.Revision {
 		return v
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -1,8 +1,16 @@
-// Package view holds what a node knows of the deployment: the catalog in force
-// and the directory of targets, with the revision of each. It decides what a
-// change means; it does no input or output and reads no clock.
+// Package view holds what a node knows of the deployment: the catalog in force and
+// the directory of targets, up to a revision of the source. It decides what a change
+// means and what changed since a revision. It does no input or output and reads no
+// clock; views are immutable and need no lock.
 //
-// Within a node's life the catalog's version and the revision never go back.
+// The package owns the view of one node. It relies on the source, or on a member
+// that has read it, for the changes; while neither can be reached the view stays as it
+// is, and is used as it is. Within a node's life the catalog's version and the revision
+// never go back: an older list or delta is dropped. A target that vanishes while the
+// source is failing is used for LapseGrace more, since the source itself may have
+// lost it.
+//
+// See docs/decisions/0011.
 package view
 
 import (
@@ -12,29 +20,32 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// LapseGrace is how long after the source's last trouble a target that vanished
-// is still used. Targets name themselves again within two heartbeats; a node that
-// can read the source again is trusted to know who leaves soon afterwards, so
-// the time counts from the trouble and not from the news.
+// LapseGrace is how long after the source's last outage a target that vanished is
+// still used. Targets register themselves again within two of their heartbeats, about
+// 2 s; a node that can read the source again learns soon afterwards who drains, so the
+// time counts from the outage and not from the change. Set in commit b3a4e62, instead
+// of 3 s from the change, after a target that had left was still used; the figure
+// itself was not measured.
 const LapseGrace = 2600 * time.Millisecond
 
-// Change is one item of news from the source.
+// Change is one change that the source reports.
 type Change interface{ isChange() }
 
 // CatalogChange is a new configuration.
 type CatalogChange struct {
 	Catalog *catalog.Catalog
-	// Document is the source's own text, to pass on to peers.
+	// Document is the source's own text, in bytes as read, to pass on to members.
 	Document []byte
 }
 
-// TargetChange is a target that came or changed.
+// TargetChange is a target that was added or changed.
 type TargetChange struct{ Target directory.Target }
 
 // TargetGone is a target that vanished.
 type TargetGone struct{ ID string }
 
-// Rejected is an entry that was refused whole.
+// Rejected is an entry of the source that does not read and changes nothing; it is
+// logged.
 type Rejected struct{ Key, Reason string }
 
 func (CatalogChange) isChange() {}
@@ -42,17 +53,22 @@
 func (TargetGone) isChange()    {}
 func (Rejected) isChange()      {}
 
-// Changes are the news up to a revision of the source.
+// Changes are what the source reports up to a revision, in order.
 type Changes struct {
+	// Revision is the source's own count of its changes.
 	Revision int64
 	List     []Change
 }
 
 // View is what is known. It is immutable.
 type View struct {
-	Revision  int64
-	Catalog   *catalog.Catalog
-	Document  []byte
+	// Revision is the source's revision up to which changes are taken in; 0 for none.
+	Revision int64
+	// Catalog is the configuration in force; nil for none.
+	Catalog *catalog.Catalog
+	// Document is the source's own text of the catalog, to pass on to members.
+	Document []byte
+	// Directory is the targets; never nil.
 	Directory *directory.Directory
 	// history is what changed lately, up to Revision.
 	history History
@@ -69,9 +85,10 @@
 	return v.Catalog.Version
 }
 
-// WithChanges takes in news. troubled is when the source was last in trouble;
-// zero for never. A target that vanished soon afterwards may only have lapsed.
-func (v *View) WithChanges(now time.Time, ch Changes, troubled time.Time) *View {
+// WithChanges returns the view with changes taken in. An older catalog than the one
+// in force is dropped. lastOutage is when the source last failed; zero for never. A
+// target that vanishes within LapseGrace of it counts as lapsed.
+func (v *View) WithChanges(now time.Time, ch Changes, lastOutage time.Time) *View {
 	next := *v
 	for _, c := range ch.List {
 		switch c := c.(type) {
@@ -80,7 +97,7 @@
 		case TargetChange:
 			next.Directory = next.Directory.With(c.Target)
 		case TargetGone:
-			next.Directory = next.withoutTarget(now, c.ID, troubled)
+			next.Directory = next.withoutTarget(now, c.ID, lastOutage)
 		case Rejected:
 		}
 	}
@@ -89,8 +106,10 @@
 	return &next
 }
 
-// WithSnapshot replaces the directory by a whole list of the source.
-func (v *View) WithSnapshot(now time.Time, ch Changes, troubled time.Time) *View {
+// WithSnapshot returns the view with the directory replaced by a whole list of the
+// source; targets that are not listed have vanished. A list that is older than the
+// view is dropped.
+func (v *View) WithSnapshot(now time.Time, ch Changes, lastOutage time.Time) *View {
 	if ch.Revision < v.Revision {
 		return v
 	}
@@ -100,17 +119,18 @@
 			listed[t.Target.ID] = true
 		}
 	}
-	next := v.WithChanges(now, ch, troubled)
+	next := v.WithChanges(now, ch, lastOutage)
 	for id := range next.Directory.All() {
 		if !listed[id] {
-			next.Directory = next.withoutTarget(now, id, troubled)
+			next.Directory = next.withoutTarget(now, id, lastOutage)
 		}
 	}
 	next.history = newHistory(next.Revision)
 	return next
 }
 
-// WithTime lets lapsed targets go.
+// WithTime returns the view without the lapsed targets whose grace is over; the same
+// view when there are none.
 func (v *View) WithTime(now time.Time) *View {
 	d := v.Directory.WithTime(now)
 	if d == v.Directory {
@@ -131,8 +151,11 @@
 	return &next
 }
 
-func (v *View) withoutTarget(now time.Time, id string, troubled time.Time) *directory.Directory {
-	if until := troubled.Add(LapseGrace); !troubled.IsZero() && now.Before(until) {
+// withoutTarget decides what becomes of a target that vanished: it has lapsed within
+// LapseGrace of an outage, and is gone otherwise. A wrong lapse sends calls to a
+// target that has left; a wrong removal leaves a service without targets that work.
+func (v *View) withoutTarget(now time.Time, id string, lastOutage time.Time) *directory.Directory {
+	if until := lastOutage.Add(LapseGrace); !lastOutage.IsZero() && now.Before(until) {
 		return v.Directory.WithLapsed(id, until)
 	}
 	return v.Directory.Without(id)
--- a/internal/gateway/view/view_test.go
+++ b/internal/gateway/view/view_test.go
@@ -37,25 +37,25 @@
 		v = v.WithSnapshot(now, view.Changes{Revision: 8}, time.Time{})
 		convey.So(v.Directory.Usable("a", now), convey.ShouldBeTrue)
 	})
-	convey.Convey("A target that vanishes while the source is well is gone at once", t, func() {
+	convey.Convey("A target that vanishes long after the last outage is gone at once", t, func() {
 		v := view.New().WithChanges(now, view.Changes{List: []view.Change{target("a", directory.Ready)}}, time.Time{})
 		v = v.WithChanges(now, view.Changes{List: []view.Change{view.TargetGone{ID: "a"}}}, now.Add(-time.Minute))
 		convey.So(v.Directory.Usable("a", now), convey.ShouldBeFalse)
 	})
-	convey.Convey("A target that vanishes while the source was in trouble", t, func() {
-		trouble := now.Add(-time.Second)
+	convey.Convey("A target that vanishes soon after an outage of the source", t, func() {
+		outage := now.Add(-time.Second)
 		v := view.New().WithChanges(now, view.Changes{List: []view.Change{target("a", directory.Ready), target("b", directory.Draining)}}, time.Time{})
-		v = v.WithSnapshot(now, view.Changes{Revision: 1}, trouble)
-		convey.Convey("is used until the source has had time to name it again, counted from the trouble", func() {
+		v = v.WithSnapshot(now, view.Changes{Revision: 1}, outage)
+		convey.Convey("is used until it has had time to register again, counted from the outage", func() {
 			convey.So(v.Directory.Usable("a", now), convey.ShouldBeTrue)
-			convey.So(v.Directory.Usable("a", trouble.Add(view.LapseGrace)), convey.ShouldBeFalse)
-			convey.So(v.WithTime(trouble.Add(view.LapseGrace)).Directory.Service("s"), convey.ShouldBeEmpty)
+			convey.So(v.Directory.Usable("a", outage.Add(view.LapseGrace)), convey.ShouldBeFalse)
+			convey.So(v.WithTime(outage.Add(view.LapseGrace)).Directory.Service("s"), convey.ShouldBeEmpty)
 		})
-		convey.Convey("is gone when it had said that it leaves", func() {
+		convey.Convey("is gone when it was draining", func() {
 			convey.So(v.Directory.Usable("b", now), convey.ShouldBeFalse)
 		})
-		convey.Convey("is back when it is named again", func() {
-			v = v.WithChanges(now, view.Changes{List: []view.Change{target("a", directory.Ready)}}, trouble)
+		convey.Convey("is ready again when it is listed again", func() {
+			v = v.WithChanges(now, view.Changes{List: []view.Change{target("a", directory.Ready)}}, outage)
 			convey.So(v.Directory.Usable("a", now.Add(time.Hour)), convey.ShouldBeTrue)
 		})
 	})
@@ -69,7 +69,7 @@
 	}
 	leaving := view.Changes{Revision: 7, List: []view.Change{target("a", directory.Draining), target("c", directory.Ready)}}
 	gone := view.Changes{Revision: 9, List: []view.Change{view.TargetGone{ID: "a"}}}
-	convey.Convey("A member that lags behind is told what changed, as it stands now", t, func() {
+	convey.Convey("A member that is behind gets what changed, as it stands now", t, func() {
 		behind, ahead := known(), known().WithChanges(now, leaving, time.Time{}).WithChanges(now, gone, time.Time{})
 		d, ok := ahead.DeltaSince(behind.Revision)
 		convey.So(ok, convey.ShouldBeTrue)
@@ -78,25 +78,25 @@
 		caughtUp := behind.WithDelta(d)
 		convey.So(caughtUp.Revision, convey.ShouldEqual, 9)
 		convey.So(caughtUp.Directory.All(), convey.ShouldResemble, ahead.Directory.All())
-		convey.Convey("and can tell others in turn", func() {
+		convey.Convey("and can send it to others in turn", func() {
 			again, ok := caughtUp.DeltaSince(5)
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(known().WithDelta(again).Directory.All(), convey.ShouldResemble, ahead.Directory.All())
 		})
 	})
-	convey.Convey("What was told for another revision than the view's is not taken", t, func() {
+	convey.Convey("A delta for another revision than the view's is not taken", t, func() {
 		d, _ := known().WithChanges(now, leaving, time.Time{}).DeltaSince(5)
 		later := known().WithChanges(now, view.Changes{Revision: 6, List: []view.Change{view.TargetGone{ID: "b"}}}, time.Time{})
 		convey.So(later.WithDelta(d), convey.ShouldEqual, later)
 	})
-	convey.Convey("News without targets leave nothing out", t, func() {
+	convey.Convey("Changes without targets leave nothing out", t, func() {
 		v := known().WithChanges(now, leaving, time.Time{}).WithChanges(now, view.Changes{Revision: 8}, time.Time{})
 		d, ok := v.DeltaSince(5)
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(d.Revision, convey.ShouldEqual, 8)
 		convey.So(d.Targets, convey.ShouldHaveLength, 2)
 	})
-	convey.Convey("What is not remembered is not told", t, func() {
+	convey.Convey("What is not remembered is not sent", t, func() {
 		_, ok := known().DeltaSince(4)
 		convey.So(ok, convey.ShouldBeFalse)
 		v := known()
