--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -1,7 +1,11 @@
-// Package catalog holds the configuration of the gateway: which routes lead to
-// which services, who may use them and which work comes before them.
+// Package catalog holds the configuration of the gateway: which routes lead to which
+// services, which organisations may use them, and which stages come before them. It
+// does no input or output.
 //
-// A Catalog is immutable. It is read on every request without a lock.
+// The package owns the meaning of a configuration, whichever platform it came from:
+// units here are those of Go, sizes are in bytes. It relies on an adapter for the
+// values. A configuration that contradicts itself is refused whole (New), and the one
+// in force stays. A Catalog is immutable, and is read on every request without a lock.
 package catalog
 
 import (
@@ -25,41 +29,53 @@
 	Stream
 )
 
-// Share is one service's part of a route's traffic.
+// Share is one service's share of a route's traffic.
 type Share struct {
+	// Service is the name of the service.
 	Service string
-	Weight  int
+	// Weight is the share, in parts of the sum of the route's weights.
+	Weight int
 }
 
 // Stage is work that must be finished before a request of the route can run.
 type Stage struct {
+	// Service is the name of the service that works on the stage's items.
 	Service string
-	// After names the stages whose results this one needs.
+	// After is the indexes, in Route.Stages, of the stages whose results this one
+	// reads; all are lower than its own.
 	After []int
-	// ResultBytes is roughly the size of one result.
+	// ResultBytes is about how many bytes one item's result has.
 	ResultBytes int64
 }
 
 // Route says how requests below one prefix of one host are served.
 type Route struct {
-	Name   string
-	Host   string
+	// Name is the route's name in logs and metrics.
+	Name string
+	// Host is the host that requests are for, without a port, in any case.
+	Host string
+	// Prefix is what the path of a request begins with.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request is held.
+	// Timeout is the longest time from a request's arrival to the end of its answer;
+	// 0 for the caller's own.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth the most; for a
-	// stream, the time to its first event.
+	// Objective is the time from a request's arrival within which an answer is worth
+	// the most; for a stream, the time to its first event.
 	Objective time.Duration
-	// PauseLimit is the longest pause between events that is in time.
+	// PauseLimit is the longest pause between two events of a stream that is in time.
 	PauseLimit time.Duration
 	// Priority is lower for requests that are served first.
 	Priority int
-	Split    []Share
-	// MaxAttempts bounds the targets that one request may be sent to.
+	// Split is the services that requests are divided among; never empty.
+	Split []Share
+	// MaxAttempts bounds how often one request is sent to a target; 1 and less for no
+	// retry.
 	MaxAttempts int
-	Stages      []Stage
-	Public      bool
+	// Stages is the work to be finished before the request is sent to its service.
+	Stages []Stage
+	// Public routes need no key.
+	Public bool
 	// Resumable streams may be continued at another target.
 	Resumable bool
 }
@@ -69,7 +85,8 @@
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Service returns the service that a request with the given hash goes to.
+// Service returns the name of the service that a request with the given hash goes to;
+// empty when no share has a weight.
 func (r *Route) Service(hash uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -88,7 +105,8 @@
 	return ""
 }
 
-// LastStages returns the stages that no other stage comes after.
+// LastStages returns the indexes of the stages whose results no other stage reads:
+// the request itself does.
 func (r *Route) LastStages() []int {
 	var last []int
 	for i := range r.Stages {
@@ -100,30 +118,35 @@
 	return last
 }
 
-// Engine describes the targets of a service that generate from a prompt.
+// Engine describes the targets of a service that generate from a prompt. The gateway
+// asks only whether a service has one; no rule uses its figures so far.
 type Engine struct {
-	Slots       int
+	// Slots is how many calls one target works on at a time.
+	Slots int
+	// CacheTokens is how many tokens of prompts one target keeps cached.
 	CacheTokens int
-	// TokenBytes is the memory of one token.
+	// TokenBytes is the memory of one token, in bytes.
 	TokenBytes float64
 	// Backups says whether a run's memory can be copied as it grows.
 	Backups bool
-	// HandleTTL is how long a copy outlives its run.
+	// HandleTTL is how long such a copy outlives its run.
 	HandleTTL time.Duration
 }
 
 // Batch describes the targets of a service that work on items of stages.
 type Batch struct {
-	// Slots is how many calls one target works on at a time.
+	// Slots is how many calls one target works on at a time. Not used: the
+	// coordinator sends one call at a time.
 	Slots int
-	// Queue is how many calls may wait at one target.
+	// Queue is how many calls may wait at one target. Not used, for the same reason.
 	Queue int
 	// MaxItems is the most items of one call.
 	MaxItems int
-	// CallLatency and PerItem are about how long one call takes.
+	// CallLatency is about how long a call takes besides its items, and PerItem how
+	// long each item adds.
 	CallLatency time.Duration
 	PerItem     time.Duration
-	// MemoryBytes is the memory of one target for results.
+	// MemoryBytes is the memory of one target for results, in bytes.
 	MemoryBytes int64
 	// ResultTTL is how long a result is kept after its call.
 	ResultTTL time.Duration
@@ -131,30 +154,44 @@
 
 // Service is a set of targets that do the same work.
 type Service struct {
+	// Name is the service's name, also in logs and metrics.
 	Name string
-	// MaxConnections is how many connections one target takes from all nodes.
+	// MaxConnections is how many connections one target takes from all nodes
+	// together; 0 for no bound.
 	MaxConnections int
-	Engine         *Engine
-	Batch          *Batch
+	// Engine is set when the targets generate from prompts, Batch when they work on
+	// items of stages; neither for plain services.
+	Engine *Engine
+	Batch  *Batch
 }
 
 // Organisation is a holder of keys.
 type Organisation struct {
-	Name     string
-	Keys     []string
+	// Name is the organisation's name, also in logs.
+	Name string
+	// Keys are the secrets by which callers show that they belong to it.
+	Keys []string
+	// Priority is that of its requests; it is lower for those that are served first.
 	Priority int
 }
 
-// Limits bound what callers may send.
+// Limits bound what callers may send. Of them the gateway applies BodyBytes; its
+// servers have bounds of their own for the others, since they start before any catalog
+// is known.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
+	// HeaderBytes bounds the head of a request, in bytes.
+	HeaderBytes int
+	// BodyBytes bounds the body of a request, in bytes; 0 for the gateway's default.
+	BodyBytes int64
+	// HeaderTimeout bounds the time in which the head must come, and IdleTimeout the
+	// time that a connection may be idle between requests.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
 // Catalog is one version of the configuration.
 type Catalog struct {
+	// Version rises with each change of the configuration.
 	Version       int64
 	Limits        Limits
 	services      map[string]*Service
@@ -163,7 +200,8 @@
 	routeCount    int
 }
 
-// New checks the parts and returns a catalog of them.
+// New returns a catalog of the parts. It returns an error for a route that leads to no
+// service or has a stage that comes after itself or a later one.
 func New(version int64, routes []*Route, services []*Service, organisations []*Organisation, limits Limits) (*Catalog, error) {
 	c := &Catalog{
 		Version: version, Limits: limits, routeCount: len(routes),
@@ -206,7 +244,8 @@
 	return nil
 }
 
-// Route returns the route with the longest prefix of path; nil for none.
+// Route returns the route of the host, with or without a port, that has the longest
+// prefix of the path; nil for none.
 func (c *Catalog) Route(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
@@ -222,10 +261,10 @@
 // Service returns a service by name; nil for none.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Services returns all services.
+// Services returns all services by name; the caller must not change them.
 func (c *Catalog) Services() map[string]*Service { return c.services }
 
-// Organisation returns the holder of a key; nil for none.
+// Organisation returns the holder of a key; nil for an unknown key.
 func (c *Catalog) Organisation(key string) *Organisation { return c.organisations[key] }
 
 // NeedsKeys says whether any organisation is known, so that routes that are not
--- a/internal/gateway/catalog/catalog_test.go
+++ b/internal/gateway/catalog/catalog_test.go
@@ -48,3 +48,25 @@
 		convey.So(r.LastStages(), convey.ShouldResemble, []int{0, 2})
 	})
 }
+
+// TestRouteKinds says which requests may be retried.
+func TestRouteKinds(t *testing.T) {
+	cases := []struct {
+		why   string
+		route catalog.Route
+		want  bool
+	}{
+		{"repeatable may", catalog.Route{Kind: catalog.Repeatable}, true},
+		{"to run once may not", catalog.Route{Kind: catalog.Once}, false},
+		{"a stream may not", catalog.Route{Kind: catalog.Stream}, false},
+		{"a resumable stream may", catalog.Route{Kind: catalog.Stream, Resumable: true}, true},
+		{"to run once may not even when resumable", catalog.Route{Kind: catalog.Once, Resumable: true}, false},
+	}
+	convey.Convey("A request that is", t, func() {
+		for _, c := range cases {
+			convey.Convey(c.why+" run more than once", func() {
+				convey.So(c.route.MayRepeat(), convey.ShouldEqual, c.want)
+			})
+		}
+	})
+}
