--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -71,7 +71,7 @@
 	cachedAt := p.cached[q.Key]
 	ranks := rendezvousRanks(engines, q.Key)
 	inputs := newTransfer(q.InputBytes)
-	engine, found := best(now, engines, q.Exclude, func(e directory.Target) assessment {
+	engine, found := best(now, engines, q.Exclude, func(e *directory.Target) assessment {
 		_, cached := cachedAt[e.ID]
 		cost := p.promptCost(q, engineLoad{backlog: backlogs[e.ID], cached: cached, cachedElsewhere: !cached && len(cachedAt) > 0})
 		cost += rankCost * float64(ranks[e.ID])
--- a/internal/gateway/placement/byprefix.go
+++ b/internal/gateway/placement/byprefix.go
@@ -59,7 +59,7 @@
 	ranks := rendezvousRanks(targets, q.Key)
 	inputs := newTransfer(q.InputBytes)
 	rankCost := max(rankTokensCost*float64(q.SharedTokens)/tokensPerUnit, minRankCost)
-	return best(now, targets, q.Exclude, func(c directory.Target) assessment {
+	return best(now, targets, q.Exclude, func(c *directory.Target) assessment {
 		s := t.of(c.ID)
 		cost := s.engineLoad(now, c.Slots)
 		cost += inputs.cost(c.DataCentre)
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -1,7 +1,6 @@
 package placement
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -44,18 +43,22 @@
 // best returns the candidate that goes before all others, among the usable targets
 // that are not excluded; of two alike the earlier one. It returns false when there
 // is none.
-func best(now time.Time, targets []directory.Target, exclude []string, assess func(directory.Target) assessment) (directory.Target, bool) {
-	var chosen directory.Target
-	least := assessment{tier: math.MaxInt}
-	for _, c := range targets {
+func best(now time.Time, targets []directory.Target, exclude []string, assess func(*directory.Target) assessment) (directory.Target, bool) {
+	var chosen *directory.Target
+	var least assessment
+	for i := range targets {
+		c := &targets[i]
 		if slices.Contains(exclude, c.ID) || !c.Usable(now) {
 			continue
 		}
-		if a := assess(c); a.before(least) {
+		if a := assess(c); chosen == nil || a.before(least) {
 			chosen, least = c, a
 		}
 	}
-	return chosen, least.tier != math.MaxInt
+	if chosen == nil {
+		return directory.Target{}, false
+	}
+	return *chosen, true
 }
 
 // Query asks a TargetTable for a target.
--- a/internal/gateway/placement/outlier.go
+++ b/internal/gateway/placement/outlier.go
@@ -62,10 +62,7 @@
 
 // ejected says whether the target is left unused while there are others.
 func (o *outlier) ejected(now time.Time) bool {
-	if o.until.IsZero() {
-		return false
-	}
-	return now.Before(o.until) || o.probing
+	return !o.until.IsZero() && (o.probing || now.Before(o.until))
 }
 
 // Eject ejects a target at once, for a failure that proves that it is down.
