--- a/internal/gateway/placement/leastloaded.go
+++ b/internal/gateway/placement/leastloaded.go
@@ -26,9 +26,9 @@
 // The tier counts first (see tier). Within a tier the least cost wins, in seconds:
 // the latency of the target's answers, which loses weight by halfLife, times 1 plus
 // the calls outstanding for each slot, times 1 plus failurePenalty for its failures;
-// then otherDataCentreCost. Latency and failures are of this node's own calls; the
-// calls outstanding include those of other nodes while the target's last report is
-// not older than maxLoadAge.
+// then otherDataCentreCost. Latency and failures are of this node's own calls, and
+// failures do not age until the next one ends; the calls outstanding include those of
+// other nodes while the target's last report is not older than maxLoadAge.
 //
 // Without any of this the first target of the node's own data centre in the order
 // given is chosen. A wrong answer costs the difference of two targets' waiting
--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -129,6 +129,13 @@
 		answered(table, now.Add(3*time.Second), "t1", 0, false)
 		convey.So(chosen(table, 3*time.Second), convey.ShouldEqual, "t1")
 	})
+	convey.Convey("Failures count until the next call ends, however long ago", t, func() {
+		table := placement.NewTargetTable()
+		answered(table, now, "t0", 0, true)
+		convey.So(chosen(table, time.Hour), convey.ShouldEqual, "t1")
+		answered(table, now.Add(time.Hour), "t0", 0, false)
+		convey.So(chosen(table, time.Hour), convey.ShouldEqual, "t0")
+	})
 	convey.Convey("A target that gives no slots counts as one of 4", t, func() {
 		for slots, want := range map[int]string{3: "t0", 5: "t1"} {
 			table := placement.NewTargetTable()
--- a/internal/gateway/placement/outlier.go
+++ b/internal/gateway/placement/outlier.go
@@ -23,7 +23,7 @@
 // when a failure proves that it is down (TargetTable.Eject). When the ejection is
 // over, one call probes the target; all others go elsewhere until the probe has
 // ended. A success ends the ejection for good; a failure ejects again, for twice
-// as long.
+// as long, also that of a call which was sent before the ejection.
 //
 // Inputs are the outcomes of this node's own calls: nodes do not share them, since
 // a target may be down for one node alone. A target is still chosen when no other
--- a/internal/gateway/placement/outlier_test.go
+++ b/internal/gateway/placement/outlier_test.go
@@ -82,6 +82,17 @@
 				convey.So(ejectedAfter(table, at+4*time.Second), convey.ShouldBeFalse)
 			}
 		})
+		convey.Convey("calls that were sent before and fail double the time too", func() {
+			table := placement.NewTargetTable()
+			for range 3 {
+				table.Sent("t0")
+			}
+			for range 3 {
+				table.Ended(now, "t0", time.Millisecond, true)
+			}
+			convey.So(ejectedAfter(table, 1999*time.Millisecond), convey.ShouldBeTrue)
+			convey.So(ejectedAfter(table, 2*time.Second), convey.ShouldBeFalse)
+		})
 		convey.Convey("a target that has left is forgotten", func() {
 			table.Prune(directory.New())
 			convey.So(ejectedAfter(table, 0), convey.ShouldBeFalse)
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -17,7 +17,9 @@
 	// (commit 72a0bc2).
 	failureWeight = 2 * latencyWeight
 	// halfLife is the time in which a learnt latency or average of failures loses
-	// half its weight when no call adds to it. Not measured (commit 72a0bc2).
+	// half its weight. A latency ages by the time of each choice; failures age only
+	// when the next call ends, so a target that failed keeps its average while it is
+	// not called. Not measured (commit 72a0bc2).
 	halfLife = 3 * time.Second
 	// maxLoadAge is how long a reported load counts; after that only this node's
 	// own calls do. Not measured (commit 72a0bc2).
