--- a/internal/native/admission/event.go
+++ b/internal/native/admission/event.go
@@ -10,13 +10,15 @@
 // Event is what can happen to the core.
 type Event interface{ isEvent() }
 
-// Open asks to let a request in; Admit or Refuse answers it.
+// Open asks to admit a request; Admit or Refuse answers it at once.
 type Open struct {
+	// ID is unique among all events of the core.
 	ID           uint64
 	Organisation string
 	// Bundle is the number of the bundle that governs the request.
 	Bundle   int
 	Pipeline *bundle.PipelinePlan
+	// Deadline is when the whole answer must be there.
 	Deadline time.Time
 	// Size is the length of the input in bytes.
 	Size int
@@ -33,8 +35,10 @@
 	ID           uint64
 	Organisation string
 	Pipeline     *bundle.PipelinePlan
-	Stage        int
-	Deadline     time.Time
+	// Stage is its index in the pipeline.
+	Stage int
+	// Deadline is that of the request.
+	Deadline time.Time
 	// Size is the work of the stage: input bytes, or the most tokens of an
 	// engine.
 	Size int
@@ -59,41 +63,46 @@
 	AfterLoss
 )
 
-// Withdraw takes back a Submit that was not answered, or gives back a grant
-// that was not used.
+// Withdraw drops a Submit that was not answered, or releases a grant that was not
+// used. Neither gets an answer.
 type Withdraw struct{ ID uint64 }
 
-// Ended reports the end of a granted attempt; Err is nil when it succeeded.
+// Ended reports the end of a granted attempt.
 type Ended struct {
-	ID   uint64
-	Err  *verdict.Error
+	ID uint64
+	// Err is nil when the attempt succeeded.
+	Err *verdict.Error
+	// Took is the time from grant to end.
 	Took time.Duration
 }
 
-// Report is a target's load report, or news that it is leaving.
+// Report is a target's own load report.
 type Report struct {
-	Target      string
+	Target string
+	// Incarnation names one life of the target's process.
 	Incarnation string
-	Running     int
-	Waiting     int
-	Leaving     bool
-	// Age is how old the report was when it came.
+	// Running and Waiting count the calls at the target, of all nodes.
+	Running int
+	Waiting int
+	// Leaving is true when the target takes no new calls.
+	Leaving bool
+	// Age is how old the report was when it arrived.
 	Age time.Duration
 }
 
-// Mark is news, from whomever, that one incarnation of a target is leaving.
+// Mark says that one incarnation of a target is leaving, whoever reported it.
 type Mark struct {
 	Target      string
 	Incarnation string
 }
 
-// Nodes tells how many nodes share the targets, this one included.
+// Nodes sets how many nodes share the targets, this one included.
 type Nodes struct{ Count int }
 
 // Install puts a bundle in force.
 type Install struct{ Plan *bundle.Plan }
 
-// Tick lets time pass.
+// Tick lets time pass; NextTick says when it is due.
 type Tick struct{}
 
 func (Open) isEvent()     {}
@@ -110,22 +119,23 @@
 // Effect is what a shell must carry out.
 type Effect interface{ isEffect() }
 
-// Admit lets a request in.
+// Admit admits a request; Close must end it.
 type Admit struct{ ID uint64 }
 
-// Grant gives an attempt its target.
+// Grant gives an attempt its target; Ended or Withdraw must end it.
 type Grant struct {
 	ID     uint64
 	Target bundle.Target
 	Pool   *bundle.Pool
-	// Patience is how long an attempt may take before another target is the
-	// better bet.
+	// Patience is the timeout of an attempt that may be repeated: after it another
+	// target is more likely to answer in time; see timeout.go.
 	Patience time.Duration
 }
 
-// Refuse answers an Open or Submit for good; nothing ran.
+// Refuse is the last answer to an Open or Submit.
 type Refuse struct {
-	ID  uint64
+	ID uint64
+	// Err has the verdict not-run, its reason and the time after which to retry.
 	Err *verdict.Error
 }
 
--- /dev/null
+++ b/internal/native/admission/fit.go
@@ -0,0 +1,156 @@
+package admission
+
+import (
+	"time"
+
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// Rule: what fits its deadline.
+//
+// A request is refused at its start when the predicted time of all its stages,
+// waits included, passes its deadline. An attempt of a stage is refused when it
+// cannot start by its latest start: the deadline less its own expected time less
+// the predicted time of the stages after it.
+//
+// Inputs of an attempt, in the order in which they count: how much work the pool
+// holds; whether any target in use is in service, and when the first ejected one
+// is probed; the predicted wait against the latest start. All are of this moment,
+// and the expected times are those of estimate.go. Without learned times the
+// bundle's minimum times count. With Config.NeverRefuse only the first two count.
+//
+// Why so: work that cannot end in time takes slots from work that can
+// (docs/decisions/0008-holding-and-refusing.md). A wrong "it fits" wastes the time
+// of a target and the caller's wait; a wrong "it does not" refuses a request that
+// would have ended in time.
+const (
+	// maxHeld bounds the attempts held for one pool. Set with the first whole path
+	// (307e17d) to bound memory; not measured.
+	maxHeld = 4096
+)
+
+// fitInput is what decides whether an attempt can start in time.
+type fitInput struct {
+	now time.Time
+	// latestStart is when the attempt must start for its request to end in time.
+	latestStart time.Time
+	// held counts the attempts held for the pool.
+	held int
+	// heldPerSlot is the expected time of all held work over the usable slots.
+	heldPerSlot time.Duration
+	// slots counts the slots of the pool's targets in service.
+	slots int
+	// probeAt is when the first ejected target is probed; zero for never.
+	probeAt time.Time
+	// wait is the predicted time until the attempt gets a slot.
+	wait time.Duration
+	// holdAnyway is Config.NeverRefuse.
+	holdAnyway bool
+}
+
+// fitDecision is fits, queueFull, noneInService or startsLate.
+type fitDecision interface{ isFitDecision() }
+
+// fits lets the attempt start or wait.
+type fits struct{}
+
+// queueFull refuses an attempt whose pool holds maxHeld already.
+type queueFull struct{ drain time.Duration }
+
+// noneInService refuses an attempt that no target can start by its latest start.
+type noneInService struct{ probeAt time.Time }
+
+// startsLate refuses an attempt that would start excess after its latest start.
+type startsLate struct{ excess time.Duration }
+
+func (fits) isFitDecision()          {}
+func (queueFull) isFitDecision()     {}
+func (noneInService) isFitDecision() {}
+func (startsLate) isFitDecision()    {}
+
+// judgeFit decides whether an attempt can start in time.
+func judgeFit(in fitInput) fitDecision {
+	if in.held >= maxHeld {
+		return queueFull{drain: in.heldPerSlot}
+	}
+	if in.slots == 0 && (in.probeAt.IsZero() || in.probeAt.After(in.latestStart)) {
+		return noneInService{probeAt: in.probeAt}
+	}
+	if in.holdAnyway {
+		return fits{}
+	}
+	if start := in.now.Add(in.wait); start.After(in.latestStart) {
+		return startsLate{excess: start.Sub(in.latestStart)}
+	}
+	return fits{}
+}
+
+// judge gathers the inputs of judgeFit for an attempt.
+func (c *Core) judge(now time.Time, p *pool, it *item) fitDecision {
+	in := fitInput{
+		now: now, latestStart: it.latestStart, held: p.held, slots: p.slots(now), holdAnyway: c.cfg.NeverRefuse,
+	}
+	in.heldPerSlot = p.heldPerSlot(in.slots)
+	if in.slots == 0 {
+		in.probeAt = p.firstProbe(now)
+	}
+	if !in.holdAnyway {
+		in.wait = p.wait(now, c.shedder.nodes, it.Organisation, c.weight(it.Organisation), it.latestStart)
+	}
+	return judgeFit(in)
+}
+
+// refusalFor returns the answer to an attempt that does not fit, and nil for one
+// that does.
+func (c *Core) refusalFor(now time.Time, p *pool, decision fitDecision) *verdict.Error {
+	switch d := decision.(type) {
+	case queueFull:
+		return c.overload(d.drain)
+	case noneInService:
+		return c.noTarget(now, p, d.probeAt)
+	case startsLate:
+		return c.overload(d.excess)
+	default:
+		return nil
+	}
+}
+
+// excess predicts by how much the stages of a request would pass its deadline; not
+// above 0 when they fit.
+func (c *Core) excess(now time.Time, e Open) time.Duration {
+	if c.cfg.NeverRefuse {
+		return 0
+	}
+	left := c.remaining(now, e.Organisation, e.Pipeline, e.Size, e.Deadline)
+	var need time.Duration
+	for _, d := range left {
+		need = max(need, d)
+	}
+	return need - e.Deadline.Sub(now)
+}
+
+// latestStart returns the latest start of an attempt from which its request can
+// still end in time; with NeverRefuse the request's deadline.
+func (c *Core) latestStart(now time.Time, it *item) time.Time {
+	if c.cfg.NeverRefuse {
+		return it.Deadline
+	}
+	left := c.remaining(now, it.Organisation, it.Pipeline, it.Size, it.Deadline)
+	return it.Deadline.Add(-it.expected - remainingAfter(it.Pipeline, it.Stage, left))
+}
+
+// refuseLate refuses the held work of a pool whose latest start has come. Work is
+// refused then and not at its deadline, so that its caller can go elsewhere.
+func (c *Core) refuseLate(now time.Time, p *pool) []Effect {
+	var effects []Effect
+	for _, name := range sortedKeys(p.queues) {
+		q := p.queues[name]
+		for len(q.items) > 0 && !now.Before(q.items[0].latestStart) {
+			it := q.items[0]
+			p.remove(now, it)
+			delete(c.items, it.ID)
+			effects = append(effects, Refuse{ID: it.ID, Err: c.overload(p.heldPerSlot(p.slots(now)))})
+		}
+	}
+	return effects
+}
--- a/internal/native/admission/shed.go
+++ b/internal/native/admission/shed.go
@@ -9,33 +9,59 @@
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
 
+// Rule: which requests are shed while a pool is congested.
+//
+// A pool is congested while work is held for it, for shedFor after, and for shedFor
+// after a load report by which all slots in service are taken. Then requests are
+// admitted by shares of their classes: a class is one organisation's requests of one
+// pipeline and size class (estimate.go). The shares are worked out at most every
+// replanInterval, pool by pool; a class gets the least of the shares of its pools.
+//
+// Inputs, in the order in which they count: each organisation's weighted share of
+// this node's part of the pool's slots, its cheapest classes first; what is left, to
+// the cheapest classes of all. A class asks for its rate of arrival (over about
+// rateWindow) times the expected slot time of one request at the pool. Cheap is
+// little slot time and little cost, weighted as the bundle's objective says. Without
+// an earlier arrival a class has a share of 1.
+//
+// Why so: refusing whoever comes last keeps long work and loses short work
+// (docs/decisions/0008-holding-and-refusing.md; the rounds of docs/MEASUREMENTS.md
+// give attainment with and without). Shedding too much leaves slots free; shedding
+// too little admits work that is then held until it is late.
 const (
-	// rateWindow is the time over which arrival rates are averaged.
+	// rateWindow is the time over which arrival rates are averaged. Set by d0486dc;
+	// not measured alone.
 	rateWindow = 2 * time.Second
-	// minimumAge keeps the first arrivals of a class from looking like a flood.
+	// minimumAge keeps the first arrivals of a class from looking like a flood. Set
+	// by 62b8a4e with the correction of rates for the age of a class (attainment 96.3
+	// / 80.3 % at 1.2 / 2.0 load, before 94.2 / 77.4 %); the figure was not measured
+	// alone.
 	minimumAge = 200 * time.Millisecond
-	// replanInterval is how often the shares of the classes are worked out.
+	// replanInterval is how often the shares of the classes are worked out. Set by
+	// d0486dc; not measured alone. A shed request may be retried after it.
 	replanInterval = 100 * time.Millisecond
 	// shedFor is how long requests are shed after work was last held. Without it
-	// every pause of the queue would let the whole load in again.
+	// every pause of the queue would admit the whole load. Set by 62b8a4e: no gain
+	// alone, kept with the correction of rates.
 	shedFor = time.Second
-	// headroom is the part of a congested pool's slots that is planned for, so
-	// that what is let in does not wait long.
+	// headroom is the part of a congested pool's slots that is planned for. Set by
+	// 7c01f0c: Floraria 98.1 / 91.6 / 79.6 % at 0.9 / 1.2 / 2.0 load, with 0.95 97.1
+	// / 91.2 / 79.7 %.
 	headroom = 1.1
-	// forgetRate is the rate, in requests a second, below which a class is forgotten.
+	// forgetRate is the rate, in requests a second, below which a class is
+	// forgotten. Set by d0486dc to bound memory; not measured.
 	forgetRate = 0.01
+	// maxCredit is the most requests that a class saves up. Set by d0486dc; not
+	// measured.
+	maxCredit = 2
 )
 
-// shedder decides which requests are refused while a pool is congested. Refusing
-// whoever comes last would keep long work and lose short work; the shedder works
-// out, from the rates of arrival of each class of requests, which classes the
-// slots can carry: each organisation first gets its weighted share, its cheapest
-// classes first, and what is left goes to the cheapest classes of all. Cheap is
-// little work at the congested pool and little cost, as the bundle weighs them.
+// shedder holds the classes of requests and their shares.
 type shedder struct {
 	classes map[classKey]*class
+	// planned is when the shares were last worked out.
 	planned time.Time
-	// nodes is how many nodes share the targets.
+	// nodes is how many nodes share the targets, this one included.
 	nodes int
 }
 
@@ -57,8 +83,8 @@
 	seen time.Time
 	// born is when the class was first seen.
 	born time.Time
-	// share is the part of its requests that are let in while its pools are
-	// congested; credit saves up fractions of a request.
+	// share is the part of its requests that is admitted while its pools are
+	// congested, from 0 to 1; credit saves up fractions of a request.
 	share  float64
 	credit float64
 }
@@ -67,7 +93,7 @@
 	return &shedder{classes: make(map[classKey]*class), nodes: 1}
 }
 
-// arrive counts a request and returns its class.
+// arrive counts the arrival of a request and returns its class.
 func (s *shedder) arrive(now time.Time, e Open) *class {
 	key := classKey{e.Organisation, e.Pipeline.Name, sizeClass(e.Size)}
 	c := s.classes[key]
@@ -82,7 +108,7 @@
 	return c
 }
 
-// rateAt returns the rate at time now. A sum that has decayed for less than its
+// rateAt returns the rate at time now, in requests a second. A sum that has decayed for less than its
 // window has seen only part of it; the rate makes up for that.
 func (c *class) rateAt(now time.Time) float64 {
 	window := rateWindow.Seconds()
@@ -93,7 +119,7 @@
 
 // admits spends the class's credit for one request.
 func (c *class) admits() bool {
-	c.credit = min(2, c.credit+c.share)
+	c.credit = min(maxCredit, c.credit+c.share)
 	if c.credit < 1 {
 		return false
 	}
@@ -101,8 +127,8 @@
 	return true
 }
 
-// shed says whether a request is refused because one of its pools is congested
-// and its class has had its share.
+// shed says whether a request is refused because one of its pools is congested and
+// its class has used its share. It counts the arrival in any case.
 func (c *Core) shed(now time.Time, e Open) bool {
 	k := c.shedder.arrive(now, e)
 	if c.cfg.NeverRefuse || !c.congested(now, e.Pipeline) {
@@ -124,14 +150,14 @@
 	return false
 }
 
-// congested says whether work was held for the pool lately, or its targets
-// reported to be full.
+// congested says whether work was held for the pool lately, or its targets were
+// reported full.
 func (p *pool) congested(now time.Time) bool {
 	return p.held > 0 || now.Sub(p.busyAt) < shedFor
 }
 
-// noteLoad takes in that a target has reported: work may wait at the targets
-// and not here, when other nodes send as much as this one.
+// noteLoad counts the pool as busy when its targets seem full after a report: work
+// may wait at the targets and not here, when other nodes send as much as this one.
 func (p *pool) noteLoad(now time.Time) {
 	load := 0.0
 	for _, t := range p.targets {
@@ -145,15 +171,17 @@
 // demand is one class's demand on one pool.
 type demand struct {
 	class *class
-	// work is the slot time of one request, rate the requests a second.
+	// work is the slot time of one request, in seconds.
 	work float64
+	// rate is the requests a second.
 	rate float64
 	// price orders the classes: the lowest is served first.
 	price float64
-	// granted is the rate that gets through.
+	// granted is the part of rate that gets slots, in requests a second.
 	granted float64
 }
 
+// total is the slots that the class asks for.
 func (d demand) total() float64 { return d.work * d.rate }
 
 // replan works out the share of each class.
@@ -175,8 +203,8 @@
 		return
 	}
 	demands := c.demandsOn(now, p)
-	room := headroom * p.share(now, c.shedder.nodes)
-	c.grantShares(demands, room)
+	capacity := headroom * p.share(now, c.shedder.nodes)
+	c.grantShares(demands, capacity)
 	for _, d := range demands {
 		if d.rate > 0 {
 			d.class.share = min(d.class.share, d.granted/d.rate)
@@ -187,22 +215,12 @@
 // demandsOn lists the demands on a pool, the lowest price first.
 func (c *Core) demandsOn(now time.Time, p *pool) []*demand {
 	var list []*demand
-	works, costs := 0.0, 0.0
 	for _, k := range c.shedder.classes {
 		if w := c.workAt(k, p.spec.Name); w > 0 {
 			list = append(list, &demand{class: k, work: w, rate: k.rateAt(now)})
-			works += w
-			costs += costOf(k.spec)
-		}
-	}
-	o := c.plan.Bundle().Objective
-	for _, d := range list {
-		n := float64(len(list))
-		d.price = o.AttainmentWeight * d.work * n / works
-		if costs > 0 {
-			d.price += o.CostWeight * costOf(d.class.spec) * n / costs
 		}
 	}
+	setPrices(list, c.plan.Bundle().Objective)
 	slices.SortFunc(list, func(a, b *demand) int {
 		return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(a.class.key.organisation, b.class.key.organisation),
 			cmp.Compare(a.class.key.pipeline, b.class.key.pipeline), cmp.Compare(a.class.key.size, b.class.key.size))
@@ -210,6 +228,22 @@
 	return list
 }
 
+// setPrices weighs each demand's slot time and cost, both over their means.
+func setPrices(list []*demand, objective bundle.Objective) {
+	works, costs := 0.0, 0.0
+	for _, d := range list {
+		works += d.work
+		costs += costOf(d.class.spec)
+	}
+	n := float64(len(list))
+	for _, d := range list {
+		d.price = objective.AttainmentWeight * d.work * n / works
+		if costs > 0 {
+			d.price += objective.CostWeight * costOf(d.class.spec) * n / costs
+		}
+	}
+}
+
 // workAt returns the slot time in seconds of one request at a pool.
 func (c *Core) workAt(k *class, pool string) float64 {
 	sum := 0.0
@@ -221,7 +255,8 @@
 	return sum
 }
 
-// costOf is what one request of a pipeline spends at most.
+// costOf is what one request of a pipeline spends at most, in the unit of the
+// bundle.
 func costOf(p *bundle.PipelinePlan) float64 {
 	sum := 0.0
 	for _, s := range p.Stages {
@@ -230,9 +265,9 @@
 	return sum
 }
 
-// grantShares gives out room, in slots: to each organisation its weighted share
+// grantShares allocates capacity, in slots: to each organisation its weighted share
 // first, then what is left to all.
-func (c *Core) grantShares(demands []*demand, room float64) {
+func (c *Core) grantShares(demands []*demand, capacity float64) {
 	weights := 0.0
 	byOrganisation := make(map[string][]*demand)
 	for _, d := range demands {
@@ -242,18 +277,19 @@
 		}
 		byOrganisation[name] = append(byOrganisation[name], d)
 	}
-	left := room
+	left := capacity
 	for name, list := range byOrganisation {
-		left -= giveOut(list, room*c.weight(name)/weights)
+		left -= allocate(list, capacity*c.weight(name)/weights)
 	}
-	giveOut(demands, left)
+	allocate(demands, left)
 }
 
-// giveOut grants demands in order until the room is used, and returns what was.
-func giveOut(demands []*demand, room float64) float64 {
+// allocate grants demands in order until the capacity is used, and returns the slots
+// that were.
+func allocate(demands []*demand, capacity float64) float64 {
 	used := 0.0
 	for _, d := range demands {
-		more := min(d.total()-d.granted*d.work, room-used)
+		more := min(d.total()-d.granted*d.work, capacity-used)
 		if more <= 0 {
 			continue
 		}
