--- /dev/null
+++ b/internal/native/routing/baselines.go
@@ -0,0 +1,83 @@
+package routing
+
+import "math/rand/v2"
+
+// samples is how many candidates a sampling policy compares: the two random choices
+// of the literature. Set with the first whole path (307e17d); other counts were not
+// measured.
+const samples = 2
+
+// Random takes any free candidate. It is a baseline.
+type Random struct{}
+
+// RoundRobin takes the free candidates in turn. It is a baseline.
+type RoundRobin struct{}
+
+// LeastOutstanding takes the one with the fewest own calls. It is a baseline.
+type LeastOutstanding struct{}
+
+// TwoChoices samples two and takes the one with fewer own calls. It is a
+// baseline.
+type TwoChoices struct{}
+
+func (Random) isPolicy()           {}
+func (RoundRobin) isPolicy()       {}
+func (LeastOutstanding) isPolicy() {}
+func (TwoChoices) isPolicy()       {}
+
+// ownCalls is the cost by which some baselines compare.
+func ownCalls(c Candidate) float64 { return float64(c.InFlight) }
+
+// pickFree returns the free candidate that pick chooses among n.
+func pickFree(cs []Candidate, pick func(n int) int) int {
+	n := 0
+	for i := range cs {
+		if cs[i].Free() {
+			n++
+		}
+	}
+	if n == 0 {
+		return -1
+	}
+	k := pick(n)
+	for i := range cs {
+		if !cs[i].Free() {
+			continue
+		}
+		if k == 0 {
+			return i
+		}
+		k--
+	}
+	return -1
+}
+
+// best returns the free candidate with the lowest cost.
+func best(cs []Candidate, cost func(Candidate) float64) int {
+	chosen := -1
+	for i := range cs {
+		if cs[i].Free() && (chosen < 0 || cost(cs[i]) < cost(cs[chosen])) {
+			chosen = i
+		}
+	}
+	return chosen
+}
+
+// sampled compares a few candidates and falls back to all of them when none of
+// the few is free.
+func sampled(cs []Candidate, rng *rand.Rand, cost func(Candidate) float64) int {
+	if len(cs) == 0 {
+		return -1
+	}
+	chosen := -1
+	for range samples {
+		i := rng.IntN(len(cs))
+		if cs[i].Free() && (chosen < 0 || cost(cs[i]) < cost(cs[chosen])) {
+			chosen = i
+		}
+	}
+	if chosen >= 0 {
+		return chosen
+	}
+	return pickFree(cs, rng.IntN)
+}
