--- a/internal/native/request/text.go
+++ b/internal/native/request/text.go
@@ -6,6 +6,7 @@
 // costs the same however long the text is, and a copy shares what it can.
 type pieces struct {
 	last *piece
+	// size is the length of the whole text in bytes.
 	size int
 }
 
