--- a/internal/native/ticket/ticket.go
+++ b/internal/native/ticket/ticket.go
@@ -1,7 +1,14 @@
 // Package ticket gives the right to run a request at most once, without any
 // state that instances share. A ticket is minted by, and bound to, one
 // incarnation of one instance, its home. Only the home spends it, once, in its
-// memory. When the home is gone, nobody can spend it, for ever.
+// memory. When the home is gone, nobody can spend it any more.
+//
+// It owns the form of tickets and tokens (ticket.go) and the home's record of them
+// (book.go). It relies on a key that all nodes of a deployment have, and on the
+// home's monotonic clock alone; wall clocks that are wrong or set back change
+// nothing. It does no input or output. A token under another key is ErrInvalid; a
+// home that cannot record a ticket does not spend it; the reason of all this is in
+// docs/decisions/0004-at-most-once.md.
 package ticket
 
 import (
@@ -18,9 +25,13 @@
 )
 
 const (
+	// serialBytes is the length of a serial before its encoding: 128 random bits,
+	// so that two of one incarnation never meet.
 	serialBytes = 16
-	keyBytes    = 32
-	// maxTokenLength bounds what is decoded of a stranger's text.
+	// keyBytes is the length of the deployment's ticket key: that of AES-256.
+	keyBytes = 32
+	// maxTokenLength bounds, in bytes, what is decoded of a caller's text. A token
+	// of the longest names that the bundle allows was not measured against it.
 	maxTokenLength = 2048
 )
 
@@ -51,7 +62,7 @@
 // Expires returns the age of the home's incarnation at which the ticket expires.
 func (t Ticket) Expires() time.Duration { return time.Duration(t.ExpiresMs) * time.Millisecond }
 
-// NewSerial returns a random serial.
+// NewSerial returns a random serial in hexadecimal.
 func NewSerial() string {
 	raw := make([]byte, serialBytes)
 	_, _ = rand.Read(raw) // crypto/rand.Read never fails
@@ -85,7 +96,7 @@
 	return &Sealer{aead: aead}, nil
 }
 
-// Seal returns the ticket's token, which tells a stranger nothing.
+// Seal returns the ticket's token, which shows nothing of the ticket without the key.
 func (s *Sealer) Seal(t Ticket) (string, error) {
 	plain, err := json.Marshal(t)
 	if err != nil {
@@ -94,7 +105,8 @@
 	return base64.RawURLEncoding.EncodeToString(s.aead.Seal(nil, nil, plain, nil)), nil
 }
 
-// Open returns the ticket of a token, or ErrInvalid.
+// Open returns the ticket of a token, or ErrInvalid. Which step failed is not said:
+// the token is a caller's text, and its caller can do no more about it.
 func (s *Sealer) Open(token string) (Ticket, error) {
 	if len(token) > maxTokenLength {
 		return Ticket{}, ErrInvalid
--- a/internal/native/ticket/ticket_test.go
+++ b/internal/native/ticket/ticket_test.go
@@ -62,6 +62,7 @@
 		{"expired", func(*ticket.Book, *ticket.Ticket) {}, time.Second, verdict.MayHaveRun, verdict.ReasonTicketExpired},
 		{"of an earlier incarnation", func(_ *ticket.Book, tk *ticket.Ticket) { tk.Incarnation = "0" }, 0, verdict.MayHaveRun, verdict.ReasonHomeGone},
 		{"bound to another body", func(_ *ticket.Book, tk *ticket.Ticket) { tk.BodyDigest = "sha256:other" }, 0, verdict.NotRun, verdict.ReasonTicketInvalid},
+		{"used for another body", func(b *ticket.Book, tk *ticket.Ticket) { b.Spend(0, *tk, "sha256:other") }, 0, verdict.NotRun, verdict.ReasonTicketInvalid},
 		{"in a full book", func(b *ticket.Book, _ *ticket.Ticket) {
 			other := sample("a")
 			other.Serial = "other"
