--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -1,5 +1,11 @@
-// Package verdict holds the error type of honeydyke. Every failure says
-// whether the work it speaks of may have run.
+// Package verdict holds the error type of honeydyke. Every failure says whether the
+// work it speaks of may have run, by one of three verdicts, and why it failed, by a
+// short reason for programs and a text for people.
+//
+// It owns the verdicts, the reasons and how verdicts of parts join into one of the
+// whole; it relies on nothing else of the project and keeps no state. What proves a
+// verdict is decided where the work is done (docs/decisions/0003-verdicts.md). An
+// error that does not carry a verdict counts as may have run.
 package verdict
 
 import (
@@ -64,57 +70,117 @@
 	return MayHaveRun
 }
 
-// Reason is a short machine-readable cause of a failure.
+// Reason is a short machine-readable cause of a failure. Its text is on the wire and
+// in log lines.
 type Reason string
 
-// Reasons used across the packages.
+// Reasons of the request itself: it will fail again unless it is changed.
 const (
-	ReasonBadRequest    Reason = "bad-request"
-	ReasonUnauthorised  Reason = "unauthorised"
-	ReasonNotFound      Reason = "not-found"
-	ReasonTooLarge      Reason = "too-large"
-	ReasonTicketNeeded  Reason = "ticket-needed"
+	// ReasonBadRequest means that the request is not what its endpoint expects, or
+	// that a target said so.
+	ReasonBadRequest Reason = "bad-request"
+	// ReasonUnauthorised means that the caller's key or organisation is not in the
+	// configuration in force.
+	ReasonUnauthorised Reason = "unauthorised"
+	// ReasonNotFound means that there is no such pipeline or route.
+	ReasonNotFound Reason = "not-found"
+	// ReasonTooLarge means that a request or an answer has more bytes than allowed.
+	ReasonTooLarge Reason = "too-large"
+)
+
+// Reasons of tickets; see docs/decisions/0004-at-most-once.md.
+const (
+	// ReasonTicketNeeded means that the request gave a key of its own, and targets
+	// of the pipeline do not check keys: only a ticket can keep it from running twice.
+	ReasonTicketNeeded Reason = "ticket-needed"
+	// ReasonTicketInvalid means that the ticket is not of this deployment, or is for
+	// another organisation, pipeline or body.
 	ReasonTicketInvalid Reason = "ticket-invalid"
+	// ReasonTicketExpired means that the ticket can no longer be spent.
 	ReasonTicketExpired Reason = "ticket-expired"
-	ReasonTicketSpent   Reason = "ticket-spent"
-	ReasonHomeGone      Reason = "ticket-home-gone"
-	ReasonHomeSilent    Reason = "ticket-home-silent"
-	ReasonLeaving       Reason = "leaving"
-	// ReasonMoved is work that another node has taken over.
-	ReasonMoved          Reason = "moved"
-	ReasonNotReady       Reason = "not-ready"
-	ReasonLimit          Reason = "organisation-limit"
-	ReasonOverload       Reason = "overload"
-	ReasonNoTarget       Reason = "no-target"
-	ReasonDeadline       Reason = "deadline"
-	ReasonCancelled      Reason = "cancelled"
-	ReasonDial           Reason = "dial-failed"
-	ReasonConnection     Reason = "connection-lost"
-	ReasonRefused        Reason = "target-refused"
-	ReasonTargetError    Reason = "target-error"
-	ReasonIdentity       Reason = "wrong-identity"
-	ReasonCut            Reason = "answer-cut"
-	ReasonStalled        Reason = "stalled"
-	ReasonStopped        Reason = "node-stopped"
-	ReasonInternal       Reason = "internal"
-	ReasonConfiguration  Reason = "configuration"
+	// ReasonTicketSpent means that the ticket's one run has begun or ended; the
+	// verdict is that of the run.
+	ReasonTicketSpent Reason = "ticket-spent"
+	// ReasonHomeGone means that the incarnation that minted the ticket has ended.
+	ReasonHomeGone Reason = "ticket-home-gone"
+	// ReasonHomeSilent means that the ticket's home did not answer.
+	ReasonHomeSilent Reason = "ticket-home-silent"
+)
+
+// Reasons of this side: nodes, their configuration and what they refuse.
+const (
+	// ReasonLeaving means that the node or target is in its planned stop.
+	ReasonLeaving Reason = "leaving"
+	// ReasonMoved means that another node coordinates the service now.
+	ReasonMoved Reason = "moved"
+	// ReasonNotReady means that the node has no configuration yet, or was paused and
+	// may hold an old one.
+	ReasonNotReady Reason = "not-ready"
+	// ReasonLimit means that the organisation is at one of its limits.
+	ReasonLimit Reason = "organisation-limit"
+	// ReasonOverload means that the work would not end by its deadline, or that
+	// there is no capacity to hold it.
+	ReasonOverload Reason = "overload"
+	// ReasonNoTarget means that no target may get the work: none is known, or all are
+	// leaving, ejected or tried already.
+	ReasonNoTarget Reason = "no-target"
+	// ReasonRetryExhausted means that the budget of retries does not pay for another
+	// attempt.
 	ReasonRetryExhausted Reason = "retries-exhausted"
-	ReasonInputGone      Reason = "input-gone"
+	// ReasonInputGone means that a result that the work needs is no longer where it
+	// was.
+	ReasonInputGone Reason = "input-gone"
+	// ReasonInternal means that honeydyke broke an assumption of its own.
+	ReasonInternal Reason = "internal"
+)
+
+// Reasons that end a request from outside.
+const (
+	// ReasonDeadline means that the deadline passed, or cannot be met any more.
+	ReasonDeadline Reason = "deadline"
+	// ReasonCancelled means that the caller closed its connection, or the request
+	// ended before this part of it.
+	ReasonCancelled Reason = "cancelled"
+)
+
+// Reasons of a call to a target or node.
+const (
+	// ReasonDial means that no connection was made.
+	ReasonDial Reason = "dial-failed"
+	// ReasonConnection means that the connection was lost before an answer's header.
+	ReasonConnection Reason = "connection-lost"
+	// ReasonRefused means that the target refused the call and said that it did not
+	// run.
+	ReasonRefused Reason = "target-refused"
+	// ReasonTargetError means that the target answered with an error, or with
+	// something other than the answer expected.
+	ReasonTargetError Reason = "target-error"
+	// ReasonIdentity means that the answer is for another call or from another target.
+	ReasonIdentity Reason = "wrong-identity"
+	// ReasonCut means that the answer's header came, and its end did not.
+	ReasonCut Reason = "answer-cut"
+	// ReasonStalled means that the target was silent for longer than a call may take.
+	ReasonStalled Reason = "stalled"
 )
 
 // Error is a failure with its verdict. It is immutable; the With methods
 // return changed copies.
 type Error struct {
-	verdict    Verdict
-	reason     Reason
-	text       string
-	stage      string
+	verdict Verdict
+	reason  Reason
+	text    string
+	// stage is empty when no stage failed.
+	stage string
+	// retryAfter is zero when nothing is known.
 	retryAfter time.Duration
-	cause      error
-	unsafe     bool
+	// cause is nil when there is none.
+	cause error
+	// unsafe is true when work that may not be repeated may have run.
+	unsafe bool
 }
 
-// New returns an error with verdict v.
+// New returns an error with verdict v and the text for people that format gives. It
+// is safe to retry unless WithUnsafeRetry says otherwise.
 func New(v Verdict, reason Reason, format string, args ...any) *Error {
 	return &Error{verdict: v, reason: reason, text: fmt.Sprintf(format, args...)}
 }
@@ -143,7 +209,8 @@
 // Stage names the stage that failed; it is empty when none did.
 func (e *Error) Stage() string { return e.stage }
 
-// RetryAfter says when to come back; zero means that nothing is known.
+// RetryAfter is the time after which a retry is worth it; zero means that nothing is
+// known.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
 // SafeToRetry says whether no work that may not be repeated may have run.
@@ -177,7 +244,7 @@
 	return &n
 }
 
-// WithRetryAfter returns a copy that says when to come back.
+// WithRetryAfter returns a copy with the time after which a retry is worth it.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	n := *e
 	n.retryAfter = d
