--- /dev/null
+++ b/internal/delivery/attempt.go
@@ -0,0 +1,77 @@
+package delivery
+
+import (
+	"context"
+	"sync/atomic"
+
+	"github.com/pkg/errors"
+
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// attempt records what became of the first write of one call.
+type attempt struct {
+	// conn is the connection that the transport gave to the call; nil before.
+	conn atomic.Pointer[guardedConn]
+	// refusal is what the check before the first byte returned; nil when it passed.
+	refusal atomic.Pointer[verdict.Error]
+}
+
+// take arms the connection that the transport gave to the call.
+func (a *attempt) take(conn *guardedConn, check func() error) {
+	if conn == nil {
+		return
+	}
+	conn.arm(func() error {
+		err := check()
+		if err != nil {
+			a.refusal.Store(verdict.From(err))
+		}
+		return err
+	})
+	a.conn.Store(conn)
+}
+
+// Rule: what a call without an answer may claim.
+//
+// Inputs, in the order in which they count: whether the transport gave the call a
+// connection (else it did not run); whether a write of the call had begun when the
+// connection was sealed, which stops all later writes (else it did not run); what the
+// check before the first byte returned, which is then the refusal; and why the call's
+// context ended, which goes before the transport's own error as the reason. All are of
+// this call alone. The connection is sealed in any case. Why so:
+// docs/decisions/0003-verdicts.md. A wrong "not run" lets a caller run work twice; a
+// wrong "may have run" fails a request that could be retried.
+
+// failure gives the verdict on a call that got no answer.
+func (a *attempt) failure(ctx context.Context, err error) *verdict.Error {
+	v := verdict.NotRun
+	reason := verdict.ReasonDial
+	if conn := a.conn.Load(); conn != nil {
+		reason = verdict.ReasonConnection
+		if conn.seal() {
+			v = verdict.MayHaveRun
+		}
+	}
+	if refusal := a.refusal.Load(); refusal != nil && v == verdict.NotRun {
+		return refusal.WithVerdict(v)
+	}
+	if ctx.Err() != nil {
+		reason = reasonOfContext(ctx)
+	}
+	return verdict.New(v, reason, "the call got no answer").WithCause(err)
+}
+
+// errStalled ends the context of a call that took longer than its timeout.
+var errStalled = errors.New("the call outlasted its patience")
+
+// reasonOfContext says why the context of a call ended.
+func reasonOfContext(ctx context.Context) verdict.Reason {
+	if context.Cause(ctx) == errStalled {
+		return verdict.ReasonStalled
+	}
+	if ctx.Err() == context.DeadlineExceeded {
+		return verdict.ReasonDeadline
+	}
+	return verdict.ReasonCancelled
+}
--- a/internal/delivery/conn.go
+++ b/internal/delivery/conn.go
@@ -17,9 +17,12 @@
 type guardedConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	check  func() error
-	begun  bool
+	mu sync.Mutex
+	// check runs before the first byte of the armed request; nil before the first arm.
+	check func() error
+	// begun is true once a write of the armed request has begun.
+	begun bool
+	// sealed stops all later writes.
 	sealed bool
 }
 
@@ -44,7 +47,7 @@
 // spoil seals the connection and closes it, so that the transport forgets it.
 func (c *guardedConn) spoil() {
 	c.seal()
-	_ = c.Conn.Close()
+	_ = c.Conn.Close() // the connection is given up; its error changes nothing
 }
 
 // Write implements net.Conn. The window that remains lies between the end of
@@ -56,6 +59,7 @@
 	return c.Conn.Write(b)
 }
 
+// beginWrite lets a write begin, or returns why it may not.
 func (c *guardedConn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +77,8 @@
 	return nil
 }
 
-// guardOf finds the guarded connection below a connection of the transport.
+// guardOf finds the guarded connection below a connection of the transport; nil when
+// there is none, which dialGuarded rules out.
 func guardOf(conn net.Conn) *guardedConn {
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
@@ -82,6 +87,7 @@
 	return g
 }
 
+// dialGuarded returns a dial function of guarded connections.
 func dialGuarded(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,9 +1,20 @@
 // Package delivery carries calls to targets over HTTP and proves, for every
 // call that fails, whether the target may have run it.
 //
+// It owns the connections to targets and what is known of each call on them: whether
+// its first byte may have left, and whether its answer is whole and its own. It
+// relies on the target to echo the identity of each call and on net/http not to send
+// a call again, which its settings here see to (docs/decisions/0003-verdicts.md lists
+// the traps and the tests). When a target or the network fails, the call fails with a
+// *verdict.Error; nothing is retried here.
+//
 // A call is "not run" only when its first byte was never written, or when the
-// target's own answer says so by contract: the header Honeydyke-Verdict with
-// the value "not-run", on an answer that carries the call's identity.
+// target's own answer says so: the header Honeydyke-Verdict with the value "not-run",
+// on an answer that carries the call's identity.
+//
+// attempt.go holds the rule of what a call without an answer may claim, answer.go the
+// checks of an answer, conn.go the guard of the first byte, and stream.go the streams
+// of engines.
 package delivery
 
 import (
@@ -16,21 +27,29 @@
 	"net/http"
 	"net/http/httptrace"
 	"strconv"
-	"sync/atomic"
 	"time"
 
-	"github.com/pkg/errors"
-
 	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
 const (
-	dialTimeout     = 2 * time.Second
-	idleTimeout     = 30 * time.Second
-	idlePerTarget   = 64
-	defaultStall    = 10 * time.Second
+	// dialTimeout bounds the time to connect to a target where no option says
+	// otherwise. Set with the first whole path (307e17d); not measured.
+	dialTimeout = 2 * time.Second
+	// idleTimeout is how long a connection is kept that no call uses. Set with the
+	// first whole path (307e17d); not measured.
+	idleTimeout = 30 * time.Second
+	// idlePerTarget is the most connections kept for one target. Set with the first
+	// whole path (307e17d); not measured.
+	idlePerTarget = 64
+	// defaultStall is the longest silence of an engine's stream where no option says
+	// otherwise (docs/decisions/0009-streams.md). Set with the first whole path
+	// (307e17d); not measured.
+	defaultStall = 10 * time.Second
+	// keepAlivePeriod is the time between TCP keep-alive probes. Set with the first
+	// whole path (307e17d); not measured.
 	keepAlivePeriod = 15 * time.Second
 )
 
@@ -44,8 +63,8 @@
 	Identity string
 	// Deadline ends the call; it is checked again just before the first write.
 	Deadline time.Time
-	// Patience is how long the call may take before it counts as stalled; zero
-	// for as long as the deadline allows.
+	// Patience is the timeout after which the call counts as stalled; zero for as
+	// long as the deadline allows.
 	Patience time.Duration
 	// Key is an idempotency key for targets that check them; empty for none.
 	Key string
@@ -63,11 +82,13 @@
 
 // Client sends calls. Create it with New.
 type Client struct {
+	// shared reuses connections; once makes a new one for each call.
 	shared *http.Client
 	once   *http.Client
 	scheme string
 	now    func() time.Time
-	stall  time.Duration
+	// stall is the longest silence of a stream.
+	stall time.Duration
 }
 
 // Option changes a Client under construction.
@@ -96,7 +117,7 @@
 	}
 }
 
-// New returns a client.
+// New returns a client of targets over plain HTTP.
 func New(opts ...Option) *Client {
 	c := &Client{
 		shared: newHTTPClient(nil, false, dialTimeout),
@@ -189,24 +210,6 @@
 	}, nil
 }
 
-// exchange is one call whose answer's header has arrived.
-type exchange struct {
-	call Call
-	conn *guardedConn
-	resp *http.Response
-}
-
-func (ex *exchange) close() { _ = ex.resp.Body.Close() }
-
-// broken returns the error for an answer that cannot be trusted, and keeps its
-// connection from carrying another call.
-func (ex *exchange) broken(reason verdict.Reason, format string, args ...any) *verdict.Error {
-	if ex.conn != nil {
-		ex.conn.seal()
-	}
-	return verdict.New(verdict.MayHaveRun, reason, format, args...)
-}
-
 // send writes the call and checks the answer's header. On an error nothing is
 // left open.
 func (c *Client) send(ctx context.Context, call Call) (*exchange, error) {
@@ -234,8 +237,8 @@
 	return ex, nil
 }
 
-// checkPermit runs just before the first byte leaves. A process that was paused
-// finds here that it woke too late.
+// checkPermit runs just before the first byte leaves. A process that was paused finds
+// here that its deadline has passed.
 func (c *Client) checkPermit(call Call) error {
 	if !c.now().Before(call.Deadline) {
 		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline passed before the first byte was written")
@@ -266,111 +269,3 @@
 	}
 	return req, nil
 }
-
-// attempt remembers what became of the first write of one call.
-type attempt struct {
-	conn    atomic.Pointer[guardedConn]
-	refusal atomic.Pointer[verdict.Error]
-}
-
-// take arms the connection that the transport gave to the call.
-func (a *attempt) take(conn *guardedConn, check func() error) {
-	if conn == nil {
-		return
-	}
-	conn.arm(func() error {
-		err := check()
-		if err != nil {
-			a.refusal.Store(verdict.From(err))
-		}
-		return err
-	})
-	a.conn.Store(conn)
-}
-
-// failure gives the verdict on a call that got no answer.
-func (a *attempt) failure(ctx context.Context, err error) *verdict.Error {
-	v := verdict.NotRun
-	reason := verdict.ReasonDial
-	if conn := a.conn.Load(); conn != nil {
-		reason = verdict.ReasonConnection
-		if conn.seal() {
-			v = verdict.MayHaveRun
-		}
-	}
-	if refusal := a.refusal.Load(); refusal != nil && v == verdict.NotRun {
-		return refusal.WithVerdict(v)
-	}
-	if ctx.Err() != nil {
-		reason = reasonOfContext(ctx)
-	}
-	return verdict.New(v, reason, "the call got no answer").WithCause(err)
-}
-
-// errStalled ends the context of a call that outlasted its patience.
-var errStalled = errors.New("the call outlasted its patience")
-
-func reasonOfContext(ctx context.Context) verdict.Reason {
-	if context.Cause(ctx) == errStalled {
-		return verdict.ReasonStalled
-	}
-	if ctx.Err() == context.DeadlineExceeded {
-		return verdict.ReasonDeadline
-	}
-	return verdict.ReasonCancelled
-}
-
-func (ex *exchange) checkHeader() error {
-	echoed := ex.resp.Header.Get(wire.HeaderIdentity)
-	status := ex.resp.StatusCode
-	switch {
-	case echoed != ex.call.Identity:
-		return ex.broken(verdict.ReasonIdentity, "status %d answers %q, the call was %q", status, echoed, ex.call.Identity)
-	case status == http.StatusOK:
-		return nil
-	case ex.resp.Header.Get(wire.HeaderVerdict) == verdict.NotRun.String():
-		return verdict.New(verdict.NotRun, verdict.ReasonRefused, "the target refused with status %d", status).
-			WithRetryAfter(retryAfter(ex.resp.Header))
-	default:
-		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "the target answered with status %d", status).
-			WithRetryAfter(retryAfter(ex.resp.Header))
-	}
-}
-
-func retryAfter(h http.Header) time.Duration {
-	seconds, err := strconv.Atoi(h.Get("Retry-After"))
-	if err != nil || seconds < 0 {
-		return 0
-	}
-	return time.Duration(seconds) * time.Second
-}
-
-// delimited says whether the answer's end can be told from a lost connection.
-func (ex *exchange) delimited() bool {
-	if ex.resp.ContentLength >= 0 {
-		return true
-	}
-	return len(ex.resp.TransferEncoding) > 0 && ex.resp.TransferEncoding[0] == "chunked"
-}
-
-func (ex *exchange) readWhole(ctx context.Context) ([]byte, error) {
-	if !ex.delimited() {
-		return nil, ex.broken(verdict.ReasonCut, "the answer has no length; its end cannot be proved")
-	}
-	body, err := io.ReadAll(io.LimitReader(ex.resp.Body, wire.MaxAnswerBytes+1))
-	if err != nil {
-		return nil, ex.cut(ctx, err)
-	}
-	if len(body) > wire.MaxAnswerBytes {
-		return nil, ex.broken(verdict.ReasonTooLarge, "the answer has more than %d bytes", wire.MaxAnswerBytes)
-	}
-	return body, nil
-}
-
-// cut returns the error for an answer that ended before its end.
-func (ex *exchange) cut(ctx context.Context, err error) *verdict.Error {
-	if ctx.Err() != nil {
-		return ex.broken(reasonOfContext(ctx), "the call was ended while its answer arrived").WithCause(err)
-	}
-	return ex.broken(verdict.ReasonCut, "the answer ended before its end").WithCause(err)
-}
--- a/internal/delivery/stream.go
+++ b/internal/delivery/stream.go
@@ -16,6 +16,15 @@
 
 const contentTypeEvents = "text/event-stream"
 
+// Rule: when a stream is whole.
+//
+// A stream is whole with a finish reason and then the end mark, both; every chunk must
+// carry the identity of its call and be of the one choice asked for. A stream that is
+// silent for the client's stall time counts as stalled. What was emitted before a
+// failure stays emitted; the caller decides whether to continue it elsewhere. Why so:
+// docs/decisions/0009-streams.md. A broken stream taken for whole gives a caller half
+// an answer as a whole one.
+
 // StreamEnd is what a whole stream ended with.
 type StreamEnd struct {
 	// Finish is the finish reason.
@@ -48,6 +57,7 @@
 	return end, err
 }
 
+// stream reads one stream to its end, without watching for silence.
 func (c *Client) stream(ctx context.Context, call Call, emit func(text string) error) (StreamEnd, error) {
 	ex, err := c.send(ctx, call)
 	if err != nil {
@@ -75,7 +85,8 @@
 
 // streamReader checks and passes on the events of one stream.
 type streamReader struct {
-	ex   *exchange
+	ex *exchange
+	// id is what every chunk of the stream must carry.
 	id   string
 	emit func(string) error
 	end  StreamEnd
@@ -102,6 +113,7 @@
 	return false, s.takeChunk(&chunk)
 }
 
+// takeChunk passes on the text of a chunk and records its finish reason and usage.
 func (s *streamReader) takeChunk(chunk *openai.Chunk) error {
 	if chunk.Usage != nil {
 		s.end.Tokens = chunk.Usage.CompletionTokens
