--- a/internal/native/admission/eject.go
+++ b/internal/native/admission/eject.go
@@ -52,8 +52,6 @@
 	probing bool
 }
 
-func (h health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
-
 // withSuccess returns the health after an attempt that succeeded.
 func (h health) withSuccess() health {
 	return health{ejectedUntil: h.ejectedUntil}
@@ -77,6 +75,9 @@
 	return health{probing: h.probing}
 }
 
+// ejected says whether the target is ejected now.
+func (t *target) ejected(now time.Time) bool { return now.Before(t.ejectedUntil) }
+
 // ended counts the end of an attempt and says whether the target is ejected by it.
 func (t *target) ended(now time.Time, err *verdict.Error, mayEject bool) bool {
 	if err == nil {
--- a/internal/native/admission/rules_test.go
+++ b/internal/native/admission/rules_test.go
@@ -107,9 +107,9 @@
 		convey.So(health{ejections: 3, failures: 1, probing: true}.withSuccess(), convey.ShouldResemble, health{})
 	})
 	convey.Convey("A new incarnation is in service at once and probed", t, func() {
-		h := health{ejections: 3, ejectedUntil: t0.Add(time.Hour), probing: true}.withIncarnation()
-		convey.So(h.ejected(t0), convey.ShouldBeFalse)
-		convey.So(h, convey.ShouldResemble, probed)
+		restarted := target{health: health{ejections: 3, ejectedUntil: t0.Add(time.Hour), probing: true}.withIncarnation()}
+		convey.So(restarted.ejected(t0), convey.ShouldBeFalse)
+		convey.So(restarted.health, convey.ShouldResemble, probed)
 	})
 	convey.Convey("The doublings reach the longest ejection, and no fewer do", t, func() {
 		convey.So(ejectionBase<<maxDoublings, convey.ShouldBeGreaterThanOrEqualTo, ejectionMax)
