--- a/internal/native/admission/shed.go
+++ b/internal/native/admission/shed.go
@@ -108,8 +108,8 @@
 	return c
 }
 
-// rateAt returns the rate at time now, in requests a second. A sum that has decayed for less than its
-// window has seen only part of it; the rate makes up for that.
+// rateAt returns the rate at time now, in requests a second. The sum of a class that
+// is younger than the window has counted only part of it; the rate corrects for that.
 func (c *class) rateAt(now time.Time) float64 {
 	window := rateWindow.Seconds()
 	decayed := c.sum * math.Exp(-now.Sub(c.seen).Seconds()/window)
--- a/internal/native/routing/balanced.go
+++ b/internal/native/routing/balanced.go
@@ -34,7 +34,7 @@
 
 // Balanced samples free candidates and takes the best, keeps a prefix at its
 // preferred target while that is not overloaded, and stays in the data centre
-// while it has room. It is the policy of the product.
+// while that has free slots. It is the policy of the product.
 type Balanced struct{}
 
 func (Balanced) isPolicy() {}
@@ -127,8 +127,8 @@
 	return chosen
 }
 
-// better returns i when that candidate is free and has a lower score than chosen, which
-// may be -1.
+// better returns i when that candidate is free and has a lower score than chosen,
+// which may be -1, and else chosen.
 func better(cs []Candidate, chosen, i int) int {
 	if !cs[i].Free() {
 		return chosen
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -1,6 +1,8 @@
 package settings_test
 
 import (
+	"encoding/json"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -48,3 +50,22 @@
 		})
 	}
 }
+
+func TestDefaultsAreTheSchemas(t *testing.T) {
+	convey.Convey("A planned stop without settings waits as long as the schema says", t, func() {
+		text, err := os.ReadFile("settings.schema.json")
+		convey.So(err, convey.ShouldBeNil)
+		var schema struct {
+			Defs struct {
+				Stop struct {
+					Properties map[string]struct{ Default int64 }
+				}
+			} `json:"$defs"`
+		}
+		convey.So(json.Unmarshal(text, &schema), convey.ShouldBeNil)
+		stop := schema.Defs.Stop.Properties
+		var s settings.Settings
+		convey.So(s.Announce().Milliseconds(), convey.ShouldEqual, stop["announceMs"].Default)
+		convey.So(s.StopLimit().Milliseconds(), convey.ShouldEqual, stop["limitMs"].Default)
+	})
+}
