--- a/internal/harness/lab/lab.go
+++ b/internal/harness/lab/lab.go
@@ -1,38 +1,34 @@
-// Package lab starts a whole deployment in one process on loopback: a stand-in
-// for every target of a bundle, the platform's services, and nodes. The
-// demonstration, the load tool and tests use it.
+// Package lab stands in for a whole deployment of the native interface: it starts a
+// stand-in for every target of a bundle, the platform's services and real nodes
+// on loopback, in one process or with nodes as processes of their own. The
+// demonstration, the fault matrix, the comparison of policies and tests use it.
+//
+// Left out: the network between machines, TLS unless a test asks for it, keys
+// kept apart (one approver signs everything), and real targets. It relies on the
+// package standin; a stand-in or node that does not start ends Start with its
+// error, and Close ends everything that was started.
 package lab
 
 import (
 	"context"
 	"crypto/ed25519"
-	"crypto/tls"
-	"encoding/hex"
 	"encoding/json"
 	"net"
 	"net/http"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
 	"github.com/pkg/errors"
-	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/internal/harness/standin"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
-	"github.com/honeydyke/honeydyke/pkg/node"
-	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
 const (
 	loopback = "127.0.0.1:0"
 	approver = "lab"
-	// plenty is a limit of an organisation, in calls and requests a second, that
-	// no load of the harnesses reaches: they send some hundreds.
-	plenty = 100_000
-	// readyPoll is how often Start looks whether all nodes serve.
+	// readyPoll is how often Poll looks; not measured.
 	readyPoll = 5 * time.Millisecond
 )
 
@@ -61,91 +57,10 @@
 	processes []*Process
 }
 
-// Member is one node with the means to stop it.
-type Member struct {
-	*node.Node
-
-	stop  context.CancelFunc
-	ended chan struct{}
-	err   error
-}
-
-// Stop starts a planned stop.
-func (m *Member) Stop() { m.stop() }
-
-// Wait waits for the end of the node and returns its error.
-func (m *Member) Wait() error {
-	<-m.ended
-	return m.err
-}
-
-// URL returns the address for callers.
-func (m *Member) URL() string { return "http://" + m.CallerAddress() }
-
-// Option changes a lab under construction.
-type Option func(*config)
-
-type config struct {
-	nodes       int
-	speeds      map[bundle.Kind]standin.Speed
-	log         zerolog.Logger
-	nodeOptions []node.Option
-	announce    time.Duration
-	reportLag   time.Duration
-	slots       int
-	lateBy      time.Duration
-	change      func(*settings.Settings)
-	edit        func(*bundle.Bundle)
-	unlimited   bool
-	targetTLS   *tls.Config
-}
-
-// WithNodes sets the number of nodes; 3 by default.
-func WithNodes(n int) Option { return func(c *config) { c.nodes = n } }
-
-// WithSpeed sets how long the targets of a kind work.
-func WithSpeed(k bundle.Kind, s standin.Speed) Option {
-	return func(c *config) { c.speeds[k] = s }
-}
-
-// WithLogger sets the nodes' log.
-func WithLogger(log zerolog.Logger) Option { return func(c *config) { c.log = log } }
-
-// WithNodeOptions adds options to every node.
-func WithNodeOptions(opts ...node.Option) Option {
-	return func(c *config) { c.nodeOptions = append(c.nodeOptions, opts...) }
-}
-
-// WithReportLag makes load reports lag.
-func WithReportLag(d time.Duration) Option { return func(c *config) { c.reportLag = d } }
-
-// WithSlots overrides the slots of every target.
-func WithSlots(n int) Option { return func(c *config) { c.slots = n } }
-
-// WithLateBy sets the delay of targets that answer late.
-func WithLateBy(d time.Duration) Option { return func(c *config) { c.lateBy = d } }
-
-// WithBundle edits the bundle before it is published.
-func WithBundle(edit func(*bundle.Bundle)) Option { return func(c *config) { c.edit = edit } }
-
-// WithoutLimits lifts the limits of every organisation out of the way of a load.
-func WithoutLimits() Option { return func(c *config) { c.unlimited = true } }
-
-// WithSettings changes the settings of every node.
-func WithSettings(change func(*settings.Settings)) Option {
-	return func(c *config) { c.change = change }
-}
-
-// WithTargetTLS lets the targets speak TLS.
-func WithTargetTLS(cfg *tls.Config) Option { return func(c *config) { c.targetTLS = cfg } }
-
 // Start starts the deployment of a bundle, whose addresses it replaces, and
 // waits until every node serves or ctx ends.
 func Start(ctx context.Context, text []byte, opts ...Option) (*Lab, error) {
-	cfg := config{nodes: 3, speeds: defaultSpeeds(), log: zerolog.Nop(), announce: time.Millisecond, lateBy: time.Second}
-	for _, opt := range opts {
-		opt(&cfg)
-	}
+	cfg := newConfig(opts)
 	plan, err := bundle.Parse("lab", text)
 	if err != nil {
 		return nil, err
@@ -163,16 +78,6 @@
 	return l, nil
 }
 
-func defaultSpeeds() map[bundle.Kind]standin.Speed {
-	return map[bundle.Kind]standin.Speed{
-		bundle.KindEncoder:   {Base: time.Millisecond},
-		bundle.KindRetriever: {Base: time.Millisecond},
-		bundle.KindReranker:  {Base: time.Millisecond},
-		bundle.KindService:   {Base: time.Millisecond},
-		bundle.KindEngine:    {Base: 2 * time.Millisecond, PerToken: time.Millisecond},
-	}
-}
-
 func (l *Lab) start(ctx context.Context, b bundle.Bundle) error {
 	l.cfg.editBundle(&b)
 	if err := l.startTargets(&b); err != nil {
@@ -191,17 +96,6 @@
 	return l.waitReady(ctx)
 }
 
-func (c *config) editBundle(b *bundle.Bundle) {
-	if c.unlimited {
-		for i := range b.Organisations {
-			b.Organisations[i].Limits = bundle.Limits{Concurrency: plenty, RequestsPerSecond: plenty, TokensPerSecond: 100 * plenty}
-		}
-	}
-	if c.edit != nil {
-		c.edit(b)
-	}
-}
-
 // startTargets starts a stand-in for each target and puts its address into b.
 func (l *Lab) startTargets(b *bundle.Bundle) error {
 	for i := range b.Pools {
@@ -238,6 +132,7 @@
 	return opts
 }
 
+// sign makes b the plan of the lab and returns the signed bundle.
 func (l *Lab) sign(b bundle.Bundle) ([]byte, error) {
 	// Steps between bundles are made of lines, as operators write them.
 	text, err := json.MarshalIndent(b, "", " ")
@@ -274,92 +169,10 @@
 	}
 	l.base = "http://" + ln.Addr().String()
 	l.platform = &http.Server{Handler: standin.PlatformHandler(l.Configuration), ReadHeaderTimeout: time.Second}
-	go func() { _ = l.platform.Serve(ln) }()
-	return nil
-}
-
-// startNodes creates all nodes before it runs them, so that each knows the
-// peer addresses of those before it.
-func (l *Lab) startNodes() error {
-	for range l.cfg.nodes {
-		if _, err := l.AddNode(); err != nil {
-			return err
-		}
-	}
+	go func() { _ = l.platform.Serve(ln) }() // ends with Close
 	return nil
 }
 
-// AddNode starts one more node, which knows the others as its peers.
-func (l *Lab) AddNode(more ...node.Option) (*Member, error) {
-	cfg := l.settings()
-	if l.cfg.change != nil {
-		l.cfg.change(cfg)
-	}
-	opts := append([]node.Option{node.WithLogger(l.cfg.log.With().Int("node", len(l.Nodes)).Logger())}, l.cfg.nodeOptions...)
-	opts = append(opts, more...)
-	n, err := node.New(cfg, opts...)
-	if err != nil {
-		return nil, err
-	}
-	ctx, stop := context.WithCancel(l.ctx)
-	m := &Member{Node: n, stop: stop, ended: make(chan struct{})}
-	l.Nodes = append(l.Nodes, m)
-	l.running.Add(1)
-	go func() {
-		defer l.running.Done()
-		m.err = n.Run(ctx)
-		close(m.ended)
-	}()
-	return m, nil
-}
-
-// Remove kills a node and forgets it, so that later nodes do not look for it.
-func (l *Lab) Remove(m *Member) {
-	m.Kill()
-	m.Stop()
-	l.Nodes = slices.DeleteFunc(l.Nodes, func(other *Member) bool { return other == m })
-}
-
-// settings returns the settings of the next node.
-func (l *Lab) settings() *settings.Settings {
-	var peers []string
-	for _, m := range l.Nodes {
-		peers = append(peers, m.PeerAddress())
-	}
-	public := l.key.Public().(ed25519.PublicKey)
-	return &settings.Settings{
-		DataCentre: l.dataCentre(len(l.Nodes)),
-		Listen:     settings.Listen{Callers: loopback, Peers: loopback, Admin: loopback},
-		Trust: &settings.Trust{
-			Deployment: l.Plan.Name(), Required: 1,
-			Approvers: []settings.Approver{{Name: approver, PublicKey: hex.EncodeToString(public)}},
-		},
-		Keys: &settings.Keys{
-			Peer:   strings.Repeat("p", 32),
-			Ticket: hex.EncodeToString(l.key.Seed()),
-		},
-		ConfigurationService: l.base,
-		InstanceList:         l.base,
-		Peers:                peers,
-		Stop:                 &settings.Stop{AnnounceMs: int(l.cfg.announce.Milliseconds())},
-	}
-}
-
-// dataCentre spreads the nodes over the data centres of the bundle.
-func (l *Lab) dataCentre(i int) string {
-	var names []string
-	seen := make(map[string]bool)
-	for _, p := range l.Plan.Bundle().Pools {
-		for _, t := range p.Targets {
-			if !seen[t.DataCentre] {
-				seen[t.DataCentre] = true
-				names = append(names, t.DataCentre)
-			}
-		}
-	}
-	return names[i%len(names)]
-}
-
 func (l *Lab) waitReady(ctx context.Context) error {
 	for _, m := range l.Nodes {
 		if err := WaitReady(ctx, m.AdminAddress()); err != nil {
@@ -376,7 +189,7 @@
 		if err != nil {
 			return false
 		}
-		_ = resp.Body.Close()
+		_ = resp.Body.Close() // nothing of it was read
 		return resp.StatusCode == http.StatusOK
 	})
 }
@@ -409,7 +222,7 @@
 	l.cancel()
 	l.mu.Lock()
 	for _, p := range l.processes {
-		_ = p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill() // fails only for a process that has ended
 		<-p.ended
 	}
 	l.mu.Unlock()
@@ -421,6 +234,6 @@
 		t.Crash()
 	}
 	if l.platform != nil {
-		_ = l.platform.Close()
+		_ = l.platform.Close() // the process drops its connections anyway
 	}
 }
--- a/internal/harness/standin/serve.go
+++ b/internal/harness/standin/serve.go
@@ -55,12 +55,12 @@
 
 // runStage does the work of a call and is false when the caller went away.
 func (t *Target) runStage(r *http.Request, id string, call *message.StageCall) bool {
-	i := t.book.begin(Run{Identity: id, Organisation: call.Organisation, Input: call.Input, Stage: call.Stage})
+	i := t.runs.begin(Run{Identity: id, Organisation: call.Organisation, Input: call.Input, Stage: call.Stage})
 	took := t.speed.Base + time.Duration(len(call.Input)/bytesPerKB)*t.speed.PerKB
 	if t.work(r.Context(), priority(r), took) != nil {
 		return false
 	}
-	t.book.end(i, 1, true)
+	t.runs.end(i, 1, true)
 	t.pool.reached(Worked)
 	return true
 }
@@ -175,14 +175,14 @@
 		return
 	}
 	id := r.Header.Get(wire.HeaderIdentity)
-	i := t.book.begin(Run{Identity: id, Input: lastMessage(&req)})
+	i := t.runs.begin(Run{Identity: id, Input: lastMessage(&req)})
 	if err := t.queue.enter(r.Context(), max(priority(r), req.Priority)); err != nil {
 		return
 	}
 	defer t.queue.leave()
 	s := engineStream{t: t, w: w, r: r, req: &req, id: id, fault: fault}
 	whole := false
-	defer func() { t.book.end(i, s.sent, whole) }() // also when the fault ends it by a panic
+	defer func() { t.runs.end(i, s.sent, whole) }() // also when the fault ends it by a panic
 	whole = s.run()
 }
 
--- a/internal/harness/standin/target.go
+++ b/internal/harness/standin/target.go
@@ -1,11 +1,16 @@
-// Package standin holds small stand-ins for the systems that honeydyke meets:
-// engines, pools, plain services, the configuration service and the list of
-// instances. Each can fail on command and keeps a record of what it ran, which
-// tests hold against what callers were told.
+// Package standin stands in for the systems around the native interface: engines
+// that speak OpenAI's chat completions, pools (encoders, retrievers, rerankers),
+// plain services, the configuration service, an empty list of instances and a
+// store of model weights. A target fails on command and keeps a record of what
+// it ran, which tests compare with what callers were answered.
+//
+// Left out: real models and their memory (an engine's text and speed are computed
+// from the prompt), GPU batching, the network, and the users' platform of the
+// gateway, whose bench brings stand-ins of its own. It relies on the wire package
+// for headers and paths; what does not follow them is refused as not run.
 package standin
 
 import (
-	"container/heap"
 	"context"
 	"crypto/tls"
 	"encoding/json"
@@ -30,7 +35,14 @@
 	PathRuns  = "/control/runs"
 )
 
-const readHeaderTimeout = 5 * time.Second
+const (
+	// readHeaderTimeout bounds how long a caller may take for its headers; not
+	// measured.
+	readHeaderTimeout = 5 * time.Second
+	// defaultSlots and defaultLateBy hold unless an option says otherwise.
+	defaultSlots  = 8
+	defaultLateBy = time.Second
+)
 
 // Speed is how long a stand-in works.
 type Speed struct {
@@ -56,9 +68,9 @@
 	slowdown atomic.Int64
 	script   Script
 	pool     *Script
-	book     runBook
+	runs     runLog
 	queue    slotQueue
-	reload   reportLog
+	loads    loadLog
 	cache    prefixCache
 
 	mu          sync.Mutex
@@ -97,7 +109,7 @@
 
 // NewTarget returns a stopped stand-in called name.
 func NewTarget(name string, opts ...TargetOption) *Target {
-	t := &Target{name: name, slots: 8, lateBy: time.Second}
+	t := &Target{name: name, slots: defaultSlots, lateBy: defaultLateBy}
 	for _, opt := range opts {
 		opt(t)
 	}
@@ -128,7 +140,7 @@
 	t.stopped = false
 	t.listener = ln
 	t.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
-	go func(s *http.Server) { _ = s.Serve(ln) }(t.server)
+	go func(s *http.Server) { _ = s.Serve(ln) }(t.server) // ends with Crash
 	return nil
 }
 
@@ -147,7 +159,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stopped = true
-	_ = t.server.Close()
+	_ = t.server.Close() // what fails to close is lost as in a crash
 }
 
 // Stopped says whether the target has crashed and was not started again.
@@ -171,7 +183,7 @@
 	return d * time.Duration(max(1, t.slowdown.Load()))
 }
 
-// Busy says whether a call is at work.
+// Busy reports whether the target works on a call.
 func (t *Target) Busy() bool {
 	running, _ := t.queue.counts()
 	return running > 0
@@ -188,7 +200,7 @@
 }
 
 // Runs returns how often each input ran, by identity of the call.
-func (t *Target) Runs() []Run { return t.book.all() }
+func (t *Target) Runs() []Run { return t.runs.all() }
 
 // Leaving says whether the target is leaving.
 func (t *Target) Leaving() bool {
@@ -219,11 +231,12 @@
 	panic(http.ErrAbortHandler)
 }
 
+// serveLoad answers with the load of reportLag ago.
 func (t *Target) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	running, waiting := t.queue.counts()
 	now := time.Now()
-	t.reload.add(now, running, waiting)
-	running, waiting = t.reload.at(now.Add(-t.reportLag))
+	t.loads.add(now, running, waiting)
+	running, waiting = t.loads.at(now.Add(-t.reportLag))
 	t.mu.Lock()
 	report := message.LoadReport{
 		Target: t.name, Incarnation: t.incarnation, Running: running, Waiting: waiting, Leaving: t.leaving,
@@ -232,6 +245,7 @@
 	writeJSON(w, report)
 }
 
+// serveFault makes the next calls meet a fault.
 func (t *Target) serveFault(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Fault Fault `json:"fault"`
@@ -259,210 +273,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(raw)
-}
-
-// Run is one call that ran.
-type Run struct {
-	// Identity is the identity of the call.
-	Identity string `json:"identity"`
-	// Organisation and Input are what the call carried; an engine is told no
-	// organisation.
-	Organisation string `json:"organisation,omitempty"`
-	Input        string `json:"input,omitempty"`
-	// Stage is empty for an engine.
-	Stage string `json:"stage,omitempty"`
-	// Whole is true when the whole answer was written.
-	Whole bool `json:"whole"`
-	// Tokens is what an engine generated.
-	Tokens int `json:"tokens,omitempty"`
-}
-
-// KeyLedger is what the targets of a pool know together of the idempotency keys
-// that ran, as one service with a store of its own does.
-type KeyLedger struct {
-	mu   sync.Mutex
-	seen map[string]bool
-}
-
-// NewKeyLedger returns an empty ledger.
-func NewKeyLedger() *KeyLedger { return &KeyLedger{seen: make(map[string]bool)} }
-
-// first says whether the key is new, and notes it. A call without a key, or at
-// targets that check none, is always new.
-func (l *KeyLedger) first(key string) bool {
-	if l == nil || key == "" {
-		return true
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.seen[key] {
-		return false
-	}
-	l.seen[key] = true
-	return true
-}
-
-// runBook records the calls that ran.
-type runBook struct {
-	mu   sync.Mutex
-	runs []Run
-}
-
-// begin records a run and returns its index.
-func (b *runBook) begin(run Run) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.runs = append(b.runs, run)
-	return len(b.runs) - 1
-}
-
-func (b *runBook) end(i int, tokens int, whole bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.runs[i].Tokens = tokens
-	b.runs[i].Whole = whole
-}
-
-func (b *runBook) all() []Run {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]Run(nil), b.runs...)
-}
-
-// slotQueue bounds the calls at work and orders those that wait by priority,
-// then by arrival.
-type slotQueue struct {
-	mu      sync.Mutex
-	free    int
-	running int
-	turn    int
-	waiting waiters
-}
-
-type waiter struct {
-	priority int
-	turn     int
-	ready    chan struct{}
-	gone     bool
-}
-
-func (q *slotQueue) enter(ctx context.Context, priority int) error {
-	q.mu.Lock()
-	if q.free > 0 {
-		q.free--
-		q.running++
-		q.mu.Unlock()
-		return nil
-	}
-	q.turn++
-	me := &waiter{priority: priority, turn: q.turn, ready: make(chan struct{})}
-	heap.Push(&q.waiting, me)
-	q.mu.Unlock()
-	select {
-	case <-me.ready:
-		return nil
-	case <-ctx.Done():
-		return q.abandon(ctx, me)
-	}
-}
-
-func (q *slotQueue) abandon(ctx context.Context, me *waiter) error {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	select {
-	case <-me.ready:
-		q.release()
-	default:
-		me.gone = true
-	}
-	return ctx.Err()
-}
-
-func (q *slotQueue) leave() {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	q.release()
-}
-
-func (q *slotQueue) release() {
-	q.free++
-	q.running--
-	for q.free > 0 && len(q.waiting) > 0 {
-		next := heap.Pop(&q.waiting).(*waiter)
-		if next.gone {
-			continue
-		}
-		q.free--
-		q.running++
-		close(next.ready)
-	}
-}
-
-func (q *slotQueue) counts() (running, waiting int) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	for _, w := range q.waiting {
-		if !w.gone {
-			waiting++
-		}
-	}
-	return q.running, waiting
-}
-
-type waiters []*waiter
-
-func (ws waiters) Len() int { return len(ws) }
-
-func (ws waiters) Less(i, j int) bool {
-	if ws[i].priority != ws[j].priority {
-		return ws[i].priority < ws[j].priority
-	}
-	return ws[i].turn < ws[j].turn
-}
-
-func (ws waiters) Swap(i, j int) { ws[i], ws[j] = ws[j], ws[i] }
-
-// Push implements heap.Interface.
-func (ws *waiters) Push(x any) { *ws = append(*ws, x.(*waiter)) }
-
-// Pop implements heap.Interface.
-func (ws *waiters) Pop() any {
-	old := *ws
-	w := old[len(old)-1]
-	*ws = old[:len(old)-1]
-	return w
-}
-
-// reportLog remembers the load so that reports can lag.
-type reportLog struct {
-	mu     sync.Mutex
-	points []loadPoint
-}
-
-type loadPoint struct {
-	at      time.Time
-	running int
-	waiting int
-}
-
-func (l *reportLog) add(at time.Time, running, waiting int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.points = append(l.points, loadPoint{at, running, waiting})
-	if len(l.points) > 1024 {
-		l.points = l.points[512:]
-	}
-}
-
-// at returns the newest load that is not newer than t.
-func (l *reportLog) at(t time.Time) (running, waiting int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i := len(l.points) - 1; i >= 0; i-- {
-		if !l.points[i].at.After(t) {
-			return l.points[i].running, l.points[i].waiting
-		}
-	}
-	return 0, 0
+	_, _ = w.Write(raw) // fails only when the caller has gone
 }
