--- a/internal/tools/defects/main.go
+++ b/internal/tools/defects/main.go
@@ -14,6 +14,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 
@@ -23,7 +24,7 @@
 
 const (
 	listFile = "internal/tools/defects/defects.hujson"
-	// parallel is how many defects are tried at a time.
+	// parallel is how many defects are tried at a time; not measured.
 	parallel = 4
 )
 
@@ -48,56 +49,57 @@
 	}
 }
 
+// run tries the defects whose name contains only, and prints a line for each.
 func run(only string) error {
 	list, err := read()
 	if err != nil {
 		return err
 	}
+	list = slices.DeleteFunc(list, func(d defect) bool { return !strings.Contains(d.Name, only) })
 	tmp, err := os.MkdirTemp("", "defects")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(tmp) }()
-	lines := make([]string, len(list))
+	defer func() { _ = os.RemoveAll(tmp) }() // what stays is in the system's temporary folder
 	missed := 0
-	var mu sync.Mutex
-	var running sync.WaitGroup
-	free := make(chan struct{}, parallel)
-	for i, d := range list {
-		if !strings.Contains(d.Name, only) {
-			continue
-		}
-		running.Add(1)
-		free <- struct{}{}
-		go func() {
-			defer running.Done()
-			defer func() { <-free }()
-			caught, how := try(filepath.Join(tmp, fmt.Sprint(i)), d)
-			mu.Lock()
-			defer mu.Unlock()
-			mark := "caught"
-			if !caught {
-				mark = "MISSED"
-				missed++
-			}
-			lines[i] = fmt.Sprintf("%s  %-62s %s", mark, d.Name, how)
-		}()
-	}
-	running.Wait()
-	tried := 0
-	for _, line := range lines {
-		if line != "" {
-			tried++
-			fmt.Println(line)
+	for i, o := range tryAll(tmp, list) {
+		mark := "caught"
+		if !o.caught {
+			mark = "MISSED"
+			missed++
 		}
+		fmt.Printf("%s  %-62s %s\n", mark, list[i].Name, o.how)
 	}
-	fmt.Printf("%d of %d seeded defects caught\n", tried-missed, tried)
+	fmt.Printf("%d of %d seeded defects caught\n", len(list)-missed, len(list))
 	if missed > 0 {
 		return errors.Errorf("%d defects were missed", missed)
 	}
 	return nil
 }
 
+// outcome says whether a test noticed a defect, and which or why not.
+type outcome struct {
+	caught bool
+	how    string
+}
+
+// tryAll tries the defects, parallel at a time.
+func tryAll(tmp string, list []defect) []outcome {
+	outcomes := make([]outcome, len(list))
+	free := make(chan struct{}, parallel)
+	var running sync.WaitGroup
+	for i, d := range list {
+		free <- struct{}{}
+		running.Go(func() {
+			outcomes[i] = try(filepath.Join(tmp, fmt.Sprint(i)), d)
+			<-free
+		})
+	}
+	running.Wait()
+	return outcomes
+}
+
+// read returns the list of defects.
 func read() ([]defect, error) {
 	raw, err := os.ReadFile(listFile)
 	if err != nil {
@@ -107,27 +109,32 @@
 		return nil, err
 	}
 	var list []defect
-	return list, json.Unmarshal(raw, &list)
+	if err := json.Unmarshal(raw, &list); err != nil {
+		return nil, err
+	}
+	return list, nil
 }
 
 // try seeds the defect and says whether a test failed. A defect that does not
 // compile, or whose text is not there, counts as missed.
-func try(dir string, d defect) (caught bool, how string) {
+func try(dir string, d defect) outcome {
 	overlay, err := seed(dir, d)
 	if err != nil {
-		return false, err.Error()
+		return outcome{how: err.Error()}
 	}
 	args := append([]string{"test", "-overlay", overlay, "-count=1", "-timeout=120s"}, strings.Fields(d.Test)...)
 	out, err := exec.Command("go", args...).CombinedOutput()
 	if err == nil {
-		return false, "the tests passed: " + d.Test
+		return outcome{how: "the tests passed: " + d.Test}
 	}
 	if bytes.Contains(out, []byte("[build failed]")) || bytes.Contains(out, []byte("[setup failed]")) {
-		return false, "it does not compile"
+		return outcome{how: "it does not compile"}
 	}
-	return true, "by " + firstFailure(out)
+	return outcome{caught: true, how: "by " + firstFailure(out)}
 }
 
+// seed writes the broken file and the overlay that puts it in the place of the
+// other, and returns the overlay's name.
 func seed(dir string, d defect) (string, error) {
 	source, err := os.ReadFile(d.File)
 	if err != nil {
@@ -155,6 +162,7 @@
 	return overlay, os.WriteFile(overlay, raw, 0o600)
 }
 
+// firstFailure names the first test that failed.
 func firstFailure(out []byte) string {
 	for line := range strings.Lines(string(out)) {
 		if rest, ok := strings.CutPrefix(strings.TrimSpace(line), "--- FAIL: "); ok {
