--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -12,6 +12,6 @@
 
 func init() {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic(err)
+		panic(err) // rapid no longer has the flag
 	}
 }
--- a/internal/harness/demo/demo.go
+++ b/internal/harness/demo/demo.go
@@ -1,5 +1,8 @@
-// Package demo shows what honeydyke promises on two whole deployments in one
-// process, and checks each promise against what the stand-ins saw.
+// Package demo stands in for the two first users of the native interface: it starts
+// both of their deployments in one process, sends their requests, causes faults
+// and compares each answer with what the stand-ins saw. Left out: everything that
+// package lab leaves out, and the gateway. A promise that does not hold is part of
+// the report; only a deployment that does not start is an error.
 package demo
 
 import (
@@ -20,11 +23,17 @@
 )
 
 const (
+	// nodesKowhai and nodesFloraria are the nodes of each user; the steps use three.
 	nodesKowhai   = 3
 	nodesFloraria = 3
-	// stall is short here so that a silent engine shows within the demonstration.
+	// stall is how long a node waits for a silent engine; short, so that it shows
+	// within the demonstration.
 	stall = 400 * time.Millisecond
-	// mixRate and mixTime give each user's mix of requests.
+	// engineBase is the time before an engine's first token, engineToken that between
+	// tokens; not measured.
+	engineBase  = 5 * time.Millisecond
+	engineToken = time.Millisecond
+	// mixRate in requests a second, mixTime and seed give each user's mix of requests.
 	mixRate = 60
 	mixTime = 2 * time.Second
 	seed    = 1
@@ -107,7 +116,7 @@
 	s.progress("starting stand-ins and %d nodes", nodesKowhai+nodesFloraria)
 	common := []lab.Option{
 		lab.WithLogger(s.opts.Log), lab.WithNodeOptions(node.WithStall(stall)),
-		lab.WithSpeed(bundle.KindEngine, standin.Speed{Base: 5 * time.Millisecond, PerToken: time.Millisecond}),
+		lab.WithSpeed(bundle.KindEngine, standin.Speed{Base: engineBase, PerToken: engineToken}),
 	}
 	if s.kowhai, err = lab.Start(ctx, examples.Kowhai(), append(common, lab.WithNodes(nodesKowhai))...); err != nil {
 		return err
@@ -125,6 +134,7 @@
 
 func (s *show) progress(format string, args ...any) {
 	if s.opts.Progress != nil {
+		// A line of progress that cannot be printed does not end the demonstration.
 		_, _ = fmt.Fprintf(s.opts.Progress, format+"\n", args...)
 	}
 }
--- a/internal/harness/demo/steps.go
+++ b/internal/harness/demo/steps.go
@@ -18,14 +18,25 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// inForceLimit bounds the wait for a bundle to be in force everywhere; the
-// examples' second wave waits 2 s.
-const inForceLimit = 9 * time.Second
-
-// leavingLimit bounds the wait until every node knows that a target leaves. Three
-// nodes look at an idle target every three seconds together; a busy one's refusal
-// makes them look at once.
-const leavingLimit = 6 * time.Second
+const (
+	// inForceLimit bounds the wait for a bundle to be in force everywhere, as
+	// docs/CAPACITY.md asks; the examples' second wave waits 2 s of it.
+	inForceLimit = 9 * time.Second
+	// leavingLimit bounds the wait until every node knows that a target leaves. Three
+	// nodes look at an idle target every three seconds together; a busy one's refusal
+	// makes them look at once.
+	leavingLimit = 6 * time.Second
+	// killAfter is the piece of a stream after which its engine is killed.
+	killAfter = 20
+	// ticketUses is how often one ticket is used at once.
+	ticketUses = 12
+	// drainReplies is how many streams are open when a node is stopped.
+	drainReplies = 8
+	// tooShort is a deadline that no pipeline can meet.
+	tooShort = 5 * time.Millisecond
+	// newCostWeight is what the published bundle changes.
+	newCostWeight = 0.5
+)
 
 var kowhaiMix = []load.Share{
 	{Pipeline: "summarise-claim", Organisation: "assessors", Weight: 3, InputBytes: 2000},
@@ -111,7 +122,7 @@
 	answer, err := caller(s.kowhai.Nodes[1], hirer).Run(ctx,
 		client.Request{Pipeline: "chat-reply", Input: input, Stream: true}, func(string) {
 			pieces++
-			if pieces == 20 {
+			if pieces == killAfter {
 				killed = s.crashBusyEngine()
 			}
 		})
@@ -122,7 +133,7 @@
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s was killed after %d pieces; %s", killed, 20, account), s.restart(killed)
+	return fmt.Sprintf("%s was killed after %d pieces; %s", killed, killAfter, account), s.restart(killed)
 }
 
 // endOfStream judges how a damaged stream ended, and sends the request again
@@ -191,8 +202,7 @@
 	}
 	var whole atomic.Int64
 	done := make(chan struct{})
-	const uses = 12
-	for i := range uses {
+	for i := range ticketUses {
 		go func() {
 			c := caller(s.kowhai.Nodes[i%nodesKowhai], "depots")
 			if _, err := c.Run(ctx, client.Request{Pipeline: "release-locker", Input: input, Ticket: ticket.Ticket}, nil); err == nil {
@@ -201,30 +211,28 @@
 			done <- struct{}{}
 		}()
 	}
-	for range uses {
+	for range ticketUses {
 		<-done
 	}
 	if n := s.runsOf("fleet-yard", input); n != 1 {
 		return "", errors.Errorf("the locker opened %d times", n)
 	}
-	return fmt.Sprintf("one ticket used %d times at %d nodes; it opened once, %d callers got the answer", uses, nodesKowhai, whole.Load()), nil
+	return fmt.Sprintf("one ticket used %d times at %d nodes; it opened once, %d callers got the answer", ticketUses, nodesKowhai, whole.Load()), nil
 }
 
 // runsOf counts the runs of an input at a pool.
 func (s *show) runsOf(pool, input string) int {
 	n := 0
-	for _, t := range s.kowhai.Pool(pool) {
-		for _, r := range t.Runs() {
-			if r.Input == input {
-				n++
-			}
+	for _, r := range s.kowhai.Runs(pool) {
+		if r.Input == input {
+			n++
 		}
 	}
 	return n
 }
 
-// entryDies kills the home of a ticket after its run, and a new node cannot be
-// talked into a second one.
+// entryDies kills the home of a ticket after its run; another node must not run it
+// a second time.
 func (s *show) entryDies(ctx context.Context) (string, error) {
 	input := "locker 31 of depot Picton"
 	home, err := s.kowhai.AddNode()
@@ -257,7 +265,7 @@
 // publish puts a new bundle into the configuration service.
 func (s *show) publish(ctx context.Context) (string, error) {
 	start := time.Now()
-	if err := s.kowhai.Publish(func(b *bundle.Bundle) { b.Objective.CostWeight = 0.5 }); err != nil {
+	if err := s.kowhai.Publish(func(b *bundle.Bundle) { b.Objective.CostWeight = newCostWeight }); err != nil {
 		return "", err
 	}
 	ctx, cancel := context.WithTimeout(ctx, inForceLimit)
@@ -271,7 +279,7 @@
 	return fmt.Sprintf("number %d in force on all nodes after %.1f s, its second wave waits 2 s", number, time.Since(start).Seconds()), nil
 }
 
-// leave makes an encoder leave; after the news it must get no new work.
+// leave makes an encoder leave; once every node knows, it must get no new work.
 func (s *show) leave(ctx context.Context) (string, error) {
 	target := s.floraria.Pool("encoders")[0]
 	target.Leave()
@@ -305,10 +313,9 @@
 // drain stops a node in the middle of long replies.
 func (s *show) drain(ctx context.Context) (string, error) {
 	m := s.kowhai.Nodes[2]
-	const replies = 8
-	begun := make(chan struct{}, replies)
-	ends := make(chan error, replies)
-	for i := range replies {
+	begun := make(chan struct{}, drainReplies)
+	ends := make(chan error, drainReplies)
+	for i := range drainReplies {
 		go func() {
 			input := fmt.Sprintf("%s (%d)", question, i)
 			first := true
@@ -324,7 +331,7 @@
 			ends <- err
 		}()
 	}
-	for range replies {
+	for range drainReplies {
 		select {
 		case <-begun:
 		case err := <-ends:
@@ -336,19 +343,19 @@
 	if verdict.From(err).Verdict() != verdict.NotRun {
 		return "", errors.Errorf("new work at a leaving node got: %v", err)
 	}
-	for range replies {
+	for range drainReplies {
 		if err := <-ends; err != nil {
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%d replies in flight came whole; new work was refused as not run", replies), m.Wait()
+	return fmt.Sprintf("%d replies in flight came whole; new work was refused as not run", drainReplies), m.Wait()
 }
 
 // refuse asks for an answer sooner than the pipeline can give it.
 func (s *show) refuse(ctx context.Context) (string, error) {
 	input := "a claim that nobody should see"
 	_, err := caller(s.kowhai.Nodes[0], "assessors").Run(ctx,
-		client.Request{Pipeline: "summarise-claim", Input: input, Deadline: 5 * time.Millisecond}, nil)
+		client.Request{Pipeline: "summarise-claim", Input: input, Deadline: tooShort}, nil)
 	e := verdict.From(err)
 	if e == nil || e.Verdict() != verdict.NotRun {
 		return "", errors.Errorf("the request got: %v", err)
--- a/internal/harness/experiment/policy.go
+++ b/internal/harness/experiment/policy.go
@@ -124,11 +124,9 @@
 		}
 	}
 	for _, p := range l.Plan.Bundle().Pools {
-		for _, t := range l.Pool(p.Name) {
-			for _, r := range t.Runs() {
-				price := prices[service{p.Name, r.Stage}]
-				spent += price.PerCall + price.PerToken*float64(r.Tokens)
-			}
+		for _, r := range l.Runs(p.Name) {
+			price := prices[service{p.Name, r.Stage}]
+			spent += price.PerCall + price.PerToken*float64(r.Tokens)
 		}
 	}
 	return spent, once
--- a/internal/harness/lab/lab.go
+++ b/internal/harness/lab/lab.go
@@ -217,6 +217,15 @@
 	return list
 }
 
+// Runs returns what the stand-ins of a pool ran, target by target.
+func (l *Lab) Runs(pool string) []standin.Run {
+	var runs []standin.Run
+	for _, t := range l.Pool(pool) {
+		runs = append(runs, t.Runs()...)
+	}
+	return runs
+}
+
 // Close ends everything.
 func (l *Lab) Close() {
 	l.cancel()
--- a/internal/harness/lab/process.go
+++ b/internal/harness/lab/process.go
@@ -38,9 +38,9 @@
 	Admin   string `json:"admin"`
 }
 
-// StartProcess starts a node of the lab's deployment as a process; its number
-// decides its data centre. The command
-// must run honeydyke with the arguments that are added to it.
+// StartProcess starts a node of the lab's deployment as a process; its number decides
+// its data centre. The command must run honeydyke with the arguments that are added
+// to it.
 func (l *Lab) StartProcess(ctx context.Context, number int, peers, command []string, env ...string) (*Process, error) {
 	cfg := l.settings()
 	cfg.Peers = peers
@@ -72,7 +72,7 @@
 	case <-p.ended:
 		return nil, errors.Errorf("the node ended at once: %s", p.Log())
 	case <-ctx.Done():
-		_ = p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill() // fails only for a process that has ended
 		return nil, ctx.Err()
 	}
 }
--- a/internal/harness/load/load.go
+++ b/internal/harness/load/load.go
@@ -1,5 +1,8 @@
-// Package load sends requests to nodes as independent callers do: arrivals are
-// open-loop, so a slow node is not spared, and every answer is accounted for.
+// Package load stands in for the callers of nodes: it sends requests at times drawn
+// beforehand (an open loop, so that a slow node is not spared) and accounts for
+// every answer. Left out: what callers do next, such as retries and follow-up
+// requests. It relies on pkg/client; a call that fails is counted by its verdict,
+// and only a plan that cannot be run is an error.
 package load
 
 import (
@@ -19,12 +22,15 @@
 )
 
 const (
-	// maxRequests bounds one run.
+	// maxRequests and maxDuration bound one run; not measured.
 	maxRequests = 1_000_000
-	// maxDuration bounds one run.
 	maxDuration = 10 * time.Minute
-	// idlePerNode is enough for the calls that a run has open at once.
+	// idlePerNode is how many idle connections to a node are kept for the next
+	// calls; not measured.
 	idlePerNode = 1024
+	// leastBurstRest is the least factor of the rate outside bursts, so that a burst
+	// that takes the whole mean does not stop the arrivals for good.
+	leastBurstRest = 0.01
 )
 
 // Share is one part of a mix of requests.
@@ -80,15 +86,7 @@
 	if t%b.Every < b.Length {
 		return b.Factor
 	}
-	return max(rest, 0.01)
-}
-
-// arrival is one request of a run.
-type arrival struct {
-	number int
-	at     time.Duration
-	share  Share
-	node   string
+	return max(rest, leastBurstRest)
 }
 
 // Run sends the requests of a plan and waits for all answers.
@@ -100,14 +98,14 @@
 	clients := p.clients()
 	var running sync.WaitGroup
 	start := time.Now()
-	for _, a := range p.arrivals() {
-		if wait.For(ctx, time.Until(start.Add(a.at))) != nil {
+	for _, a := range p.Arrivals() {
+		if wait.For(ctx, time.Until(start.Add(a.At))) != nil {
 			break
 		}
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			p.send(ctx, clients[a.node], a, rec)
+			p.send(ctx, clients[a.Node], a, rec)
 		}()
 	}
 	running.Wait()
@@ -128,6 +126,7 @@
 	return nil
 }
 
+// clients returns a client for each node; all share one pool of connections.
 func (p Plan) clients() map[string]*client.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: idlePerNode, MaxIdleConns: 0}
 	h := &http.Client{Transport: transport}
@@ -140,28 +139,24 @@
 
 // Arrival is one request of a plan.
 type Arrival struct {
+	// Number counts from 0.
+	Number int
+	// At is the time since the start of the run.
 	At    time.Duration
 	Share Share
+	// Node is the URL that the request is sent to.
+	Node string
 }
 
-// Arrivals lists all requests of the plan, in order.
+// Arrivals draws all requests of the plan beforehand, in order, so that a seed gives
+// the same ones whatever the nodes do.
 func (p Plan) Arrivals() []Arrival {
-	var list []Arrival
-	for _, a := range p.arrivals() {
-		list = append(list, Arrival{At: a.at, Share: a.share})
-	}
-	return list
-}
-
-// arrivals draws all requests beforehand, so that a seed gives the same ones
-// whatever the nodes do.
-func (p Plan) arrivals() []arrival {
 	rng := rand.New(rand.NewPCG(p.Seed, p.Seed))
 	total := 0.0
 	for _, s := range p.Mix {
 		total += s.Weight
 	}
-	var list []arrival
+	var list []Arrival
 	at := 0.0
 	for {
 		at += rng.ExpFloat64() / (p.Rate * p.Burst.at(time.Duration(at*float64(time.Second))))
@@ -169,12 +164,13 @@
 		if due >= p.Duration {
 			return list
 		}
-		list = append(list, arrival{
-			number: len(list), at: due, share: pick(p.Mix, rng.Float64()*total), node: p.Nodes[rng.IntN(len(p.Nodes))],
+		list = append(list, Arrival{
+			Number: len(list), At: due, Share: pick(p.Mix, rng.Float64()*total), Node: p.Nodes[rng.IntN(len(p.Nodes))],
 		})
 	}
 }
 
+// pick returns the share that x falls into, in units of weight.
 func pick(mix []Share, x float64) Share {
 	for _, s := range mix {
 		if x < s.Weight {
@@ -185,15 +181,16 @@
 	return mix[len(mix)-1]
 }
 
-func (p Plan) send(ctx context.Context, c *client.Client, a arrival, rec *recorder) {
-	input := Input(a.number, a.share.InputBytes)
-	c = c.WithKey(p.Key(a.share.Organisation))
-	req := client.Request{Pipeline: a.share.Pipeline, Input: input, Stream: a.share.Stream, Deadline: a.share.Deadline}
+// send sends one request and records what became of it.
+func (p Plan) send(ctx context.Context, c *client.Client, a Arrival, rec *recorder) {
+	input := Input(a.Number, a.Share.InputBytes)
+	c = c.WithKey(p.Key(a.Share.Organisation))
+	req := client.Request{Pipeline: a.Share.Pipeline, Input: input, Stream: a.Share.Stream, Deadline: a.Share.Deadline}
 	start := time.Now()
-	if a.share.Once {
-		ticket, err := c.TakeTicket(ctx, a.share.Pipeline)
+	if a.Share.Once {
+		ticket, err := c.TakeTicket(ctx, a.Share.Pipeline)
 		if err != nil {
-			rec.failed(a.share.Pipeline, input, verdict.From(err))
+			rec.failed(a.Share.Pipeline, input, verdict.From(err))
 			return
 		}
 		req.Ticket = ticket.Ticket
@@ -207,11 +204,11 @@
 	took := time.Since(start)
 	switch {
 	case err != nil:
-		rec.failed(a.share.Pipeline, input, verdict.From(err))
-	case p.Check != nil && !p.Check(a.share, input, answer.Output):
-		rec.wrong(a.share.Pipeline)
+		rec.failed(a.Share.Pipeline, input, verdict.From(err))
+	case p.Check != nil && !p.Check(a.Share, input, answer.Output):
+		rec.wrong(a.Share.Pipeline)
 	default:
-		rec.whole(a.share.Pipeline, answer, first, took)
+		rec.whole(a.Share.Pipeline, answer, first, took)
 	}
 }
 
--- a/internal/harness/load/report.go
+++ b/internal/harness/load/report.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// maxMicros is the longest time that the histograms tell apart.
-	maxMicros = 10 * 60 * 1_000_000
-	digits    = 3
+	// maxMicros is the longest time that the histograms hold, in microseconds.
+	maxMicros = int64(maxDuration / time.Microsecond)
+	// digits is how many significant digits of a time the histograms keep.
+	digits = 3
 )
 
 // Latency sums up times, in milliseconds.
@@ -63,7 +64,7 @@
 	Wrong      int                        `json:"wrong"`
 	Attainment float64                    `json:"attainment"`
 	Pipelines  map[string]*PipelineReport `json:"pipelines"`
-	// NotRun lists the inputs whose callers were told that they did not run.
+	// NotRun lists the inputs whose callers got the verdict that they did not run.
 	NotRun []string `json:"-"`
 }
 
@@ -97,6 +98,7 @@
 	defer r.mu.Unlock()
 	p := r.of(pipeline)
 	p.Whole++
+	// A time beyond maxMicros is counted as whole and left out of the times.
 	_ = p.answers.RecordValue(took.Microseconds())
 	_ = p.firsts.RecordValue(first.Microseconds())
 	for _, s := range answer.Stages {
--- a/internal/harness/matrix/matrix.go
+++ b/internal/harness/matrix/matrix.go
@@ -1,6 +1,9 @@
-// Package matrix brings about every fault at every step of a request's life,
-// alone and in pairs, on real nodes and stand-ins, and holds what callers were
-// told against what the stand-ins saw.
+// Package matrix stands in for the accidents of a native deployment: it causes every
+// fault at every step of a request, alone and in pairs, on real nodes and
+// stand-ins, and compares what callers were answered with what the stand-ins saw.
+// Left out: faults of the network between machines, of clocks that run apart and of
+// disks. It relies on the package lab; a cell that cannot be run is an error, a
+// promise that does not hold is part of the report.
 package matrix
 
 import (
@@ -34,19 +37,31 @@
 	ServiceDown standin.Fault = "service-down"
 )
 
-// nodeFaults lists them.
+// nodeFaults lists the faults of nodes and of the platform.
 var nodeFaults = []standin.Fault{KillEntry, DrainEntry, PauseEntry, Publish, Leave, ServiceDown}
 
 const (
-	// stall and lateBy are short, so that the matrix is quick.
+	// stall is how long a node waits for a silent target, and lateBy the delay of a
+	// late answer; both are short, so that the matrix is quick.
 	stall  = 150 * time.Millisecond
 	lateBy = 20 * time.Millisecond
+	// perToken is the time between an engine's tokens, short for the same reason.
+	perToken = 50 * time.Microsecond
 	// everyAttempt is more calls than any request makes.
 	everyAttempt = 8
 	// pauseLength is longer than every deadline of the matrix.
 	pauseLength = time.Hour
-	deadlineMs  = 900
-	cellLimit   = 20 * time.Second
+	// deadlineMs is the deadline of every pipeline, in milliseconds; short, since
+	// calls to silent targets may wait for it. Not measured.
+	deadlineMs = 900
+	// cellLimit bounds one cell; not measured.
+	cellLimit = 20 * time.Second
+	// Limits of an organisation that the cells, one at a time, never reach.
+	manyCalls    = 1000
+	manyRequests = 10_000     // a second
+	manyTokens   = 10_000_000 // a second
+	// costStep is a change of a bundle that decides nothing.
+	costStep = 0.001
 )
 
 // Placement is one fault at one point.
@@ -93,7 +108,7 @@
 type Cell struct {
 	Form   string      `json:"form"`
 	Faults []Placement `json:"faults"`
-	// End is what the caller was told first: whole, ran, not-run, may-have-run.
+	// End is the first end that the caller got: whole, ran, not-run, may-have-run.
 	End string `json:"end"`
 	// Broken lists the promises that did not hold.
 	Broken []string `json:"broken,omitempty"`
@@ -107,7 +122,7 @@
 	// Pairs is the number of cells with two faults, drawn at random.
 	Pairs int
 	Seed  uint64
-	// Progress hears of each cell; nil for none.
+	// Progress is called after each cell; nil for none.
 	Progress func(c Cell, took time.Duration)
 }
 
@@ -186,7 +201,7 @@
 func newRunner(ctx context.Context) (*runner, error) {
 	l, err := lab.Start(ctx, examples.Kowhai(), lab.WithNodes(1), lab.WithLateBy(lateBy),
 		lab.WithNodeOptions(node.WithStall(stall)),
-		lab.WithSpeed(bundle.KindEngine, standin.Speed{PerToken: 50 * time.Microsecond}))
+		lab.WithSpeed(bundle.KindEngine, standin.Speed{PerToken: perToken}))
 	if err != nil {
 		return nil, err
 	}
@@ -204,6 +219,6 @@
 		b.Pipelines[i].DeadlineMs = deadlineMs
 	}
 	for i := range b.Organisations {
-		b.Organisations[i].Limits = bundle.Limits{Concurrency: 1000, RequestsPerSecond: 10_000, TokensPerSecond: 10_000_000}
+		b.Organisations[i].Limits = bundle.Limits{Concurrency: manyCalls, RequestsPerSecond: manyRequests, TokensPerSecond: manyTokens}
 	}
 }
--- a/internal/harness/matrix/run.go
+++ b/internal/harness/matrix/run.go
@@ -35,6 +35,7 @@
 	number int
 }
 
+// run runs one cell and repairs the deployment after it.
 func (r *runner) run(ctx context.Context, cell *Cell) error {
 	ctx, cancel := context.WithTimeout(ctx, cellLimit)
 	defer cancel()
@@ -68,6 +69,7 @@
 	return false
 }
 
+// addEntry starts the node that the cell may harm.
 func (t *trial) addEntry(ctx context.Context) error {
 	m, err := t.lab.AddNode(node.WithClock(t.clock.now))
 	if err != nil {
@@ -100,7 +102,9 @@
 	case PauseEntry:
 		t.clock.skip(pauseLength)
 	case Publish:
-		_ = t.lab.Publish(func(b *bundle.Bundle) { b.Objective.CostWeight += 0.001 })
+		// A bundle that is not published leaves the cell without its fault; the checks
+		// stay the same.
+		_ = t.lab.Publish(func(b *bundle.Bundle) { b.Objective.CostWeight += costStep })
 	case Leave:
 		for _, target := range t.lab.Pool(pool)[1:] {
 			target.Leave()
@@ -214,13 +218,12 @@
 	return n
 }
 
+// runsAt counts the runs of an input at a stage; an engine's runs name no stage.
 func (r *runner) runsAt(pool, stage, input string) int {
 	n := 0
-	for _, target := range r.lab.Pool(pool) {
-		for _, run := range target.Runs() {
-			if run.Input == input && (run.Stage == stage || run.Stage == "") {
-				n++
-			}
+	for _, run := range r.lab.Runs(pool) {
+		if run.Input == input && (run.Stage == stage || run.Stage == "") {
+			n++
 		}
 	}
 	return n
@@ -276,7 +279,8 @@
 	return true
 }
 
-// sweep looks once more, at the end, at requests that were called not run.
+// sweep checks at the end that no request ran after its end, nor a stage that may
+// not be repeated a second time.
 func (r *runner) sweep(cells []Cell) {
 	for i := range cells {
 		t := &trial{runner: r, cell: &cells[i]}
--- a/internal/harness/plot/plot.go
+++ b/internal/harness/plot/plot.go
@@ -1,4 +1,5 @@
-// Package plot draws small charts as SVG.
+// Package plot draws lines over two axes as SVG, for the reports of loads and
+// experiments. It relies on gonum's plot, whose errors it returns.
 package plot
 
 import (
@@ -10,6 +11,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
+// Size of a chart, as docs/plots has them.
 const (
 	width  = 18 * vg.Centimeter
 	height = 11 * vg.Centimeter
@@ -58,6 +60,7 @@
 	return err
 }
 
+// add draws one line with the colours of its place.
 func (c Chart) add(p *plot.Plot, i int, line Line) error {
 	points := make(plotter.XYs, 0, len(line.Points))
 	for _, pt := range line.Points {
--- a/internal/harness/standin/content.go
+++ b/internal/harness/standin/content.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 
@@ -12,21 +13,19 @@
 )
 
 // StageOutput is what a pool or plain service answers: a text that only this
-// call can have, so that a crossed answer shows.
+// call can have, so that a crossed answer shows. Writing to a hash never fails.
 func StageOutput(call message.StageCall) string {
 	h := xxhash.New()
 	_, _ = h.WriteString(call.Stage + "\x00" + call.Organisation + "\x00" + call.Input)
-	names := make([]string, 0, len(call.Needs))
-	for name := range call.Needs {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
+	for _, name := range slices.Sorted(maps.Keys(call.Needs)) {
 		_, _ = h.WriteString("\x00" + name + "\x00" + call.Needs[name])
 	}
 	return fmt.Sprintf("%s:%016x", call.Stage, h.Sum64())
 }
 
+// seedShifts is how many shifts of a 64-bit seed leave 16 bits of it.
+const seedShifts = 64 - 16
+
 // EngineTokens is what an engine generates for messages: between half and all
 // of the ceiling, every token bound to the messages.
 func EngineTokens(messages []openai.Message, ceiling int) []string {
@@ -34,7 +33,7 @@
 	n := max(1, ceiling/2+int(seed%uint64(ceiling/2+1)))
 	tokens := make([]string, n)
 	for i := range tokens {
-		tokens[i] = fmt.Sprintf("%04x ", uint16(seed>>(i%48))^uint16(i))
+		tokens[i] = fmt.Sprintf("%04x ", uint16(seed>>(i%seedShifts))^uint16(i))
 	}
 	return tokens
 }
@@ -44,6 +43,7 @@
 	return strings.Join(EngineTokens(messages, ceiling), "")
 }
 
+// hashMessages returns the seed of an answer; writing to a hash never fails.
 func hashMessages(messages []openai.Message) uint64 {
 	h := xxhash.New()
 	for _, m := range messages {
--- a/internal/harness/standin/platform.go
+++ b/internal/harness/standin/platform.go
@@ -12,7 +12,13 @@
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
-const maxWatch = 30 * time.Second
+const (
+	// maxWatch is how long a watch of the configuration service waits for a change;
+	// not measured.
+	maxWatch = 30 * time.Second
+	// tagBytes is how much of the value's digest is its entity tag.
+	tagBytes = 8
+)
 
 // Configuration is a stand-in for the read-only configuration service. It holds
 // one value, the signed bundle.
@@ -60,14 +66,15 @@
 	}
 	w.Header().Set("ETag", tag)
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(value)
+	_, _ = w.Write(value) // fails only when the caller has gone
 }
 
+// get returns the value, its tag and a channel that the next Put closes.
 func (c *Configuration) get() (value []byte, tag string, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := sha256.Sum256(c.value)
-	return c.value, `"` + hex.EncodeToString(sum[:8]) + `"`, c.changed
+	return c.value, `"` + hex.EncodeToString(sum[:tagBytes]) + `"`, c.changed
 }
 
 // PlatformHandler serves the configuration service, and a list of instances that
--- a/internal/harness/standin/serve.go
+++ b/internal/harness/standin/serve.go
@@ -20,14 +20,16 @@
 )
 
 const (
+	// defaultCeiling is the most tokens of an answer whose request names no ceiling;
+	// not measured.
 	defaultCeiling = 64
 	bytesPerKB     = 1024
 	// foreignIdentity is the identity that crossed answers carry.
 	foreignIdentity = "somebody-else"
-	// cacheEntries bounds an engine's prefix cache.
+	// cacheEntries bounds an engine's prefix cache, in prompts; not measured.
 	cacheEntries = 64
 	// cacheShare is the share of the time before the first token that a cached
-	// prefix costs.
+	// prefix costs; not measured.
 	cacheShare = 0.1
 )
 
@@ -37,12 +39,8 @@
 	if t.beforeRun(w, r, fault) {
 		return
 	}
-	raw, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxRequestBytes))
-	if err != nil {
-		reset(w)
-	}
 	var call message.StageCall
-	if err := json.Unmarshal(raw, &call); err != nil {
+	if !readBody(w, r, &call) {
 		refuse(w, r)
 		return
 	}
@@ -53,6 +51,16 @@
 	t.answer(w, r, fault, message.StageAnswer{Request: id, Output: StageOutput(call), Tokens: 1})
 }
 
+// readBody decodes the body of a call and is false when it is not JSON. It resets
+// the connection when the body does not arrive.
+func readBody(w http.ResponseWriter, r *http.Request, into any) bool {
+	raw, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxRequestBytes))
+	if err != nil {
+		reset(w)
+	}
+	return json.Unmarshal(raw, into) == nil
+}
+
 // runStage does the work of a call and is false when the caller went away.
 func (t *Target) runStage(r *http.Request, id string, call *message.StageCall) bool {
 	i := t.runs.begin(Run{Identity: id, Organisation: call.Organisation, Input: call.Input, Stage: call.Stage})
@@ -98,14 +106,15 @@
 	return false
 }
 
-// answer writes the answer with the fault's damage.
+// answer writes the answer with the fault's damage. What cannot be written is lost
+// with the caller's connection, as by any server, so errors of writing are dropped.
 func (t *Target) answer(w http.ResponseWriter, r *http.Request, fault Fault, a message.StageAnswer) {
 	id := a.Request
 	switch fault {
 	case ResetAfter:
 		reset(w)
 	case Late:
-		_ = wait.For(r.Context(), t.lateBy)
+		_ = wait.For(r.Context(), t.lateBy) // the answer is written also to a caller who has gone
 	case WrongIdentity:
 		id = foreignIdentity
 		a.Request = foreignIdentity
@@ -134,7 +143,7 @@
 	}
 }
 
-// writeRaw takes the connection over: Cut sends half an answer without a length
+// writeRaw takes over the connection: Cut sends half an answer without a length
 // and closes cleanly, Twice sends the answer two times.
 func writeRaw(w http.ResponseWriter, fault Fault, id string, raw []byte) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
@@ -154,6 +163,7 @@
 	_ = buf.Flush()
 }
 
+// priority returns the priority of a call; one without a number has 0.
 func priority(r *http.Request) int {
 	n, _ := strconv.Atoi(r.Header.Get(wire.HeaderPriority))
 	return n
@@ -165,12 +175,8 @@
 	if t.beforeRun(w, r, fault) {
 		return
 	}
-	raw, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxRequestBytes))
-	if err != nil {
-		reset(w)
-	}
 	var req openai.ChatRequest
-	if err := json.Unmarshal(raw, &req); err != nil || !req.Stream {
+	if !readBody(w, r, &req) || !req.Stream {
 		refuse(w, r)
 		return
 	}
@@ -239,6 +245,7 @@
 	return defaultCeiling
 }
 
+// prefill returns the time before the first token, and caches the prompt.
 func (s *engineStream) prefill(messages []openai.Message) time.Duration {
 	size := 0
 	var text strings.Builder
@@ -253,6 +260,7 @@
 	return full
 }
 
+// header starts the answer.
 func (s *engineStream) header() {
 	id := s.id
 	if s.fault == WrongIdentity {
@@ -283,11 +291,13 @@
 	return false
 }
 
+// token sends one token and is false when the caller has gone.
 func (s *engineStream) token(text string) bool {
 	s.sent++
 	return s.chunk(openai.ChunkChoice{Delta: openai.Delta{Content: text}}, nil)
 }
 
+// end sends the last chunk and the end mark.
 func (s *engineStream) end() bool {
 	finish := openai.FinishStop
 	usage := &openai.Usage{CompletionTokens: s.sent, TotalTokens: s.sent}
@@ -306,6 +316,7 @@
 	return http.NewResponseController(s.w).Flush() == nil
 }
 
+// chunk sends one event of the stream.
 func (s *engineStream) chunk(choice openai.ChunkChoice, usage *openai.Usage) bool {
 	raw, err := json.Marshal(openai.Chunk{
 		ID: openai.CompletionID(s.id), Object: openai.ObjectChunk, Model: s.req.Model,
--- a/internal/jsondoc/jsondoc.go
+++ b/internal/jsondoc/jsondoc.go
@@ -1,5 +1,7 @@
 // Package jsondoc reads JSON with comments, checks it against a JSON Schema and
-// reports every problem with its file, line and key.
+// reports every problem with its file, line and key. Bundles and settings are read
+// by it. It relies on hujson for the text and its positions and on jsonschema for
+// the rules; a document with any problem is refused whole.
 package jsondoc
 
 import (
@@ -72,7 +74,7 @@
 	return &Schema{compiled: compiled}
 }
 
-// Document is a parsed text that can tell the line of each of its keys.
+// Document is a parsed text that knows the line of each of its keys.
 type Document struct {
 	file string
 	text []byte
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,6 @@
-// Package telemetry makes the root of a process's counters and histograms, and
-// the handler that serves them in the exposition format of Prometheus.
+// Package telemetry makes the root of a process's counters and histograms, and the
+// handler that serves them in the exposition format of Prometheus. It owns
+// the prefix of the metric names and relies on tally and the Prometheus client.
 package telemetry
 
 import (
@@ -18,6 +19,7 @@
 func New(interval time.Duration) (tally.Scope, http.Handler) {
 	registry := prom.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
+	// The scope reports until the process ends, so its closer is not needed.
 	scope, _ := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: prefix, CachedReporter: reporter, Separator: tallyprom.DefaultSeparator,
 	}, interval)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait pauses a goroutine without outliving its context.
+// Package wait pauses a goroutine without outliving its context, which time.Sleep
+// cannot. It owns nothing and relies on the clock of the process.
 package wait
 
 import (
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,7 @@
-// Package wire names the headers, paths and limits that the processes share.
+// Package wire names the headers, paths and limits that callers, nodes, targets and
+// the platform of the native interface share, and the paths between gateways. It
+// holds names only and relies on nothing; a name changed here breaks calls between
+// versions.
 package wire
 
 import (
@@ -62,12 +65,16 @@
 	PathInstances     = "/v1/instances"
 )
 
-// Limits on what strangers send.
+// Limits, in bytes, on what other processes send. None was measured.
 const (
+	// MaxRequestBytes bounds the body of a request.
 	MaxRequestBytes = 4 << 20
-	MaxAnswerBytes  = 16 << 20
-	MaxHeaderBytes  = 64 << 10
-	MaxEventBytes   = 1 << 20
+	// MaxAnswerBytes bounds the body of an answer.
+	MaxAnswerBytes = 16 << 20
+	// MaxHeaderBytes bounds the headers of a request, and a load report.
+	MaxHeaderBytes = 64 << 10
+	// MaxEventBytes bounds one event of a stream.
+	MaxEventBytes = 1 << 20
 )
 
 // Milliseconds formats d for a header; it never gives a negative number.
--- a/pkg/cmd/key/new/new.go
+++ b/pkg/cmd/key/new/new.go
@@ -14,6 +14,8 @@
 	"github.com/honeydyke/honeydyke/pkg/cmd/factory"
 )
 
+// secretBytes is the length of every secret: the seed of an Ed25519 key and the key
+// of AES-256 have it, and settings ask for no less of the others.
 const secretBytes = 32
 
 // Kinds of keys.
--- a/pkg/cmd/standin/standin.go
+++ b/pkg/cmd/standin/standin.go
@@ -16,6 +16,8 @@
 )
 
 const (
+	// readHeaderTimeout bounds how long a caller may take for its headers; not
+	// measured.
 	readHeaderTimeout = 5 * time.Second
 	defaultAddress    = "127.0.0.1:0"
 )
@@ -204,7 +206,7 @@
 	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	go func() {
 		<-ctx.Done()
-		_ = s.Close()
+		_ = s.Close() // the process ends with it
 	}()
 	if err := s.Serve(ln); err != http.ErrServerClosed {
 		return err
--- a/pkg/cmd/state/state.go
+++ b/pkg/cmd/state/state.go
@@ -1,4 +1,5 @@
-// Package state holds the verb that dumps a node's state.
+// Package state holds the verb that prints a node's state, as its admin address
+// gives it.
 package state
 
 import (
@@ -13,6 +14,7 @@
 	"github.com/honeydyke/honeydyke/pkg/cmd/factory"
 )
 
+// timeout bounds the call; not measured.
 const timeout = 5 * time.Second
 
 // Options are the parts and flags of the verb.
