--- a/internal/harness/demo/demo.go
+++ b/internal/harness/demo/demo.go
@@ -60,7 +60,7 @@
 
 // Options shape a run.
 type Options struct {
-	// Progress gets a line for each step; nil for none.
+	// Progress gets a line for each step.
 	Progress io.Writer
 	// Log is the nodes' log.
 	Log zerolog.Logger
@@ -133,10 +133,8 @@
 }
 
 func (s *show) progress(format string, args ...any) {
-	if s.opts.Progress != nil {
-		// A line of progress that cannot be printed does not end the demonstration.
-		_, _ = fmt.Fprintf(s.opts.Progress, format+"\n", args...)
-	}
+	// A line of progress that cannot be printed does not end the demonstration.
+	_, _ = fmt.Fprintf(s.opts.Progress, format+"\n", args...)
 }
 
 func (s *show) note(name, account string, err error) {
--- a/pkg/cmd/demo/demo.go
+++ b/pkg/cmd/demo/demo.go
@@ -17,13 +17,11 @@
 	Factory *factory.Factory
 	JSON    bool
 	Verbose bool
-	// Demo runs the demonstration.
-	Demo func(context.Context, demo.Options) (*demo.Report, error)
 }
 
 // NewCmdDemo returns the verb.
 func NewCmdDemo(f *factory.Factory, runF func(context.Context, *Options) error) *cobra.Command {
-	opts := &Options{Factory: f, Demo: demo.Run}
+	opts := &Options{Factory: f}
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Show the main job on two deployments in this process",
@@ -56,7 +54,7 @@
 	if !opts.JSON {
 		progress = opts.Factory.Out
 	}
-	report, err := opts.Demo(ctx, demo.Options{Progress: progress, Log: log})
+	report, err := demo.Run(ctx, demo.Options{Progress: progress, Log: log})
 	if err != nil {
 		return err
 	}
--- a/pkg/cmd/factory/factory.go
+++ b/pkg/cmd/factory/factory.go
@@ -1,5 +1,7 @@
-// Package factory passes the parts that all commands share: streams, clock,
-// files and the client.
+// Package factory holds what all commands share: the streams, reading of bundles
+// and settings, printing, the log, flags of calls, and the exit codes that errors
+// map to. It relies on pkg/bundle and pkg/settings for the checks; what they refuse
+// is returned as their error, with file, line and key.
 package factory
 
 import (
@@ -14,7 +16,6 @@
 	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/pkg/bundle"
-	"github.com/honeydyke/honeydyke/pkg/client"
 	"github.com/honeydyke/honeydyke/pkg/settings"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
@@ -33,28 +34,17 @@
 	ExitMayHaveRun = 4
 )
 
-// Factory holds the shared parts. Tests replace any of them.
+// Factory holds the shared parts. Tests replace the streams.
 type Factory struct {
-	In        io.Reader
-	Out       io.Writer
-	Err       io.Writer
-	Now       func() time.Time
-	ReadFile  func(name string) ([]byte, error)
-	NewClient func(base, key string) *client.Client
-	Version   string
+	In      io.Reader
+	Out     io.Writer
+	Err     io.Writer
+	Version string
 }
 
 // New returns the factory of the real program.
 func New(version string) *Factory {
-	return &Factory{
-		In:        os.Stdin,
-		Out:       os.Stdout,
-		Err:       os.Stderr,
-		Now:       time.Now,
-		ReadFile:  os.ReadFile,
-		NewClient: func(base, key string) *client.Client { return client.New(base, key) },
-		Version:   version,
-	}
+	return &Factory{In: os.Stdin, Out: os.Stdout, Err: os.Stderr, Version: version}
 }
 
 // Read returns the content of a file, or of standard input for "-".
@@ -62,7 +52,7 @@
 	if name == "-" {
 		return io.ReadAll(f.In)
 	}
-	return f.ReadFile(name)
+	return os.ReadFile(name)
 }
 
 // ReadBundle reads and checks a bundle.
--- a/pkg/cmd/key/new/new.go
+++ b/pkg/cmd/key/new/new.go
@@ -6,7 +6,6 @@
 	"crypto/rand"
 	"encoding/hex"
 	"fmt"
-	"io"
 
 	"github.com/spf13/cobra"
 
@@ -31,8 +30,6 @@
 	Factory *factory.Factory
 	Kind    string
 	JSON    bool
-	// Random is the source of the keys.
-	Random io.Reader
 }
 
 // Key is a new key. Public is what others may know: an approver's public key,
@@ -45,7 +42,7 @@
 
 // NewCmdNew returns the verb.
 func NewCmdNew(f *factory.Factory, runF func(*Options) error) *cobra.Command {
-	opts := &Options{Factory: f, Random: rand.Reader}
+	opts := &Options{Factory: f}
 	cmd := &cobra.Command{
 		Use:   "new <kind>",
 		Short: "Make a key",
@@ -71,9 +68,7 @@
 
 func run(opts *Options) error {
 	secret := make([]byte, secretBytes)
-	if _, err := io.ReadFull(opts.Random, secret); err != nil {
-		return err
-	}
+	rand.Read(secret) // never fails
 	key := Key{Kind: opts.Kind, Secret: hex.EncodeToString(secret)}
 	switch opts.Kind {
 	case kindApprover:
--- a/pkg/cmd/node/gateway.go
+++ b/pkg/cmd/node/gateway.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// memoryShare is the part of the machine's memory that the collector keeps
-	// the process below.
+	// memoryShare is the part of the machine's memory that the garbage collector
+	// keeps the process below; not measured.
 	memoryShare = 0.6
-	// logLines is how many lines wait for a slow standard output; more are
-	// dropped and counted.
+	// logLines is how many lines wait for a slow standard output; when more are
+	// dropped, a line on standard error says so. Not measured.
 	logLines = 2000
 )
 
@@ -39,7 +39,7 @@
 	ctx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	go func() {
-		<-opts.Signals()
+		<-stopSignals()
 		stop()
 	}()
 	go reloads(ctx, opts, g, log)
@@ -54,7 +54,7 @@
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	var w io.Writer = diode.NewWriter(out, logLines, 0, func(missed int) {
-		_, _ = io.WriteString(os.Stderr, "log: lines dropped\n")
+		_, _ = io.WriteString(os.Stderr, "log: lines dropped\n") // nowhere else to report it
 	})
 	if cfg.TextLog() {
 		w = zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: time.TimeOnly}
@@ -65,7 +65,7 @@
 // reloads reads the settings again at each signal that asks for it. Settings
 // that do not read are refused whole.
 func reloads(ctx context.Context, opts *Options, g *gateway.Gateway, log zerolog.Logger) {
-	signals := opts.Reloads()
+	signals := reloadSignals()
 	for {
 		select {
 		case <-ctx.Done():
--- a/pkg/cmd/node/node.go
+++ b/pkg/cmd/node/node.go
@@ -1,4 +1,6 @@
-// Package node holds the verb that runs the daemon.
+// Package node holds the verb that runs the daemon: a node of the native interface,
+// or with the settings' gateway a gateway. It turns signals into stops and reloads;
+// what runs is in pkg/node and pkg/gateway.
 package node
 
 import (
@@ -18,15 +20,11 @@
 	Factory  *factory.Factory
 	Settings string
 	Check    bool
-	// Signals returns a channel of the signals that ask for a stop.
-	Signals func() <-chan os.Signal
-	// Reloads returns a channel of the signals that ask to read the settings again.
-	Reloads func() <-chan os.Signal
 }
 
 // NewCmdNode returns the verb.
 func NewCmdNode(f *factory.Factory, runF func(context.Context, *Options) error) *cobra.Command {
-	opts := &Options{Factory: f, Signals: stopSignals, Reloads: reloadSignals}
+	opts := &Options{Factory: f}
 	cmd := &cobra.Command{
 		Use:   "node --settings <file>",
 		Short: "Run a node",
@@ -53,12 +51,14 @@
 	return cmd
 }
 
+// stopSignals returns a channel of the signals that ask for a stop.
 func stopSignals() <-chan os.Signal {
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, os.Interrupt, syscall.SIGTERM)
 	return ch
 }
 
+// reloadSignals returns a channel of the signals that ask to read the settings again.
 func reloadSignals() <-chan os.Signal {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGHUP)
@@ -86,7 +86,7 @@
 	ctx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	go func() {
-		signals := opts.Signals()
+		signals := stopSignals()
 		<-signals
 		stop()
 		<-signals
--- a/pkg/cmd/send/send.go
+++ b/pkg/cmd/send/send.go
@@ -29,13 +29,11 @@
 	Stream  bool
 	Once    bool
 	JSON    bool
-	// Pause waits between attempts.
-	Pause func(ctx context.Context, d time.Duration) error
 }
 
 // NewCmdSend returns the verb.
 func NewCmdSend(f *factory.Factory, runF func(context.Context, *Options) error) *cobra.Command {
-	opts := &Options{Factory: f, Pause: wait.For}
+	opts := &Options{Factory: f}
 	cmd := &cobra.Command{
 		Use:   "send --node <url> --pipeline <name> <input>",
 		Short: "Send one request",
@@ -73,7 +71,7 @@
 		}
 		opts.Input = string(text)
 	}
-	c := opts.Factory.NewClient(opts.Nodes[0], opts.Key)
+	c := client.New(opts.Nodes[0], opts.Key)
 	req := client.Request{Pipeline: opts.Pipeline, Input: opts.Input, Stream: opts.Stream, Deadline: opts.Deadline}
 	if opts.Once {
 		if err := takeTicket(ctx, c, &req); err != nil {
@@ -127,7 +125,7 @@
 				return nil, err
 			}
 		}
-		if perr := opts.Pause(ctx, max(e.RetryAfter(), minPause)); perr != nil {
+		if wait.For(ctx, max(e.RetryAfter(), minPause)) != nil {
 			return nil, err
 		}
 	}
--- a/pkg/cmd/state/state.go
+++ b/pkg/cmd/state/state.go
@@ -51,7 +51,7 @@
 func run(ctx context.Context, opts *Options) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	s, err := opts.Factory.NewClient(opts.Admin, "").ReadState(ctx)
+	s, err := client.New(opts.Admin, "").ReadState(ctx)
 	if err != nil {
 		return err
 	}
