--- a/internal/harness/standin/target.go
+++ b/internal/harness/standin/target.go
@@ -72,6 +72,7 @@
 	queue    slotQueue
 	loads    loadLog
 	cache    prefixCache
+	engine   engine
 
 	mu          sync.Mutex
 	incarnation string
@@ -130,6 +131,7 @@
 	mux.HandleFunc("POST "+wire.PathStage, t.serveStage)
 	mux.HandleFunc("POST "+wire.PathChat, t.serveChat)
 	mux.HandleFunc("GET "+wire.PathLoad, t.serveLoad)
+	t.handleEngine(mux)
 	mux.HandleFunc("POST "+PathFault, t.serveFault)
 	mux.HandleFunc("POST "+PathLeave, t.serveLeave)
 	mux.HandleFunc("GET "+PathRuns, t.serveRuns)
