--- a/internal/harness/standin/engine.go
+++ b/internal/harness/standin/engine.go
@@ -12,7 +12,8 @@
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
-// Paths that only engines have.
+// Paths that only engines have. No node calls them yet (docs/DESIGN.md, "Not built
+// yet").
 const (
 	// PathStreams resumes a stream: the identity of its call follows, and the
 	// query "from" names the first token that is still wanted.
