--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -10,7 +10,6 @@
 	"github.com/asynkron/protoactor-go/actor"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/batching"
-	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
@@ -70,18 +69,10 @@
 	}
 }
 
-// coordinatorOf returns the node that forms the calls of a service.
-func (b *batches) coordinatorOf(service string) string {
-	g := b.g
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	return placement.Coordinator(service, g.roster.Eligible(g.now()))
-}
-
 // Run implements relay.Batcher.
 func (b *batches) Run(ctx context.Context, service string, group relay.Group, started func()) ([]batching.Result, *verdict.Error) {
 	for range maxOwners {
-		owner := b.coordinatorOf(service)
+		owner := b.g.members.coordinator(service)
 		if owner == "" || owner == b.g.PeerAddress() {
 			break
 		}
@@ -93,7 +84,7 @@
 			continue
 		}
 		b.g.log.Warn().Str("request", group.Request).Str("service", service).Str("member", owner).Err(err).Msg("items: member lost or leaving, asking another")
-		b.g.suspect(owner)
+		b.g.members.suspect(owner)
 	}
 	return b.makeHere(ctx, service, group, started)
 }
@@ -111,7 +102,7 @@
 // handBack gives the groups that wait for their first call back, for the member
 // that takes this node's duties over. It does nothing when there is no other.
 func (b *batches) handBack() {
-	if b.coordinatorOf("") == "" {
+	if b.g.members.coordinator("") == "" {
 		return
 	}
 	b.mu.Lock()
@@ -143,7 +134,7 @@
 
 // Release implements relay.Batcher.
 func (b *batches) Release(service string, results []batching.Result) {
-	owner := b.coordinatorOf(service)
+	owner := b.g.members.coordinator(service)
 	if owner != "" && owner != b.g.PeerAddress() {
 		go b.g.askRelease(owner, service, results)
 		return
@@ -185,7 +176,7 @@
 func (b *batches) byOwner(stages []relay.PlannedStage) map[string][]int {
 	owners := make(map[string][]int)
 	for i, s := range stages {
-		owner := b.coordinatorOf(s.Service)
+		owner := b.g.members.coordinator(s.Service)
 		if owner == "" {
 			owner = b.g.PeerAddress()
 		}
--- a/internal/gateway/batches_test.go
+++ b/internal/gateway/batches_test.go
@@ -103,9 +103,7 @@
 		g.leaving.Store(true)
 		g.publishStatus()
 		convey.Convey("when it leaves and there is another, what waits is handed back and what is at work is finished", func() {
-			g.rosterMu.Lock()
-			g.roster.Merge(g.now(), message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
-			g.rosterMu.Unlock()
+			g.members.exchange(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
 			g.batches.handBack()
 			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
 			convey.Convey("nor does it take more", func() {
@@ -117,9 +115,7 @@
 		convey.Convey("when another member takes the duty over, what waits goes there and what still comes is made", func() {
 			g.leaving.Store(false)
 			g.publishStatus()
-			g.rosterMu.Lock()
-			g.roster.Merge(g.now(), message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
-			g.rosterMu.Unlock()
+			g.members.exchange(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
 			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonMoved)
 			late := ask()
 			close(targets.release)
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -176,7 +176,7 @@
 		return
 	}
 	c.checked = now
-	owner := c.g.batches.coordinatorOf(c.service)
+	owner := c.g.members.coordinator(c.service)
 	owned := owner == "" || owner == c.g.PeerAddress()
 	if c.owned && !owned && !c.leaving {
 		c.g.log.Info().Str("service", c.service).Str("member", owner).Int("waiting", c.core.State(now).Waiting).
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -68,7 +68,7 @@
 func (g *Gateway) follow(ctx context.Context) {
 	whole := true
 	for ctx.Err() == nil {
-		if !whole && g.relayed() {
+		if !whole && g.members.followsReaders() {
 			pause(ctx, relayCheck)
 			continue
 		}
@@ -92,27 +92,12 @@
 
 // retryPause is how long a node waits after the source failed.
 func (g *Gateway) retryPause() time.Duration {
-	if g.view.Load().Catalog != nil && !g.reads() {
+	if g.view.Load().Catalog != nil && !g.members.isReader() {
 		return followerRetry/2 + rand.N(followerRetry/2)
 	}
 	return minRetry + rand.N(maxRetry-minRetry)
 }
 
-// reads says whether this node is one of those that look at the source often.
-func (g *Gateway) reads() bool {
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	return g.roster.IsReader(g.now())
-}
-
-// relayed says whether this node leaves the source to others, who tell it what
-// they hear.
-func (g *Gateway) relayed() bool {
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	return g.roster.FollowsReaders(g.now())
-}
-
 func (g *Gateway) read(ctx context.Context, whole bool) error {
 	if whole {
 		ctx, answered, cancel := untilAnswered(ctx, snapshotTimeout)
@@ -169,7 +154,7 @@
 	if g.source.isDown() {
 		return probeWait, probeSlack
 	}
-	if g.reads() {
+	if g.members.isReader() {
 		return readerWait, readerSlack
 	}
 	return watchWait, watchSlack
@@ -186,12 +171,8 @@
 // have told it by now is ended, and what a member knows is taken over.
 func (g *Gateway) checkBehind(ctx context.Context) {
 	v := g.view.Load()
-	g.rosterMu.Lock()
-	newest := g.roster.Newest(g.now(), v.Version(), v.Revision)
-	version := g.roster.VersionOf(newest)
-	relayed := g.roster.FollowsReaders(g.now())
-	g.rosterMu.Unlock()
-	if !g.source.behind(g.now(), newest != "", relayed) {
+	newest := g.members.aheadOf(v)
+	if !g.source.behind(g.now(), newest.member != "", newest.followsReaders) {
 		return
 	}
 	if !g.asking.CompareAndSwap(false, true) {
@@ -199,7 +180,7 @@
 	}
 	go func() {
 		defer g.asking.Store(false)
-		g.catchUp(ctx, newest, version, relayed)
+		g.catchUp(ctx, newest)
 		g.source.end()
 	}()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,7 +22,6 @@
 
 	"github.com/honeydyke/honeydyke/internal/gateway/batching"
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
-	"github.com/honeydyke/honeydyke/internal/gateway/membership"
 	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
@@ -105,9 +104,8 @@
 	// asking is true while a member's view is being fetched.
 	asking atomic.Bool
 	// news wakes the gossip when there is something to tell.
-	news     chan struct{}
-	rosterMu sync.Mutex
-	roster   *membership.Roster
+	news    chan struct{}
+	members *members
 
 	sampleMu sync.Mutex
 	sampler  sampler
@@ -168,13 +166,12 @@
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
-	g.roster = membership.NewRoster(g.PeerAddress(), g.started.UnixNano(), cfg.Peers)
-	g.roster.SetCapacity(capacityOf(cfg.Gateway))
+	g.members = newMembers(g.now, g.PeerAddress(), g.started.UnixNano(), cfg.Peers, capacityOf(cfg.Gateway))
 	g.batches = newBatches(g)
 	g.prompts = newPrompts(g)
 	g.relay = relay.New(relay.Config{
 		DataCentre: cfg.DataCentre, View: g.view.Load, Upstream: ports.Targets, Batcher: g.batches, Placer: g.prompts,
-		Observer: g, Now: g.now, RetryPolicy: g.budget(), Members: g.memberCount,
+		Observer: g, Now: g.now, RetryPolicy: g.budget(), Members: g.members.size,
 	})
 	return g, nil
 }
@@ -217,9 +214,7 @@
 	if g.now().Sub(g.started) < membersKnown {
 		return retrybudget.UnknownNodes
 	}
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	return int(sharersFactor * float64(g.roster.PeakSize()))
+	return int(sharersFactor * float64(g.members.peakSize()))
 }
 
 func (g *Gateway) listen() error {
@@ -313,12 +308,6 @@
 	}
 }
 
-func (g *Gateway) memberCount() int {
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	return g.roster.Size(g.now())
-}
-
 // Run serves until ctx ends and then stops as planned: it tells the balancer
 // and its members, and finishes the work in flight within the time to stop.
 func (g *Gateway) Run(ctx context.Context) error {
@@ -339,9 +328,7 @@
 // Reload takes in the settings that may change while the node runs: the
 // addresses that members are looked for at.
 func (g *Gateway) Reload(cfg *settings.Settings) {
-	g.rosterMu.Lock()
-	g.roster.SetSeeds(cfg.Peers)
-	g.rosterMu.Unlock()
+	g.members.setSeeds(cfg.Peers)
 	g.log.Info().Strs("peers", cfg.Peers).Msg("settings: read again")
 }
 
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -21,23 +21,17 @@
 	newsPause = 50 * time.Millisecond
 )
 
-// publishStatus sets what this node tells of itself.
+// publishStatus sets what this node reports of itself.
 func (g *Gateway) publishStatus() {
 	v := g.view.Load()
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	g.roster.SetStatus(membership.Status{
-		Serving: v.Catalog != nil, Leaving: g.leaving.Load(), ReachesSource: g.source.hears(g.now()),
-		Version: v.Version(), Revision: v.Revision,
+	g.members.setStatus(func() membership.Status {
+		return membership.Status{
+			Serving: v.Catalog != nil, Leaving: g.leaving.Load(), ReachesSource: g.source.hears(g.now()),
+			Version: v.Version(), Revision: v.Revision,
+		}
 	})
 }
 
-func (g *Gateway) suspect(address string) {
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	g.roster.Suspect(g.now(), address)
-}
-
 // gossip talks to other members until ctx ends: from time to time, and at once
 // when there is news.
 func (g *Gateway) gossip(ctx context.Context) {
@@ -67,12 +61,7 @@
 // talk exchanges with some members.
 func (g *Gateway) talk(ctx context.Context) {
 	g.publishStatus()
-	g.rosterMu.Lock()
-	g.roster.Heartbeat()
-	g.roster.Forget(g.now())
-	partners := g.roster.Partners(g.now(), gossipPartners)
-	g.rosterMu.Unlock()
-	for _, p := range partners {
+	for _, p := range g.members.beginRound(gossipPartners) {
 		go func() {
 			g.exchange(ctx, p)
 			g.checkBehind(ctx)
@@ -85,17 +74,11 @@
 func (g *Gateway) exchange(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	g.rosterMu.Lock()
-	out := g.roster.Gossip(g.now())
-	g.rosterMu.Unlock()
 	var in message.Gossip
-	if err := g.call(ctx, http.MethodPost, address, wire.PathGossip, out, &in); err != nil {
+	if err := g.call(ctx, http.MethodPost, address, wire.PathGossip, g.members.gossip(), &in); err != nil {
 		return false
 	}
-	g.rosterMu.Lock()
-	defer g.rosterMu.Unlock()
-	g.roster.Merge(g.now(), in)
-	g.roster.Contacted(g.now(), address)
+	g.members.mergeFrom(address, in)
 	return true
 }
 
@@ -104,21 +87,13 @@
 	if !readMessage(w, r, &in) {
 		return
 	}
-	g.rosterMu.Lock()
-	g.roster.Merge(g.now(), in)
-	out := g.roster.Gossip(g.now())
-	g.rosterMu.Unlock()
-	writeMessage(w, out)
-	v := g.view.Load()
-	g.rosterMu.Lock()
-	newest := g.roster.Newest(g.now(), v.Version(), v.Revision)
-	relayed := g.roster.FollowsReaders(g.now())
-	g.rosterMu.Unlock()
+	writeMessage(w, g.members.exchange(in))
+	newest := g.members.aheadOf(g.view.Load())
 	switch {
-	case newest == "":
-	case relayed:
+	case newest.member == "":
+	case newest.followsReaders:
 		g.spread()
-	case !g.source.behind(g.now(), true, relayed):
+	case !g.source.behind(g.now(), true, false):
 		time.AfterFunc(newsTakes, g.spread)
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -142,10 +142,7 @@
 
 // alive says whether a member gave a sign of life lately or answers now.
 func (g *Gateway) alive(ctx context.Context, member string) bool {
-	g.rosterMu.Lock()
-	heard := g.roster.LastContact(member)
-	g.rosterMu.Unlock()
-	if g.now().Sub(heard) < aliveFor {
+	if g.now().Sub(g.members.lastContact(member)) < aliveFor {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -68,7 +68,7 @@
 
 // Place implements relay.Placer.
 func (p *prompts) Place(ctx context.Context, service string, q placement.Prompt) (string, bool) {
-	owner := p.g.batches.coordinatorOf(placeRole + service)
+	owner := p.g.members.coordinator(placeRole + service)
 	if owner == "" || owner == p.g.PeerAddress() {
 		return p.placeHere(service, q)
 	}
@@ -90,7 +90,7 @@
 
 // Prefilled implements relay.Placer.
 func (p *prompts) Prefilled(service, request string, whole bool) {
-	owner := p.g.batches.coordinatorOf(placeRole + service)
+	owner := p.g.members.coordinator(placeRole + service)
 	if owner == "" || owner == p.g.PeerAddress() {
 		p.readHere(service, request, whole)
 		return
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -23,9 +23,7 @@
 		Version: int(v.Version()), Revision: int(v.Revision), SourceAgeMs: g.sourceAge(), InFlight: int(g.inflight.Load()),
 		Targets: targetsOf(g.now(), v.Directory), Services: []message.BatchState{},
 	}
-	g.rosterMu.Lock()
-	s.Members = g.roster.Members()
-	g.rosterMu.Unlock()
+	s.Members = g.members.list()
 	states := g.batches.states(ctx)
 	for _, service := range slices.Sorted(maps.Keys(states)) {
 		b := states[service]
--- a/internal/gateway/views.go
+++ b/internal/gateway/views.go
@@ -28,10 +28,10 @@
 // catchUp takes over what a member knows beyond this node. A node that leaves the
 // source to others reads a new configuration there all the same: the links
 // between members may be too slow for many to pass it on.
-func (g *Gateway) catchUp(ctx context.Context, member string, version int, relayed bool) {
+func (g *Gateway) catchUp(ctx context.Context, newest ahead) {
 	v := g.view.Load()
-	newCatalog := int64(version) > v.Version()
-	if relayed && newCatalog {
+	newCatalog := int64(newest.version) > v.Version()
+	if newest.followsReaders && newCatalog {
 		if err := g.readChanges(ctx, probeWait, newCatalogSlack); err == nil {
 			return
 		}
@@ -40,7 +40,7 @@
 	if !newCatalog {
 		limit = deltaTimeout
 	}
-	g.askView(ctx, member, limit)
+	g.askView(ctx, newest.member, limit)
 }
 
 // askView asks a member for what it knows beyond this node.
