--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,8 +20,6 @@
 	"github.com/pkg/errors"
 	"github.com/rs/zerolog"
 
-	"github.com/honeydyke/honeydyke/internal/gateway/batching"
-	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
@@ -29,61 +27,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// ErrHistoryGone says that the source cannot tell what changed since a
-// revision; the whole must be read again.
-var ErrHistoryGone = errors.New("the source's history does not reach back so far")
-
 // ErrNoGateway says that the settings have no gateway section.
 var ErrNoGateway = errors.New("the settings have no gateway")
 
-// Source publishes the configuration and the targets. The calls tell answered when
-// the head of an answer has come: an answer that is on its way may take far longer
-// than one that is not there.
-type Source interface {
-	// Snapshot reads everything.
-	Snapshot(ctx context.Context, answered func()) (view.Changes, error)
-	// Watch waits for changes after a revision.
-	Watch(ctx context.Context, after int64, wait time.Duration, answered func()) (view.Changes, error)
-	// Decode reads the text of a configuration that a peer passed on.
-	Decode(document []byte) (view.CatalogChange, error)
-}
-
-// BatchCall is one call to a target of a batch service.
-type BatchCall struct {
-	Target directory.Target
-	Items  []batching.Item
-	// Now is the time from which the items' remaining time counts.
-	Now time.Time
-	// Permit is asked just before the first byte is written.
-	Permit func() error
-}
-
-// Targets sends calls to targets.
-type Targets interface {
-	relay.Upstream
-	// RunBatch has items made.
-	RunBatch(ctx context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error)
-	// Release frees results at their maker.
-	Release(ctx context.Context, t directory.Target, handles []string) error
-}
-
-// Relay serves one request of a caller.
-type Relay interface {
-	Serve(ctx context.Context, req *relay.Request, out relay.Responder) *verdict.Error
-	// BodyLimit is the most bytes of a request's body.
-	BodyLimit() int64
-	// Leaving says whether callers should close their connections.
-	Leaving() bool
-}
-
-// Ports are what an adapter supplies.
-type Ports struct {
-	Source  Source
-	Targets Targets
-	// Callers returns the handler that callers speak to.
-	Callers func(Relay) http.Handler
-}
-
 // Gateway is one node. Create it with New.
 type Gateway struct {
 	cfg     *settings.Settings
@@ -126,9 +72,6 @@
 // WithLogger sets the log; it is silent by default.
 func WithLogger(log zerolog.Logger) Option { return func(g *Gateway) { g.log = log } }
 
-// WithClock sets the clock, which must be monotonic.
-func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.now = now } }
-
 const (
 	// defaultMaxNodes is the least number of nodes that are assumed to share the
 	// budget of repeats.
