--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -136,12 +136,23 @@
 func (b *batches) Release(service string, results []batching.Result) {
 	owner := b.g.members.coordinator(service)
 	if owner != "" && owner != b.g.PeerAddress() {
-		go b.g.askRelease(owner, service, results)
+		go b.releaseAt(owner, service, results)
 		return
 	}
 	b.releaseHere(service, results)
 }
 
+// releaseAt has the member that coordinates a service release results. When it does
+// not answer, this node releases them itself.
+func (b *batches) releaseAt(member, service string, results []batching.Result) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	defer cancel()
+	if err := b.g.peers.releaseAtMember(ctx, member, service, results); err != nil {
+		b.g.log.Debug().Str("service", service).Str("member", member).Int("results", len(results)).Err(err).Msg("items: member took no releases, releasing locally")
+		b.releaseHere(service, results)
+	}
+}
+
 func (b *batches) releaseHere(service string, results []batching.Result) {
 	byTarget := map[string][]string{}
 	for _, r := range results {
@@ -196,7 +207,7 @@
 			asked.Add(1)
 			go func() {
 				defer asked.Done()
-				b.g.askPlan(ctx, owner, request, stages, numbers, backlogs)
+				b.planAt(ctx, owner, request, stages, numbers, backlogs)
 			}()
 			continue
 		}
@@ -212,7 +223,7 @@
 func (b *batches) Cancel(request string, stages []relay.PlannedStage) {
 	for owner, numbers := range b.byOwner(stages) {
 		if owner != b.g.PeerAddress() {
-			go b.g.askCancel(owner, request, stages, numbers)
+			go b.cancelAt(owner, request, pick(stages, numbers))
 			continue
 		}
 		for _, i := range numbers {
@@ -221,6 +232,38 @@
 	}
 }
 
+// pick returns the stages of the given numbers.
+func pick(stages []relay.PlannedStage, numbers []int) []relay.PlannedStage {
+	picked := make([]relay.PlannedStage, len(numbers))
+	for k, i := range numbers {
+		picked[k] = stages[i]
+	}
+	return picked
+}
+
+// planAt announces the stages of the given numbers to the member that coordinates
+// them and notes their backlogs; they stay 0, for unknown, when it does not answer.
+func (b *batches) planAt(ctx context.Context, member, request string, stages []relay.PlannedStage, numbers []int, backlogs []time.Duration) {
+	answer, err := b.g.peers.planAtMember(ctx, member, request, pick(stages, numbers))
+	if err != nil {
+		b.g.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: no backlog from a member")
+		return
+	}
+	for k, i := range numbers {
+		backlogs[i] = answer[k]
+	}
+}
+
+// cancelAt withdraws planned stages from the member that coordinates them. A plan
+// that stays there ends by itself when its stage is past due.
+func (b *batches) cancelAt(member, request string, stages []relay.PlannedStage) {
+	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
+	defer cancel()
+	if err := b.g.peers.cancelAtMember(ctx, member, request, stages); err != nil {
+		b.g.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: a plan was not withdrawn at a member")
+	}
+}
+
 // plannedStage tells an actor of a plan and takes the backlog before it.
 type plannedStage struct {
 	plan    batching.Plan
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,7 +60,7 @@
 	batches *batches
 	prompts *prompts
 	metrics *metrics
-	peers   *http.Client
+	peers   *peerClient
 	system  *actor.ActorSystem
 	servers []*http.Server
 	sockets []net.Listener
@@ -99,7 +99,7 @@
 	}
 	g := &Gateway{
 		cfg: cfg, ports: ports, log: zerolog.Nop(), now: time.Now,
-		peers: newPeerClient(), system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger)), metrics: newMetrics(), news: make(chan struct{}, 1),
+		peers: newPeerClient(time.Now), system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger)), metrics: newMetrics(), news: make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
 		opt(g)
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -7,7 +7,6 @@
 
 	"github.com/honeydyke/honeydyke/internal/gateway/membership"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
 const (
@@ -74,8 +73,8 @@
 func (g *Gateway) exchange(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	var in message.Gossip
-	if err := g.call(ctx, http.MethodPost, address, wire.PathGossip, g.members.gossip(), &in); err != nil {
+	in, err := g.peers.gossipAtMember(ctx, address, g.members.gossip())
+	if err != nil {
 		return false
 	}
 	g.members.mergeFrom(address, in)
--- /dev/null
+++ b/internal/gateway/peerclient.go
@@ -0,0 +1,191 @@
+package gateway
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/internal/wire"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+const (
+	// peerDialTimeout bounds connecting to a member. Not measured.
+	peerDialTimeout = 300 * time.Millisecond
+	// peerIdleTimeout is how long an unused connection to a member stays open. Not
+	// measured.
+	peerIdleTimeout = 30 * time.Second
+	// peerIdleConns is how many unused connections to one member stay open. Not
+	// measured.
+	peerIdleConns = 32
+)
+
+// peerClient calls other members: one method for each message, which translates
+// it and returns what the member answered. It owns the HTTP client. Callers bound
+// the calls by their contexts; a call that fails is not retried here.
+type peerClient struct {
+	now  func() time.Time
+	http *http.Client
+}
+
+func newPeerClient(now func() time.Time) *peerClient {
+	dialer := &net.Dialer{Timeout: peerDialTimeout}
+	return &peerClient{now: now, http: &http.Client{Transport: &http.Transport{
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: peerIdleConns,
+		IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
+	}}}
+}
+
+// gossipAtMember sends a member what is known of all members and returns what it
+// knows.
+func (c *peerClient) gossipAtMember(ctx context.Context, member string, in message.Gossip) (message.Gossip, error) {
+	var out message.Gossip
+	err := c.call(ctx, http.MethodPost, member, wire.PathGossip, in, &out)
+	return out, err
+}
+
+// runAtMember has a member run the items of a group. It calls inputsRead when the
+// member reports that the items have read their inputs.
+func (c *peerClient) runAtMember(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+	now := c.now()
+	ctx, cancel := context.WithTimeout(ctx, group.Deadline.Sub(now))
+	defer cancel()
+	out := itemAnswer{inputsRead: inputsRead}
+	err := c.call(ctx, http.MethodPost, member, wire.PathItems, groupMessage(now, service, group), &out)
+	if err != nil {
+		return nil, verdict.New(verdict.NotRun, unansweredReason(ctx), "member %s gave no results", member).WithCause(err)
+	}
+	if out.Reason != "" {
+		return nil, refusalOf(out.ItemResults)
+	}
+	if len(out.Results) != group.Count {
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonInternal, "member %s gave %d results for %d items", member, len(out.Results), group.Count)
+	}
+	return resultsOf(out.Results), nil
+}
+
+// unansweredReason says why a call that ended with an error got no answer. When
+// its time was over or nobody waits for it any more, that says nothing of the member.
+func unansweredReason(ctx context.Context) verdict.Reason {
+	switch ctx.Err() {
+	case context.DeadlineExceeded:
+		return verdict.ReasonDeadline
+	case context.Canceled:
+		return verdict.ReasonCancelled
+	}
+	return verdict.ReasonConnection
+}
+
+// releaseAtMember has the coordinator of a service release results.
+func (c *peerClient) releaseAtMember(ctx context.Context, member, service string, results []batching.Result) error {
+	in := message.ItemRelease{Service: service, Results: resultMessages(results)}
+	return c.call(ctx, http.MethodPost, member, wire.PathRelease, in, nil)
+}
+
+// planAtMember announces planned stages to their coordinator and returns the
+// backlog of each.
+func (c *peerClient) planAtMember(ctx context.Context, member, request string, stages []relay.PlannedStage) ([]time.Duration, error) {
+	var out message.ItemBacklogs
+	err := c.call(ctx, http.MethodPost, member, wire.PathPlan, planMessage(c.now(), request, stages), &out)
+	if err != nil {
+		return nil, err
+	}
+	if len(out.BacklogMs) != len(stages) {
+		return nil, errors.Errorf("member %s gave %d backlogs for %d stages", member, len(out.BacklogMs), len(stages))
+	}
+	return backlogsOf(out), nil
+}
+
+// cancelAtMember withdraws planned stages from their coordinator.
+func (c *peerClient) cancelAtMember(ctx context.Context, member, request string, stages []relay.PlannedStage) error {
+	in := planMessage(c.now(), request, stages)
+	in.Cancelled = true
+	return c.call(ctx, http.MethodPost, member, wire.PathPlan, in, nil)
+}
+
+// placeAtMember has a member choose the engine for a prompt; empty for none.
+func (c *peerClient) placeAtMember(ctx context.Context, member, service string, q placement.Prompt) (string, error) {
+	var out message.PromptPlaced
+	err := c.call(ctx, http.MethodPost, member, wire.PathPlace, promptMessage(service, q), &out)
+	return out.Target, err
+}
+
+// endPrefillAtMember reports to the member that placed a prompt that its prefill has
+// ended; prefilled says whether the first event came.
+func (c *peerClient) endPrefillAtMember(ctx context.Context, member, service, request string, prefilled bool) error {
+	in := message.PromptRead{Service: service, Request: request, Whole: prefilled}
+	return c.call(ctx, http.MethodPost, member, wire.PathRead, in, nil)
+}
+
+// viewAtMember returns what a member knows beyond a revision and a version of the
+// configuration.
+func (c *peerClient) viewAtMember(ctx context.Context, member string, since, version int64) (message.ViewSnapshot, error) {
+	query := url.Values{
+		paramSince: {strconv.FormatInt(since, 10)}, paramVersion: {strconv.FormatInt(version, 10)},
+	}
+	var out message.ViewSnapshot
+	err := c.call(ctx, http.MethodGet, member, wire.PathView+"?"+query.Encode(), nil, &out)
+	return out, err
+}
+
+// call sends JSON to a member and reads its JSON answer into out, unless that is
+// nil.
+func (c *peerClient) call(ctx context.Context, method, member, path string, in, out any) error {
+	body, err := json.Marshal(in)
+	if err != nil {
+		return err
+	}
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+member+path, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return errors.Errorf("member %s answered with status %d", member, resp.StatusCode)
+	}
+	if out == nil {
+		_, err = io.Copy(io.Discard, resp.Body)
+		return err
+	}
+	decoder := json.NewDecoder(io.LimitReader(resp.Body, wire.MaxAnswerBytes))
+	if answer, ok := out.(*itemAnswer); ok {
+		return answer.read(decoder)
+	}
+	return decoder.Decode(out)
+}
+
+// itemAnswer is a member's answer to a group: possibly a report that the inputs
+// have been read, and then the results.
+type itemAnswer struct {
+	message.ItemResults
+	inputsRead func()
+}
+
+func (a *itemAnswer) read(decoder *json.Decoder) error {
+	for {
+		a.ItemResults = message.ItemResults{}
+		if err := decoder.Decode(&a.ItemResults); err != nil {
+			return err
+		}
+		if !a.Started {
+			return nil
+		}
+		a.inputsRead()
+	}
+}
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peerclient_test.go
@@ -21,22 +21,22 @@
 		defer member.Close()
 		defer close(release)
 		address := strings.TrimPrefix(member.URL, "http://")
-		g := &Gateway{now: time.Now, peers: newPeerClient()}
+		peers := newPeerClient(time.Now)
 		convey.Convey("items whose time is over are late, and the member is not taken for lost", func() {
 			group := relay.Group{Count: 1, Deadline: time.Now().Add(20 * time.Millisecond)}
-			_, err := g.runAtMember(t.Context(), address, "s", group, func() {})
+			_, err := peers.runAtMember(t.Context(), address, "s", group, func() {})
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonDeadline)
 		})
 		convey.Convey("nor is it when nobody waits for them any more", func() {
 			ctx, cancel := context.WithCancel(t.Context())
 			time.AfterFunc(20*time.Millisecond, cancel)
-			_, err := g.runAtMember(ctx, address, "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
+			_, err := peers.runAtMember(ctx, address, "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonCancelled)
 		})
 	})
 	convey.Convey("A member that takes no connection is lost", t, func() {
-		g := &Gateway{now: time.Now, peers: newPeerClient()}
-		_, err := g.runAtMember(t.Context(), "127.0.0.1:1", "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
+		peers := newPeerClient(time.Now)
+		_, err := peers.runAtMember(t.Context(), "127.0.0.1:1", "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonConnection)
 	})
 }
--- /dev/null
+++ b/internal/gateway/peermessages.go
@@ -0,0 +1,201 @@
+package gateway
+
+import (
+	"encoding/base64"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
+	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// This file translates the messages between members. They carry times as
+// milliseconds from their sending, as members' clocks may differ.
+
+// Parameters of a request for a member's view.
+const (
+	// paramSince is the revision from which the changes are wanted.
+	paramSince = "since"
+	// paramVersion is the version of the configuration that the asking node knows.
+	paramVersion = "version"
+)
+
+// millis is a number of milliseconds as a duration.
+func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// millisUntil returns how many whole milliseconds after now t is.
+func millisUntil(now, t time.Time) int { return int(t.Sub(now).Milliseconds()) }
+
+func groupMessage(now time.Time, service string, g relay.Group) message.ItemGroup {
+	return message.ItemGroup{
+		Service: service, Request: g.Request, Stage: g.Stage, Count: g.Count,
+		Source: g.Source, Inputs: g.Inputs, Bytes: int(g.Bytes),
+		DueMs: millisUntil(now, g.Due), DeadlineMs: millisUntil(now, g.Deadline),
+		Priority: g.Priority, DataCentre: g.DataCentre,
+	}
+}
+
+func groupOf(now time.Time, in message.ItemGroup) relay.Group {
+	return relay.Group{
+		Request: in.Request, Stage: in.Stage, Count: in.Count, Source: in.Source, Inputs: in.Inputs, Bytes: int64(in.Bytes),
+		Due: now.Add(millis(in.DueMs)), Deadline: now.Add(millis(in.DeadlineMs)),
+		Priority: in.Priority, DataCentre: in.DataCentre,
+	}
+}
+
+// answerMessage is the answer to a group that ended with results or an error.
+func answerMessage(results []batching.Result, err *verdict.Error) message.ItemResults {
+	out := message.ItemResults{Results: resultMessages(results)}
+	if err != nil {
+		out.Reason, out.Text, out.RetryAfterMs = string(err.Reason()), err.Text(), int(err.RetryAfter().Milliseconds())
+	}
+	return out
+}
+
+// refusalOf is the error of an answer without results.
+func refusalOf(out message.ItemResults) *verdict.Error {
+	return verdict.New(verdict.NotRun, verdict.Reason(out.Reason), "%s", out.Text).WithRetryAfter(millis(out.RetryAfterMs))
+}
+
+func resultMessages(results []batching.Result) []message.ItemResult {
+	list := make([]message.ItemResult, len(results))
+	for i, r := range results {
+		list[i] = message.ItemResult{Handle: r.Handle, Target: r.Target, DataCentre: r.DataCentre}
+	}
+	return list
+}
+
+func resultsOf(list []message.ItemResult) []batching.Result {
+	results := make([]batching.Result, len(list))
+	for i, r := range list {
+		results[i] = batching.Result{Handle: r.Handle, Target: r.Target, DataCentre: r.DataCentre}
+	}
+	return results
+}
+
+func planMessage(now time.Time, request string, stages []relay.PlannedStage) message.ItemPlan {
+	plan := message.ItemPlan{Request: request, Stages: make([]message.PlannedStage, len(stages))}
+	for i, s := range stages {
+		plan.Stages[i] = message.PlannedStage{Service: s.Service, Stage: s.Stage, Items: s.Items, DueMs: millisUntil(now, s.Due)}
+	}
+	return plan
+}
+
+func stagesOf(now time.Time, in message.ItemPlan) []relay.PlannedStage {
+	stages := make([]relay.PlannedStage, len(in.Stages))
+	for i, s := range in.Stages {
+		stages[i] = relay.PlannedStage{Service: s.Service, Stage: s.Stage, Items: s.Items, Due: now.Add(millis(s.DueMs))}
+	}
+	return stages
+}
+
+func backlogsOf(in message.ItemBacklogs) []time.Duration {
+	backlogs := make([]time.Duration, len(in.BacklogMs))
+	for i, ms := range in.BacklogMs {
+		backlogs[i] = millis(ms)
+	}
+	return backlogs
+}
+
+func promptMessage(service string, q placement.Prompt) message.PromptPlace {
+	m := message.PromptPlace{
+		Service: service, Request: q.Request, Key: strconv.FormatUint(q.Key, 16), SharedTokens: q.SharedTokens, Tokens: q.Tokens,
+		SlackMs: int(q.Slack.Milliseconds()), Exclude: q.Exclude,
+	}
+	for dc, bytes := range q.InputBytes {
+		m.Pull = append(m.Pull, message.ResultBytes{DataCentre: dc, Bytes: int(bytes)})
+	}
+	return m
+}
+
+func promptOf(in message.PromptPlace) (placement.Prompt, error) {
+	key, err := strconv.ParseUint(in.Key, 16, 64)
+	if err != nil {
+		return placement.Prompt{}, errors.New("the key does not read")
+	}
+	q := placement.Prompt{
+		Request: in.Request, Key: key, SharedTokens: in.SharedTokens, Tokens: in.Tokens,
+		Slack: millis(in.SlackMs), Exclude: in.Exclude, InputBytes: make(map[string]int64, len(in.Pull)),
+	}
+	for _, b := range in.Pull {
+		q.InputBytes[b.DataCentre] = int64(b.Bytes)
+	}
+	return q, nil
+}
+
+// snapshotMessage is all that a view holds.
+func snapshotMessage(now time.Time, v *view.View) message.ViewSnapshot {
+	return message.ViewSnapshot{
+		Revision: int(v.Revision), Document: base64.StdEncoding.EncodeToString(v.Document), Targets: targetMessages(now, v.Directory),
+	}
+}
+
+func deltaMessage(now time.Time, d view.Delta) message.ViewSnapshot {
+	m := message.ViewSnapshot{Since: int(d.Since), Revision: int(d.Revision), Targets: []message.ViewTarget{}, Gone: d.Gone}
+	for _, t := range d.Targets {
+		m.Targets = append(m.Targets, targetMessage(now, t))
+	}
+	return m
+}
+
+// isDelta says whether a member sent what changed instead of all that it knows.
+func isDelta(s message.ViewSnapshot) bool { return s.Since > 0 }
+
+func deltaOf(now time.Time, s message.ViewSnapshot) view.Delta {
+	d := view.Delta{Since: int64(s.Since), Revision: int64(s.Revision), Gone: s.Gone}
+	for _, t := range s.Targets {
+		d.Targets = append(d.Targets, targetOf(now, t))
+	}
+	return d
+}
+
+// documentOf returns the text of the configuration that a member sent.
+func documentOf(s message.ViewSnapshot) ([]byte, error) {
+	document, err := base64.StdEncoding.DecodeString(s.Document)
+	return document, errors.Wrap(err, "the configuration is not base64")
+}
+
+// targetMessages lists the targets in the order of their identities.
+func targetMessages(now time.Time, d *directory.Directory) []message.ViewTarget {
+	list := make([]message.ViewTarget, 0, len(d.All()))
+	for _, id := range slices.Sorted(maps.Keys(d.All())) {
+		t, _ := d.Target(id)
+		list = append(list, targetMessage(now, t))
+	}
+	return list
+}
+
+// targetMessage describes a target to a member. One whose entry has expired and
+// which is about to be dropped has the shortest time there is: 0 says not expired.
+func targetMessage(now time.Time, t directory.Target) message.ViewTarget {
+	m := message.ViewTarget{
+		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: t.Slots,
+		Draining: t.State == directory.Draining,
+	}
+	if t.State == directory.Lapsed {
+		m.LapsesMs = max(millisUntil(now, t.LapsesAt), 1)
+	}
+	return m
+}
+
+// targetOf is a target that a member described.
+func targetOf(now time.Time, t message.ViewTarget) directory.Target {
+	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: t.Slots}
+	switch {
+	case t.Draining:
+		target.State = directory.Draining
+	case t.LapsesMs > 0:
+		target.State = directory.Lapsed
+		target.LapsesAt = now.Add(millis(t.LapsesMs))
+	}
+	return target
+}
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -3,14 +3,12 @@
 import (
 	"context"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
 const (
@@ -74,18 +72,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	in := message.PromptPlace{
-		Service: service, Request: q.Request, Key: strconv.FormatUint(q.Key, 16), SharedTokens: q.SharedTokens, Tokens: q.Tokens,
-		SlackMs: int(q.Slack.Milliseconds()), Exclude: q.Exclude,
-	}
-	for dc, bytes := range q.InputBytes {
-		in.Pull = append(in.Pull, message.ResultBytes{DataCentre: dc, Bytes: int(bytes)})
-	}
-	var out message.PromptPlaced
-	if err := p.g.call(ctx, http.MethodPost, owner, wire.PathPlace, in, &out); err != nil {
+	target, err := p.g.peers.placeAtMember(ctx, owner, service, q)
+	if err != nil {
+		p.g.log.Debug().Str("request", q.Request).Str("member", owner).Err(err).Msg("prompts: the member that places them gave no answer, choosing locally")
 		return "", false
 	}
-	return out.Target, out.Target != ""
+	return target, target != ""
 }
 
 // Prefilled implements relay.Placer.
@@ -98,7 +90,9 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		_ = p.g.call(ctx, http.MethodPost, owner, wire.PathRead, message.PromptRead{Service: service, Request: request, Whole: whole}, nil)
+		if err := p.g.peers.endPrefillAtMember(ctx, owner, service, request, whole); err != nil {
+			p.g.log.Debug().Str("request", request).Str("member", owner).Err(err).Msg("prompts: the end of a prefill was not reported")
+		}
 	}()
 }
 
@@ -107,18 +101,11 @@
 	if !readMessage(w, r, &in) {
 		return
 	}
-	key, err := strconv.ParseUint(in.Key, 16, 64)
+	q, err := promptOf(in)
 	if err != nil {
-		http.Error(w, "the key does not read", http.StatusBadRequest)
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	q := placement.Prompt{
-		Request: in.Request, Key: key, SharedTokens: in.SharedTokens, Tokens: in.Tokens,
-		Slack: time.Duration(in.SlackMs) * time.Millisecond, Exclude: in.Exclude, InputBytes: make(map[string]int64, len(in.Pull)),
-	}
-	for _, b := range in.Pull {
-		q.InputBytes[b.DataCentre] = int64(b.Bytes)
-	}
 	id, _ := g.prompts.placeHere(in.Service, q)
 	writeMessage(w, message.PromptPlaced{Target: id})
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
@@ -21,7 +20,7 @@
 	s := message.GatewayState{
 		Node: g.PeerAddress(), DataCentre: g.cfg.DataCentre, Phase: g.phase(),
 		Version: int(v.Version()), Revision: int(v.Revision), SourceAgeMs: g.sourceAge(), InFlight: int(g.inflight.Load()),
-		Targets: targetsOf(g.now(), v.Directory), Services: []message.BatchState{},
+		Targets: targetMessages(g.now(), v.Directory), Services: []message.BatchState{},
 	}
 	s.Members = g.members.list()
 	states := g.batches.states(ctx)
@@ -55,13 +54,3 @@
 	}
 	return int(g.now().Sub(g.source.heard).Milliseconds())
 }
-
-// targetsOf lists the targets in the order of their identities.
-func targetsOf(now time.Time, d *directory.Directory) []message.ViewTarget {
-	list := make([]message.ViewTarget, 0, len(d.All()))
-	for _, id := range slices.Sorted(maps.Keys(d.All())) {
-		t, _ := d.Target(id)
-		list = append(list, viewTarget(now, t))
-	}
-	return list
-}
--- a/internal/gateway/views.go
+++ b/internal/gateway/views.go
@@ -2,24 +2,12 @@
 
 import (
 	"context"
-	"encoding/base64"
 	"net/http"
-	"net/url"
 	"strconv"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/wire"
-)
-
-// Parameters of a member's question for what another knows.
-const (
-	// paramSince is the revision since which the one who asks wants the changes.
-	paramSince = "since"
-	// paramVersion is the version that the one who asks knows.
-	paramVersion = "version"
 )
 
 // deltaTimeout bounds asking a member for what changed.
@@ -48,14 +36,11 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	v := g.view.Load()
-	query := url.Values{
-		paramSince: {strconv.FormatInt(v.Revision, 10)}, paramVersion: {strconv.FormatInt(v.Version(), 10)},
-	}
-	var snapshot message.ViewSnapshot
-	if err := g.call(ctx, http.MethodGet, member, wire.PathView+"?"+query.Encode(), nil, &snapshot); err != nil {
+	snapshot, err := g.peers.viewAtMember(ctx, member, v.Revision, v.Version())
+	if err != nil {
 		return
 	}
-	if snapshot.Since > 0 {
+	if isDelta(snapshot) {
 		g.takeDelta(member, snapshot)
 		return
 	}
@@ -64,15 +49,12 @@
 
 // takeDelta takes in what changed at a member.
 func (g *Gateway) takeDelta(from string, s message.ViewSnapshot) {
-	now := g.now()
-	d := view.Delta{Since: int64(s.Since), Revision: int64(s.Revision), Gone: s.Gone}
+	d := deltaOf(g.now(), s)
 	ch := view.Changes{Revision: d.Revision}
-	for _, t := range s.Targets {
-		target := targetOf(now, t)
-		d.Targets = append(d.Targets, target)
-		ch.List = append(ch.List, view.TargetChange{Target: target})
+	for _, t := range d.Targets {
+		ch.List = append(ch.List, view.TargetChange{Target: t})
 	}
-	for _, id := range s.Gone {
+	for _, id := range d.Gone {
 		ch.List = append(ch.List, view.TargetGone{ID: id})
 	}
 	g.log.Info().Str("member", from).Int("since", s.Since).Int("revision", s.Revision).Msg("view: changes told by a member")
@@ -82,7 +64,7 @@
 // takeView takes in all that a member knows.
 func (g *Gateway) takeView(from string, s message.ViewSnapshot) {
 	ch := view.Changes{Revision: int64(s.Revision)}
-	document, err := base64.StdEncoding.DecodeString(s.Document)
+	document, err := documentOf(s)
 	if err != nil {
 		return
 	}
@@ -100,32 +82,6 @@
 	g.apply(view.Changes{}, func(now time.Time, v *view.View, _ time.Time) *view.View { return v.WithSnapshot(now, ch, time.Time{}) })
 }
 
-// targetOf reads a target that a member told of.
-func targetOf(now time.Time, t message.ViewTarget) directory.Target {
-	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: t.Slots}
-	switch {
-	case t.Draining:
-		target.State = directory.Draining
-	case t.LapsesMs > 0:
-		target.State = directory.Lapsed
-		target.LapsesAt = now.Add(time.Duration(t.LapsesMs) * time.Millisecond)
-	}
-	return target
-}
-
-// viewTarget describes a target to a member. One that has lapsed and is about to
-// be given up is told with the shortest time there is.
-func viewTarget(now time.Time, t directory.Target) message.ViewTarget {
-	m := message.ViewTarget{
-		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: t.Slots,
-		Draining: t.State == directory.Draining,
-	}
-	if t.State == directory.Lapsed {
-		m.LapsesMs = max(int(t.LapsesAt.Sub(now).Milliseconds()), 1)
-	}
-	return m
-}
-
 func (g *Gateway) serveView(w http.ResponseWriter, r *http.Request) {
 	v := g.view.Load()
 	if v.Catalog == nil {
@@ -140,15 +96,5 @@
 			return
 		}
 	}
-	writeMessage(w, message.ViewSnapshot{
-		Revision: int(v.Revision), Document: base64.StdEncoding.EncodeToString(v.Document), Targets: targetsOf(now, v.Directory),
-	})
-}
-
-func deltaMessage(now time.Time, d view.Delta) message.ViewSnapshot {
-	m := message.ViewSnapshot{Since: int(d.Since), Revision: int(d.Revision), Targets: []message.ViewTarget{}, Gone: d.Gone}
-	for _, t := range d.Targets {
-		m.Targets = append(m.Targets, viewTarget(now, t))
-	}
-	return m
+	writeMessage(w, snapshotMessage(now, v))
 }
