--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -8,10 +8,14 @@
 )
 
 // linkPerCore is the bandwidth that work for other nodes needs beside a core, in
-// Mbit/s. Set with 3bf0bbd, not measured by itself: it tells machines of 0.8 of a core
-// and 200 Mbit/s from those of 0.192 and 10.
+// Mbit/s. Set with 3bf0bbd, not measured by itself: it is the ratio of the strong
+// machines of the grown sites, which have 200 Mbit/s and 0.8 of a core; the weak ones
+// have 10 and 0.192.
 const linkPerCore = 250.0
 
+// thousandths are the parts of a core in which a capacity is given.
+const thousandths = 1000
+
 // capacityOf decides what a machine can carry of the work that one node does for all,
 // in thousandths of a core; 0 for unknown. Inputs, from the settings: its processor in
 // cores, and its link in Mbit/s, where that is known; the scarcer of both counts.
@@ -24,7 +28,7 @@
 	if cfg.LinkMbps > 0 {
 		cores = min(cores, cfg.LinkMbps/linkPerCore)
 	}
-	return int(1000 * cores)
+	return int(thousandths * cores)
 }
 
 const (
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -19,17 +19,20 @@
 	// readerWait and readerSlack are for the readers. A connection that has
 	// silently died is noticed within both: 1.6 s, where 2.7 s broke the promise on
 	// new configurations (ece0c10).
-	readerWait  = 1200 * time.Millisecond
+	readerWait = 1200 * time.Millisecond
+	// readerSlack: see readerWait.
 	readerSlack = 400 * time.Millisecond
 	// watchWait and watchSlack are for the other nodes. Their watches are ended
 	// when a member is known to be ahead, so that they may wait for long: with 2 s
 	// at every node the calls to the store were the largest price of a grown day
 	// (aae942d).
-	watchWait  = 20 * time.Second
+	watchWait = 20 * time.Second
+	// watchSlack: see watchWait. Not measured.
 	watchSlack = 700 * time.Millisecond
 	// probeWait and probeSlack are for a source that is down, so that the end of
 	// its trouble is noticed soon (b3a4e62). Not measured by themselves.
-	probeWait  = 100 * time.Millisecond
+	probeWait = 100 * time.Millisecond
+	// probeSlack: see probeWait.
 	probeSlack = 600 * time.Millisecond
 	// snapshotTimeout bounds the time to the head of the whole. Not measured.
 	snapshotTimeout = 3 * time.Second
@@ -41,12 +44,14 @@
 
 // How long a node pauses between its calls to the source.
 const (
-	// gatherChanges is how long changes gather between two watches: 250 ms in place
-	// of 100 saves calls to the store (aae942d, measured with 100).
+	// gatherChanges is how long changes gather between two watches, which saves calls
+	// to the source. Set with aae942d, whose measured run had 100 ms; not measured by
+	// itself.
 	gatherChanges = 250 * time.Millisecond
 	// minRetry and maxRetry bound the pause after a failure, at a node without a
 	// configuration and at readers. Not measured.
 	minRetry = 100 * time.Millisecond
+	// maxRetry: see minRetry. Not measured.
 	maxRetry = 500 * time.Millisecond
 	// followerRetry is the longest pause after a failure at the other nodes; the
 	// shortest is half of it. Not measured by itself; set with f2b371a.
--- a/internal/gateway/batches_test.go
+++ b/internal/gateway/handback_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"testing"
 	"time"
 
@@ -14,40 +13,32 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/pkg/settings"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// slowTargets make items once they are told to.
+// slowTargets run batches once they are released.
 type slowTargets struct {
-	begun   chan int
+	noTargets
+	// started receives the size of each batch.
+	started chan int
 	release chan struct{}
 }
 
-func (s *slowTargets) Send(context.Context, relay.Call) (*relay.Reply, *verdict.Error) {
-	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
-}
-
 func (s *slowTargets) RunBatch(_ context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error) {
-	s.begun <- len(c.Items)
+	s.started <- len(c.Items)
 	<-s.release
 	outcomes := make([]batching.Outcome, len(c.Items))
 	for i := range outcomes {
-		outcomes[i].Handle = "made"
+		outcomes[i].Handle = "result"
 	}
 	return outcomes, nil
 }
 
-func (s *slowTargets) Release(context.Context, directory.Target, []string) error { return nil }
-
 // oneTargetGateway returns a gateway with a batch service of one target. It does
 // not run.
 func oneTargetGateway(t *testing.T, targets Targets) *Gateway {
 	t.Helper()
-	g, err := New(&settings.Settings{
-		DataCentre: "d", Listen: settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Admin: "127.0.0.1:0"},
-		Gateway: &settings.Gateway{Store: "-", Ready: "127.0.0.1:0"},
-	}, Ports{Targets: targets, Callers: func(Relay) http.Handler { return http.NotFoundHandler() }})
+	g, err := New(localSettings(), Ports{Targets: targets, Callers: noCallers})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,10 +74,10 @@
 
 func TestHandBack(t *testing.T) {
 	group := relay.Group{Count: 1, Bytes: 1, Due: time.Now().Add(time.Hour), Deadline: time.Now().Add(time.Hour)}
-	convey.Convey("Given a node with a call at work and a group that waits", t, func() {
-		targets := &slowTargets{begun: make(chan int), release: make(chan struct{})}
+	convey.Convey("Given a node with a batch at a target and a group that waits", t, func() {
+		targets := &slowTargets{started: make(chan int), release: make(chan struct{})}
 		g := oneTargetGateway(t, targets)
-		ask := func() <-chan result {
+		run := func() <-chan result {
 			done := make(chan result, 1)
 			go func() {
 				results, err := g.coordinators.run(t.Context(), "s", group, nil)
@@ -94,40 +85,40 @@
 			}()
 			return done
 		}
-		atWork := ask()
-		<-targets.begun
-		waiting := ask()
+		running := run()
+		<-targets.started
+		waiting := run()
 		for g.coordinators.states(t.Context())["s"].Waiting == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		g.departure.begin(g.now())
 		g.gossip.publishStatus()
-		convey.Convey("when it leaves and there is another, what waits is handed back and what is at work is finished", func() {
+		convey.Convey("when it leaves and there is another, what waits is handed back and the batch is finished", func() {
 			g.members.exchange(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
 			g.coordinators.handBack()
 			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
 			convey.Convey("nor does it take more", func() {
-				convey.So(ended(ask()).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
+				convey.So(ended(run()).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
 			})
 			close(targets.release)
-			convey.So(ended(atWork).results, convey.ShouldHaveLength, 1)
+			convey.So(ended(running).results, convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("when another member takes the duty over, what waits goes there and what still comes is made", func() {
+		convey.Convey("when another member comes to coordinate the service, what waits goes there and what still comes is run", func() {
 			g.departure.since.Store(nil)
 			g.gossip.publishStatus()
 			g.members.exchange(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
 			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonMoved)
-			late := ask()
+			late := run()
 			close(targets.release)
-			convey.So(ended(atWork).results, convey.ShouldHaveLength, 1)
-			convey.So(<-targets.begun, convey.ShouldEqual, 1)
+			convey.So(ended(running).results, convey.ShouldHaveLength, 1)
+			convey.So(<-targets.started, convey.ShouldEqual, 1)
 			convey.So(ended(late).err, convey.ShouldBeNil)
 		})
 		convey.Convey("when it leaves as the last one, it goes on with both", func() {
 			g.coordinators.handBack()
 			close(targets.release)
-			convey.So(ended(atWork).err, convey.ShouldBeNil)
-			convey.So(<-targets.begun, convey.ShouldEqual, 1)
+			convey.So(ended(running).err, convey.ShouldBeNil)
+			convey.So(<-targets.started, convey.ShouldEqual, 1)
 			convey.So(ended(waiting).err, convey.ShouldBeNil)
 		})
 	})
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -10,11 +10,15 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-// Limits of the HTTP servers. Not measured.
+// Limits of the HTTP servers.
 const (
-	readTimeout    = 30 * time.Second
-	headerTimeout  = 5 * time.Second
-	idleTimeout    = 60 * time.Second
+	// readTimeout bounds reading a request with its body. Not measured.
+	readTimeout = 30 * time.Second
+	// headerTimeout bounds reading a request's header. Not measured.
+	headerTimeout = 5 * time.Second
+	// idleTimeout is how long an unused connection stays open. Not measured.
+	idleTimeout = 60 * time.Second
+	// maxHeaderBytes bounds a request's header. Not measured.
 	maxHeaderBytes = 64 << 10
 )
 
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -74,7 +74,7 @@
 	return m.roster.LastContact(address)
 }
 
-// isReader says whether this node is one of those that look at the source often.
+// isReader says whether this node is one of those that watch the source for all.
 func (m *members) isReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,7 +108,7 @@
 	return ahead{member: newest, version: m.roster.VersionOf(newest), followsReaders: m.roster.FollowsReaders(now)}
 }
 
-// beginRound starts a round of gossip: it raises this node's beat, forgets
+// beginRound starts a round of gossip: it raises this node's heartbeat, drops
 // members that have been silent for long, and returns up to n partners and a
 // seed.
 func (m *members) beginRound(n int) []string {
@@ -127,7 +127,7 @@
 	return m.roster.Gossip(m.now())
 }
 
-// mergeFrom takes in the answer of a member that was called.
+// mergeFrom merges the answer of a member that was called, which is a sign of life.
 func (m *members) mergeFrom(address string, in message.Gossip) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,7 +136,7 @@
 	m.roster.Contacted(now, address)
 }
 
-// exchange takes in what a member reported and returns what to answer.
+// exchange merges what a member reported and returns what to answer.
 func (m *members) exchange(in message.Gossip) message.Gossip {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/peerclient_test.go
+++ b/internal/gateway/peerclient_test.go
@@ -14,15 +14,15 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-func TestAskItems(t *testing.T) {
+func TestOnlyUnreachableMembersCountAsLost(t *testing.T) {
+	peers := newPeerClient(time.Now)
 	convey.Convey("Given a member that keeps items waiting", t, func() {
 		release := make(chan struct{})
 		member := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 		defer member.Close()
 		defer close(release)
 		address := strings.TrimPrefix(member.URL, "http://")
-		peers := newPeerClient(time.Now)
-		convey.Convey("items whose time is over are late, and the member is not taken for lost", func() {
+		convey.Convey("items whose time is over are late, and the member does not count as lost", func() {
 			group := relay.Group{Count: 1, Deadline: time.Now().Add(20 * time.Millisecond)}
 			_, err := peers.runAtMember(t.Context(), address, "s", group, func() {})
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonDeadline)
@@ -35,7 +35,6 @@
 		})
 	})
 	convey.Convey("A member that takes no connection is lost", t, func() {
-		peers := newPeerClient(time.Now)
 		_, err := peers.runAtMember(t.Context(), "127.0.0.1:1", "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonConnection)
 	})
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -29,6 +29,9 @@
 	paramVersion = "version"
 )
 
+// keyBase is the base in which the key of a prompt is sent.
+const keyBase = 16
+
 // millis is a number of milliseconds as a duration.
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
@@ -108,7 +111,7 @@
 
 func promptMessage(service string, q placement.Prompt) message.PromptPlace {
 	m := message.PromptPlace{
-		Service: service, Request: q.Request, Key: strconv.FormatUint(q.Key, 16), SharedTokens: q.SharedTokens, Tokens: q.Tokens,
+		Service: service, Request: q.Request, Key: strconv.FormatUint(q.Key, keyBase), SharedTokens: q.SharedTokens, Tokens: q.Tokens,
 		SlackMs: int(q.Slack.Milliseconds()), Exclude: q.Exclude,
 	}
 	for dc, bytes := range q.InputBytes {
@@ -118,7 +121,7 @@
 }
 
 func promptOf(in message.PromptPlace) (placement.Prompt, error) {
-	key, err := strconv.ParseUint(in.Key, 16, 64)
+	key, err := strconv.ParseUint(in.Key, keyBase, 64)
 	if err != nil {
 		return placement.Prompt{}, errors.New("the key does not read")
 	}
@@ -168,8 +171,7 @@
 func targetMessages(now time.Time, d *directory.Directory) []message.ViewTarget {
 	list := make([]message.ViewTarget, 0, len(d.All()))
 	for _, id := range slices.Sorted(maps.Keys(d.All())) {
-		t, _ := d.Target(id)
-		list = append(list, targetMessage(now, t))
+		list = append(list, targetMessage(now, d.All()[id]))
 	}
 	return list
 }
--- /dev/null
+++ b/internal/gateway/peermessages_test.go
@@ -0,0 +1,87 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
+	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// TestMessagesKeepTheirContent sends each kind of message from a node to one whose
+// clock is an hour ahead.
+func TestMessagesKeepTheirContent(t *testing.T) {
+	sent := time.Now()
+	received := sent.Add(time.Hour)
+	convey.Convey("A group keeps its times as the time that is left", t, func() {
+		g := relay.Group{
+			Request: "r", Stage: 2, Count: 3, Source: "s", Inputs: []string{"i"}, Bytes: 4,
+			Due: sent.Add(time.Second), Deadline: sent.Add(-time.Second), Priority: 5, DataCentre: "d",
+		}
+		got := groupOf(received, groupMessage(sent, "service", g))
+		g.Due, g.Deadline = received.Add(time.Second), received.Add(-time.Second)
+		convey.So(got, convey.ShouldResemble, g)
+	})
+	convey.Convey("So does a plan, and its backlogs are durations", t, func() {
+		stages := []relay.PlannedStage{{Service: "s", Stage: 1, Items: 2, Due: sent.Add(time.Minute)}}
+		got := stagesOf(received, planMessage(sent, "r", stages))
+		stages[0].Due = received.Add(time.Minute)
+		convey.So(got, convey.ShouldResemble, stages)
+		convey.So(backlogsOf(message.ItemBacklogs{BacklogMs: []int{250, 0}}), convey.ShouldResemble, []time.Duration{250 * time.Millisecond, 0})
+	})
+	convey.Convey("Results and refusals stay what they are", t, func() {
+		results := []batching.Result{{Handle: "h", Target: "t", DataCentre: "d"}}
+		convey.So(resultsOf(answerMessage(results, nil).Results), convey.ShouldResemble, results)
+		refusal := verdict.New(verdict.NotRun, verdict.ReasonOverload, "why").WithRetryAfter(time.Second)
+		got := refusalOf(answerMessage(nil, refusal))
+		convey.So(got.Reason(), convey.ShouldEqual, verdict.ReasonOverload)
+		convey.So(got.Text(), convey.ShouldEqual, "why")
+		convey.So(got.RetryAfter(), convey.ShouldEqual, time.Second)
+	})
+	convey.Convey("A prompt keeps its key in all its bits", t, func() {
+		q := placement.Prompt{
+			Request: "r", Key: 1<<63 + 1, SharedTokens: 2, Tokens: 3, Slack: time.Second, Exclude: []string{"e"},
+			InputBytes: map[string]int64{"d": 4},
+		}
+		got, err := promptOf(promptMessage("s", q))
+		convey.So(err, convey.ShouldBeNil)
+		convey.So(got, convey.ShouldResemble, q)
+		convey.Convey("and one that does not parse is refused", func() {
+			_, err := promptOf(message.PromptPlace{Key: "not a number"})
+			convey.So(err, convey.ShouldNotBeNil)
+		})
+	})
+	convey.Convey("A target keeps its state, and the time until it expires", t, func() {
+		target := directory.Target{ID: "t", Service: "s", Address: "a", DataCentre: "d", Slots: 1}
+		convey.So(targetOf(received, targetMessage(sent, target)), convey.ShouldResemble, target)
+		target.State = directory.Draining
+		convey.So(targetOf(received, targetMessage(sent, target)), convey.ShouldResemble, target)
+		target.State, target.LapsesAt = directory.Lapsed, sent.Add(time.Second)
+		got := targetOf(received, targetMessage(sent, target))
+		convey.So(got.State, convey.ShouldEqual, directory.Lapsed)
+		convey.So(got.LapsesAt, convey.ShouldEqual, received.Add(time.Second))
+		convey.Convey("and is still expired when that time is over", func() {
+			got := targetOf(received, targetMessage(sent.Add(time.Minute), target))
+			convey.So(got.State, convey.ShouldEqual, directory.Lapsed)
+		})
+	})
+	convey.Convey("A delta stays a delta, and a whole view a whole", t, func() {
+		d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t"}}, Gone: []string{"gone"}}
+		m := deltaMessage(sent, d)
+		convey.So(isDelta(m), convey.ShouldBeTrue)
+		convey.So(deltaOf(received, m), convey.ShouldResemble, d)
+		whole := snapshotMessage(sent, view.New())
+		convey.So(isDelta(whole), convey.ShouldBeFalse)
+		convey.Convey("whose configuration is refused when it is not base64", func() {
+			_, err := documentOf(message.ViewSnapshot{Document: "!"})
+			convey.So(err, convey.ShouldNotBeNil)
+		})
+	})
+}
--- a/internal/gateway/relayed_test.go
+++ b/internal/gateway/readers_test.go
@@ -1,23 +1,17 @@
-package gateway_test
+package gateway
 
 import (
 	"context"
 	"fmt"
-	"net/http"
 	"sync"
 	"testing"
 	"time"
 
 	"github.com/smartystreets/goconvey/convey"
 
-	"github.com/honeydyke/honeydyke/internal/gateway"
-	"github.com/honeydyke/honeydyke/internal/gateway/batching"
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
-	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
-	"github.com/honeydyke/honeydyke/pkg/settings"
-	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
 // store is a source that several nodes read; each sees it through a reader.
@@ -25,11 +19,12 @@
 	mu       sync.Mutex
 	revision int64
 	changes  []view.Changes
-	news     chan struct{}
+	// changed is closed with the next change.
+	changed chan struct{}
 }
 
 func newStore() *store {
-	s := &store{news: make(chan struct{})}
+	s := &store{changed: make(chan struct{})}
 	c, err := catalog.New(1, nil, nil, nil, catalog.Limits{})
 	if err != nil {
 		panic(err)
@@ -43,8 +38,8 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.changes = append(s.changes, view.Changes{Revision: s.revision, List: []view.Change{c}})
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *store) since(after int64) (view.Changes, <-chan struct{}) {
@@ -56,7 +51,7 @@
 			all.List = append(all.List, ch.List...)
 		}
 	}
-	return all, s.news
+	return all, s.changed
 }
 
 // reader is one node's way to the store; it remembers how often it was used.
@@ -90,16 +85,16 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		news, more := r.since(after)
-		if len(news.List) > 0 {
+		changes, more := r.since(after)
+		if len(changes.List) > 0 {
 			answered()
-			return news, nil
+			return changes, nil
 		}
 		select {
 		case <-more:
 		case <-timer.C:
 			answered()
-			return news, nil
+			return changes, nil
 		case <-ctx.Done():
 			return view.Changes{}, ctx.Err()
 		}
@@ -111,42 +106,25 @@
 	return view.CatalogChange{Catalog: c, Document: document}, err
 }
 
-// noTargets are targets that nobody calls.
-type noTargets struct{}
-
-func (noTargets) Send(context.Context, relay.Call) (*relay.Reply, *verdict.Error) {
-	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
-}
-
-func (noTargets) RunBatch(context.Context, gateway.BatchCall) ([]batching.Outcome, *verdict.Error) {
-	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
-}
-
-func (noTargets) Release(context.Context, directory.Target, []string) error { return nil }
-
 const (
-	fleetSize  = 14
-	strongOnes = 5
+	fleetSize   = 14
+	strongNodes = 5
 )
 
-func startFleet(t *testing.T, s *store) ([]*gateway.Gateway, []*reader) {
+func startFleet(t *testing.T, s *store) ([]*Gateway, []*reader) {
 	t.Helper()
-	var nodes []*gateway.Gateway
+	var nodes []*Gateway
 	var readers []*reader
 	var seeds []string
 	for i := range fleetSize {
 		cores := 0.2
-		if i < strongOnes {
+		if i < strongNodes {
 			cores = 1
 		}
-		cfg := &settings.Settings{
-			DataCentre: "d", Listen: settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Admin: "127.0.0.1:0"},
-			Peers: seeds, Gateway: &settings.Gateway{Store: "-", Ready: "127.0.0.1:0", Cores: cores, GraceMs: 2000},
-		}
+		cfg := localSettings()
+		cfg.Peers, cfg.Gateway.Cores, cfg.Gateway.GraceMs = seeds, cores, 2000
 		r := &reader{store: s}
-		g, err := gateway.New(cfg, gateway.Ports{
-			Source: r, Targets: noTargets{}, Callers: func(gateway.Relay) http.Handler { return http.NotFoundHandler() },
-		})
+		g, err := New(cfg, Ports{Source: r, Targets: noTargets{}, Callers: noCallers})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,8 +155,8 @@
 	t.Fatalf("not within 30 s: %s", what)
 }
 
-// hearing counts the members that a node knows to hear the source.
-func hearing(g *gateway.Gateway) int {
+// reaching counts the members that a node knows to reach the source.
+func reaching(g *Gateway) int {
 	n := 0
 	for _, m := range g.State().Members {
 		if m.Hears {
@@ -188,7 +166,7 @@
 	return n
 }
 
-func knows(g *gateway.Gateway, target string) bool {
+func knows(g *Gateway, target string) bool {
 	for _, t := range g.State().Targets {
 		if t.Id == target {
 			return true
@@ -197,13 +175,13 @@
 	return false
 }
 
-func TestRelayedNews(t *testing.T) {
+func TestFewNodesWatchTheSourceForAll(t *testing.T) {
 	convey.Convey("Of many nodes", t, func() {
 		s := newStore()
 		nodes, readers := startFleet(t, s)
 		eventually(t, "all nodes know each other", func() bool {
 			for _, n := range nodes {
-				if hearing(n) < strongOnes {
+				if reaching(n) < strongNodes {
 					return false
 				}
 			}
@@ -231,14 +209,14 @@
 			s.publish(view.TargetChange{Target: directory.Target{ID: id, Service: "s"}})
 			eventually(t, "all nodes know "+id, allKnow(id))
 		}
-		convey.Convey("few ask the source for news, and all hear them", func() {
-			asking := 0
+		convey.Convey("few watch the source, and all receive what changes", func() {
+			watching := 0
 			for i, r := range readers {
 				if r.used()-before[i] >= 4 {
-					asking++
+					watching++
 				}
 			}
-			convey.So(asking, convey.ShouldBeBetweenOrEqual, 1, strongOnes)
+			convey.So(watching, convey.ShouldBeBetweenOrEqual, 1, strongNodes)
 		})
 	})
 }
--- /dev/null
+++ b/internal/gateway/rules_test.go
@@ -0,0 +1,120 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
+	"github.com/honeydyke/honeydyke/pkg/settings"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+func TestCountsAsAlive(t *testing.T) {
+	convey.Convey("A sign of life counts for aliveFor, and a check ends before the next", t, func() {
+		convey.So(countsAsAlive(0), convey.ShouldBeTrue)
+		convey.So(countsAsAlive(aliveFor-1), convey.ShouldBeTrue)
+		convey.So(countsAsAlive(aliveFor), convey.ShouldBeFalse)
+		convey.So(aliveTimeout, convey.ShouldBeLessThan, aliveFor)
+	})
+}
+
+func TestTryElsewhere(t *testing.T) {
+	elsewhere := func(reason verdict.Reason) bool { return tryElsewhere(verdict.New(verdict.NotRun, reason, "why")) }
+	convey.Convey("A group goes to another member when the fault is the member's", t, func() {
+		convey.So(elsewhere(verdict.ReasonConnection), convey.ShouldBeTrue)
+		convey.So(elsewhere(verdict.ReasonLeaving), convey.ShouldBeTrue)
+		convey.So(elsewhere(verdict.ReasonMoved), convey.ShouldBeTrue)
+	})
+	convey.Convey("but not when it is the group's", t, func() {
+		convey.So(elsewhere(verdict.ReasonDeadline), convey.ShouldBeFalse)
+		convey.So(elsewhere(verdict.ReasonCancelled), convey.ShouldBeFalse)
+		convey.So(elsewhere(verdict.ReasonNoTarget), convey.ShouldBeFalse)
+	})
+}
+
+func TestHandsBack(t *testing.T) {
+	convey.Convey("Waiting groups are handed back once, when the service's owner has changed", t, func() {
+		convey.So(handsBack(true, false, false), convey.ShouldBeTrue)
+		convey.Convey("not while this node owns the service, nor when it did not before", func() {
+			convey.So(handsBack(true, true, false), convey.ShouldBeFalse)
+			convey.So(handsBack(false, false, false), convey.ShouldBeFalse)
+			convey.So(handsBack(false, true, false), convey.ShouldBeFalse)
+		})
+		convey.Convey("nor by a leaving node, which has handed them back before", func() {
+			convey.So(handsBack(true, false, true), convey.ShouldBeFalse)
+		})
+	})
+}
+
+func TestInputsRead(t *testing.T) {
+	group := func(inputs []string, onInputsRead func()) *pendingGroup {
+		return &pendingGroup{group: relay.Group{Inputs: inputs}, onInputsRead: onInputsRead, unread: 2}
+	}
+	inputs, report := []string{"one"}, func() {}
+	convey.Convey("Inputs count as read once all items are being read", t, func() {
+		g := group(inputs, report)
+		convey.So(g.noteReading(), convey.ShouldBeFalse)
+		convey.So(g.noteReading(), convey.ShouldBeTrue)
+	})
+	convey.Convey("never where there are none, or where nobody waits to release them", t, func() {
+		for _, g := range []*pendingGroup{group(nil, report), group(inputs, nil)} {
+			convey.So(g.noteReading(), convey.ShouldBeFalse)
+			convey.So(g.noteReading(), convey.ShouldBeFalse)
+		}
+	})
+}
+
+func TestCapacity(t *testing.T) {
+	capacity := func(cores, linkMbps float64) int {
+		return capacityOf(&settings.Gateway{Cores: cores, LinkMbps: linkMbps})
+	}
+	convey.Convey("The scarcer of processor and link bounds what a machine can carry", t, func() {
+		convey.So(capacity(0.8, 200), convey.ShouldEqual, 800)
+		convey.So(capacity(0.8, 25), convey.ShouldEqual, 100)
+		convey.So(capacity(0.192, 1000), convey.ShouldEqual, 192)
+	})
+	convey.Convey("A link that is unknown does not count; a processor that is unknown makes all unknown", t, func() {
+		convey.So(capacity(0.4, 0), convey.ShouldEqual, 400)
+		convey.So(capacity(0, 1000), convey.ShouldEqual, 0)
+	})
+}
+
+func TestRetrySharers(t *testing.T) {
+	convey.Convey("A node that cannot know all members yet has no part of the extra", t, func() {
+		convey.So(retrySharers(membersKnown-1, 80), convey.ShouldEqual, retrybudget.UnknownNodes)
+	})
+	convey.Convey("Later it shares it with half as many again as were known at once", t, func() {
+		convey.So(retrySharers(membersKnown, 80), convey.ShouldEqual, 120)
+		convey.So(retrySharers(membersKnown, 1), convey.ShouldEqual, 1)
+	})
+}
+
+func TestRetryPolicy(t *testing.T) {
+	sharers := func() int { return 7 }
+	convey.Convey("The settings bound the retries", t, func() {
+		p := retryPolicy(&settings.Gateway{Retries: &settings.Retries{Ratio: 0.2, WindowMs: 5000, Extra: 54, MaxNodes: 30}}, sharers)
+		convey.So(p.Ratio, convey.ShouldEqual, 0.2)
+		convey.So(p.Window, convey.ShouldEqual, 5*time.Second)
+		convey.So(p.Extra, convey.ShouldEqual, 54)
+		convey.So(p.MaxNodes, convey.ShouldEqual, 30)
+		convey.So(p.Nodes(), convey.ShouldEqual, 7)
+	})
+	convey.Convey("What they do not name has its default", t, func() {
+		p := retryPolicy(&settings.Gateway{Retries: &settings.Retries{Ratio: 0.2, WindowMs: 5000, Extra: 54}}, sharers)
+		convey.So(p.MaxNodes, convey.ShouldEqual, defaultMaxNodes)
+		p = retryPolicy(&settings.Gateway{}, sharers)
+		convey.So(p.Ratio, convey.ShouldEqual, defaultRetryRatio)
+		convey.So(p.Window, convey.ShouldEqual, defaultRetryWindow)
+		convey.So(p.Extra, convey.ShouldEqual, defaultRetryExtra)
+	})
+}
+
+func TestCallerLimit(t *testing.T) {
+	convey.Convey("Callers may take a part of the descriptors", t, func() {
+		convey.So(callerLimit(4100), convey.ShouldEqual, 2460)
+		convey.So(callerLimit(0), convey.ShouldEqual, 614)
+	})
+}
--- /dev/null
+++ b/internal/gateway/setup_test.go
@@ -0,0 +1,37 @@
+package gateway
+
+import (
+	"context"
+	"net/http"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/pkg/settings"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// localSettings are those of a node on free local ports.
+func localSettings() *settings.Settings {
+	const free = "127.0.0.1:0"
+	return &settings.Settings{
+		DataCentre: "d", Listen: settings.Listen{Callers: free, Peers: free, Admin: free},
+		Gateway: &settings.Gateway{Store: "-", Ready: free},
+	}
+}
+
+// noCallers is an adapter's handler that nobody calls.
+func noCallers(Relay) http.Handler { return http.NotFoundHandler() }
+
+// noTargets are targets that nobody calls.
+type noTargets struct{}
+
+func (noTargets) Send(context.Context, relay.Call) (*relay.Reply, *verdict.Error) {
+	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
+}
+
+func (noTargets) RunBatch(context.Context, BatchCall) ([]batching.Outcome, *verdict.Error) {
+	return nil, verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
+}
+
+func (noTargets) Release(context.Context, directory.Target, []string) error { return nil }
--- a/internal/gateway/sourcehealth.go
+++ b/internal/gateway/sourcehealth.go
@@ -8,14 +8,13 @@
 
 const (
 	// reachableFor is how long after its last answer the source counts as reachable
-	// from this node: a reader's watch ends within 1.6 s (readerWait and readerSlack),
-	// and its result takes a round of gossip to spread. Not measured by itself; set
-	// with f2b371a.
+	// from this node. It is above the 1.6 s within which a reader's watch ends
+	// (readerWait and readerSlack). Set with f2b371a, not measured by itself.
 	reachableFor = 2500 * time.Millisecond
 	// behindAfter is how long after a member a node may receive the same change by
-	// itself: changes gather for gatherChanges between two watches, the rest is for
-	// the answer. Set with ece0c10, which brought a change to all nodes by 9.3 s of a
-	// day where it took until 11.9 s before.
+	// itself. It is above gatherChanges, for which changes gather between two watches.
+	// Set with ece0c10, together with other changes: a configuration was in force
+	// everywhere at 9.3 s of a day, at 11.9 s before.
 	behindAfter = 400 * time.Millisecond
 )
 
@@ -114,7 +113,8 @@
 //
 // Too early costs a call between members for a change that the source delivers
 // anyway; too late, the node works by an older configuration and by targets that
-// are leaving. See docs/decisions/0011-the-gateway.md, "News of the store".
+// are leaving. See docs/decisions/0011-the-gateway.md, the part on changes of the
+// store.
 func countsAsBehind(aheadFor time.Duration, followsReaders, unreachable bool) bool {
 	return followsReaders || unreachable || aheadFor >= behindAfter
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -20,7 +20,8 @@
 // who still connect, and giveUpMargin is above stopMargin, for the refusals to
 // reach their callers before the end.
 const (
-	// defaultGrace is the time to stop when the settings name none. Not measured.
+	// defaultGrace is the time to stop when the settings name none: the grace period
+	// of the users' deployments.
 	defaultGrace = 8 * time.Second
 	// balancerNotices is how long the balancer is given to send nobody new: a day of
 	// the users' bench still opened a connection 3.001 s after the signal (5bff5c3).
