--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,6 +74,9 @@
 // WithLogger sets the log; it is silent by default.
 func WithLogger(log zerolog.Logger) Option { return func(g *Gateway) { g.log = log } }
 
+// WithClock sets the clock, which must be monotonic; time.Now by default.
+func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.now = now } }
+
 // New returns a gateway that listens but serves nothing until Run. A port 0 in
 // the settings takes a free port.
 func New(cfg *settings.Settings, ports Ports, opts ...Option) (*Gateway, error) {
@@ -171,6 +174,9 @@
 // State describes what the node knows and holds.
 func (g *Gateway) State() message.GatewayState { return g.admin.state() }
 
+// Leaving says whether the node was told to stop.
+func (g *Gateway) Leaving() bool { return g.departure.begun() }
+
 // Run serves until ctx ends and then stops as planned: it informs the balancer
 // and its members, and finishes the work in flight within the time to stop.
 func (g *Gateway) Run(ctx context.Context) error {
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -9,6 +9,8 @@
 package gateway
 
 import (
+	"time"
+
 	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/internal/gateway"
@@ -35,3 +37,6 @@
 
 // WithLogger sets the log; it is silent by default.
 func WithLogger(log zerolog.Logger) Option { return gateway.WithLogger(log) }
+
+// WithClock sets the clock, which must be monotonic; time.Now by default.
+func WithClock(now func() time.Time) Option { return gateway.WithClock(now) }
