--- /dev/null
+++ b/internal/gateway/viewkeeper_test.go
@@ -0,0 +1,56 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+func TestViewKeeper(t *testing.T) {
+	convey.Convey("Given a keeper", t, func() {
+		var keeper *viewKeeper
+		var notified []*view.View
+		trouble := time.Now().Add(-time.Minute)
+		keeper = newViewKeeper(time.Now, zerolog.Nop(), func() time.Time { return trouble }, func(v *view.View) {
+			convey.So(keeper.load(), convey.ShouldEqual, v)
+			notified = append(notified, v)
+		})
+		target := directory.Target{ID: "t", Service: "s"}
+		publish := func(revision int64, list ...view.Change) {
+			ch := view.Changes{Revision: revision, List: list}
+			keeper.apply(ch, func(now time.Time, v *view.View, troubled time.Time) *view.View {
+				convey.So(troubled, convey.ShouldEqual, trouble)
+				return v.WithChanges(now, ch, troubled)
+			})
+		}
+		convey.Convey("a changed target is notified once the view holds it", func() {
+			publish(1, view.TargetChange{Target: target})
+			convey.So(notified, convey.ShouldHaveLength, 1)
+			convey.So(keeper.permit("t"), convey.ShouldBeNil)
+			convey.Convey("a revision that changes nothing is taken over without a notice", func() {
+				publish(2)
+				convey.So(keeper.load().Revision, convey.ShouldEqual, 2)
+				convey.So(notified, convey.ShouldHaveLength, 1)
+			})
+			convey.Convey("calls to a target that is leaving are forbidden", func() {
+				target.State = directory.Draining
+				publish(2, view.TargetChange{Target: target})
+				var err *verdict.Error
+				convey.So(keeper.permit("t"), convey.ShouldHaveSameTypeAs, err)
+			})
+		})
+		convey.Convey("a change that returns the same view does nothing", func() {
+			keeper.apply(view.Changes{}, func(_ time.Time, v *view.View, _ time.Time) *view.View { return v })
+			convey.So(notified, convey.ShouldBeEmpty)
+		})
+		convey.Convey("calls to a target that is unknown are forbidden", func() {
+			convey.So(keeper.permit("t"), convey.ShouldNotBeNil)
+		})
+	})
+}
