--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// planTimeout bounds announcing a request's stages to their coordinators: the
-	// request waits for it before it is admitted. Set with 459f9ac, not measured by
+	// planTimeout bounds announcing a request's stages to their coordinators, which
+	// the request waits for before it is admitted. Set with 459f9ac, not measured by
 	// itself.
 	planTimeout = 100 * time.Millisecond
 	// maxCoordinators bounds the members that one group is handed to before this node
@@ -51,7 +51,8 @@
 		if err.Reason() == verdict.ReasonMoved {
 			continue
 		}
-		b.log.Warn().Str("request", group.Request).Str("service", service).Str("member", member).Err(err).Msg("items: member lost or leaving, asking another")
+		b.log.Warn().Str("request", group.Request).Str("service", service).Str("member", member).Err(err).
+			Msg("items: member lost or leaving, asking another")
 		b.members.suspect(member)
 	}
 	return b.local.run(ctx, service, group, inputsRead)
@@ -85,7 +86,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := b.peers.releaseAtMember(ctx, member, service, results); err != nil {
-		b.log.Debug().Str("service", service).Str("member", member).Int("results", len(results)).Err(err).Msg("items: member took no releases, releasing locally")
+		b.log.Debug().Str("service", service).Str("member", member).Int("results", len(results)).Err(err).
+			Msg("items: member took no releases, releasing locally")
 		b.local.release(service, results)
 	}
 }
@@ -115,7 +117,9 @@
 
 // planAt announces the stages of the given numbers to the member that coordinates
 // them and notes their backlogs; they stay 0, for unknown, when it does not answer.
-func (b *batches) planAt(ctx context.Context, member, request string, stages []relay.PlannedStage, numbers []int, backlogs []time.Duration) {
+func (b *batches) planAt(
+	ctx context.Context, member, request string, stages []relay.PlannedStage, numbers []int, backlogs []time.Duration,
+) {
 	answer, err := b.peers.planAtMember(ctx, member, request, pick(stages, numbers))
 	if err != nil {
 		b.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: no backlog from a member")
@@ -145,7 +149,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
 	defer cancel()
 	if err := b.peers.cancelAtMember(ctx, member, request, stages); err != nil {
-		b.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: a plan was not withdrawn at a member")
+		b.log.Debug().Str("request", request).Str("member", member).Err(err).
+			Msg("items: a plan was not withdrawn at a member")
 	}
 }
 
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -62,7 +62,8 @@
 	v := f.views.load()
 	snapshot, err := f.peers.viewAtMember(ctx, member, v.Revision, v.Version())
 	if err != nil {
-		f.log.Debug().Str("member", member).Int64("revision", v.Revision).Err(err).Msg("view: a member that is ahead gave no answer")
+		f.log.Debug().Str("member", member).Int64("revision", v.Revision).Err(err).
+			Msg("view: a member that is ahead gave no answer")
 		return
 	}
 	if isDelta(snapshot) {
@@ -82,7 +83,8 @@
 	for _, id := range d.Gone {
 		ch.List = append(ch.List, view.TargetGone{ID: id})
 	}
-	f.log.Info().Str("member", member).Int("since", s.Since).Int("revision", s.Revision).Msg("view: changes reported by a member")
+	f.log.Info().Str("member", member).Int("since", s.Since).Int("revision", s.Revision).
+		Msg("view: changes reported by a member")
 	f.views.apply(ch, func(_ time.Time, v *view.View, _ time.Time) *view.View { return v.WithDelta(d) })
 }
 
@@ -103,6 +105,10 @@
 	for _, t := range s.Targets {
 		ch.List = append(ch.List, view.TargetChange{Target: targetOf(now, t)})
 	}
-	f.log.Info().Str("member", member).Int64("version", catalog.Catalog.Version).Int("revision", s.Revision).Msg("view: taken from a member")
-	f.views.apply(view.Changes{}, func(now time.Time, v *view.View, _ time.Time) *view.View { return v.WithSnapshot(now, ch, time.Time{}) })
+	f.log.Info().Str("member", member).Int64("version", catalog.Catalog.Version).Int("revision", s.Revision).
+		Msg("view: taken from a member")
+	// Without changes to log: the line above stands for all of them.
+	f.views.apply(view.Changes{}, func(now time.Time, v *view.View, _ time.Time) *view.View {
+		return v.WithSnapshot(now, ch, time.Time{})
+	})
 }
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -140,7 +140,8 @@
 	s := c.core.State(now)
 	c.log.Info().Str("service", c.service).Int("waiting", s.Waiting).Int("late", s.PastDue).Int("working", s.Busy).
 		Int("targets", s.Targets).Int("paused", s.BackingOff).Int64("heldBytes", s.UsedBytes).Int64("roomBytes", s.MemoryBytes).
-		Dur("wait", s.Wait).Dur("backlog", s.Backlog).Int("planned", s.Planned).Int64("calls", s.Batches).Int64("items", s.Items).Int64("repeats", s.Retries).
+		Dur("wait", s.Wait).Dur("backlog", s.Backlog).Int("planned", s.Planned).
+		Int64("calls", s.Batches).Int64("items", s.Items).Int64("repeats", s.Retries).
 		Int64("expired", s.Expired).Int64("refused", s.Refused).Float64("perSecond", s.ItemsPerSecond).Msg("items: state")
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -174,7 +174,7 @@
 // State describes what the node knows and holds.
 func (g *Gateway) State() message.GatewayState { return g.admin.state() }
 
-// Leaving says whether the node was told to stop.
+// Leaving says whether a planned stop has begun.
 func (g *Gateway) Leaving() bool { return g.departure.begun() }
 
 // Run serves until ctx ends and then stops as planned: it informs the balancer
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -5,7 +5,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// open takes a group in, or hands it back when the node is leaving.
+// open submits a group to the core, or hands it back when the node is leaving.
 func (c *coordinator) open(g *pendingGroup) {
 	if c.leaving {
 		c.closeGroup(g, errLeaving())
--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -71,7 +71,8 @@
 		return nil, refusalOf(out.ItemResults)
 	}
 	if len(out.Results) != group.Count {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonInternal, "member %s gave %d results for %d items", member, len(out.Results), group.Count)
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonInternal,
+			"member %s gave %d results for %d items", member, len(out.Results), group.Count)
 	}
 	return resultsOf(out.Results), nil
 }
@@ -155,6 +156,7 @@
 	if err != nil {
 		return err
 	}
+	// Its error cannot matter: what was to be read has been read.
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("member %s answered with status %d", member, resp.StatusCode)
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -55,7 +55,8 @@
 	defer cancel()
 	target, err := p.peers.placeAtMember(ctx, member, service, q)
 	if err != nil {
-		p.log.Debug().Str("request", q.Request).Str("member", member).Err(err).Msg("prompts: the member that places them gave no answer, choosing locally")
+		p.log.Debug().Str("request", q.Request).Str("member", member).Err(err).
+			Msg("prompts: the member that places them gave no answer, choosing locally")
 		return "", false
 	}
 	return target, target != ""
@@ -82,7 +83,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		if err := p.peers.endPrefillAtMember(ctx, member, service, request, whole); err != nil {
-			p.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("prompts: the end of a prefill was not reported")
+			p.log.Debug().Str("request", request).Str("member", member).Err(err).
+				Msg("prompts: the end of a prefill was not reported")
 		}
 	}()
 }
