--- /dev/null
+++ b/internal/gateway/relay/sender.go
@@ -0,0 +1,157 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// noPriority is the priority of a call to a target that knows none.
+const noPriority = -1
+
+// errTimeout ends the context of an attempt that was silent for too long.
+var errTimeout = errors.New("the target took too long")
+
+// sender sends one request to one target at a time and passes the answer back.
+type sender struct {
+	*resolved
+	upstream Upstream
+	placer   Placer
+	view     func() *view.View
+	now      func() time.Time
+	targets  *targets
+	budgets  *retryBudgets
+	prefills *prefillRates
+	work     *stageWork
+	answer   *answer
+	outcome  *Outcome
+}
+
+// send is one attempt. sends counts those before it that may have run.
+func (s *sender) send(ctx context.Context, target directory.Target, sends int) *verdict.Error {
+	start := s.now()
+	s.targets.sent(target.ID)
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	timer := s.startTimer(cancel, sends)
+	defer timer.stop()
+	tried := Attempt{Target: target.ID}
+	answered := time.Duration(0)
+	reply, err := s.upstream.Send(ctx, s.call(target))
+	if err == nil {
+		answered = s.now().Sub(start)
+		tried.Status = reply.Status
+		s.answer.began = func(reply *Reply) { s.answerBegan(reply, start) }
+		err = s.passBack(ctx, reply, timer, sends)
+	}
+	if err != nil && !s.answer.begun.Load() {
+		s.prefilled(false)
+	}
+	if err != nil && errors.Is(context.Cause(ctx), errTimeout) {
+		err = err.WithReason(verdict.ReasonStalled)
+	}
+	tried.Took = s.now().Sub(start)
+	tried.Err = err
+	s.outcome.Attempts = append(s.outcome.Attempts, tried)
+	if answered == 0 {
+		answered = tried.Took
+	}
+	s.noteEnd(target, reply, err, answered)
+	return err
+}
+
+// attemptTimer ends an attempt that was silent for too long. The zero value never
+// does.
+type attemptTimer struct {
+	timer *time.Timer
+	limit time.Duration
+}
+
+func (t attemptTimer) stop() {
+	if t.timer != nil {
+		t.timer.Stop()
+	}
+}
+
+// reset begins the time of silence anew.
+func (t attemptTimer) reset() {
+	if t.timer != nil {
+		t.timer.Reset(t.limit)
+	}
+}
+
+func (s *sender) startTimer(cancel context.CancelCauseFunc, sends int) attemptTimer {
+	decision := rules.AttemptTimeout(rules.Attempt{
+		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
+		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
+	})
+	timeout, limited := decision.(rules.Timeout)
+	if !limited {
+		return attemptTimer{}
+	}
+	return attemptTimer{limit: timeout.Limit, timer: time.AfterFunc(timeout.Limit, func() { cancel(errTimeout) })}
+}
+
+func (s *sender) call(target directory.Target) Call {
+	c := Call{
+		Target: target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.Answer,
+		Organisation: s.organisation(), Priority: noPriority, LastEvent: s.answer.lastEvent,
+		Permit: func() error { return s.permit(target.ID) },
+	}
+	if s.service.Engine != nil {
+		c.Priority = s.priority()
+		c.Inputs = s.work.results.inputs()
+	}
+	return c
+}
+
+// permit is asked just before the first byte is written: the target may have
+// begun to leave, and a process that was paused may be too late.
+func (s *sender) permit(id string) error {
+	now := s.now()
+	if !now.Before(s.times.Answer) {
+		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time is over")
+	}
+	if !s.view().Directory.Usable(id, now) {
+		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target leaves")
+	}
+	return nil
+}
+
+// answerBegan notes the first bytes of an answer to an attempt that was sent at
+// the given time: the engine has read the prompt and the inputs.
+func (s *sender) answerBegan(reply *Reply, sent time.Time) {
+	s.prefilled(true)
+	if s.service.Engine != nil && reply.Succeeded {
+		s.prefills.note(s.service.Name, s.req.Tokens, s.now().Sub(sent))
+	}
+	s.work.results.consumed()
+}
+
+// prefilled reports to the placer that the prompt no longer loads its engine:
+// whole says whether it was read.
+func (s *sender) prefilled(whole bool) {
+	if s.service.Engine != nil {
+		s.placer.Prefilled(s.service.Name, s.req.ID, whole)
+	}
+}
+
+// noteEnd takes in how a target answered.
+func (s *sender) noteEnd(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
+	e := attemptEnd{target: target.ID, took: took}
+	if reply != nil {
+		e.load = reply.Load
+	}
+	if err != nil {
+		e.fault = rules.TargetFault(err.Reason())
+		e.unreachable = err.Reason() == verdict.ReasonDial
+	}
+	s.targets.ended(e)
+}
