--- a/internal/harness/lab/lab.go
+++ b/internal/harness/lab/lab.go
@@ -1,7 +1,7 @@
 // Package lab stands in for a whole deployment of the native interface: it starts a
 // stand-in for every target of a bundle, the platform's services and real nodes
-// on loopback, all in one process. The
-// demonstration, the fault matrix, the comparison of policies and tests use it.
+// on loopback, all in one process. The demonstration, the fault matrix, the
+// comparison of policies and tests use it.
 //
 // Left out: the network between machines, TLS unless a test asks for it, keys
 // kept apart (one approver signs everything), and real targets. It relies on the
