--- a/internal/harness/lab/lab.go
+++ b/internal/harness/lab/lab.go
@@ -123,9 +123,6 @@
 	if l.cfg.targetTLS != nil {
 		opts = append(opts, standin.WithTLS(l.cfg.targetTLS))
 	}
-	if p.ChecksFences {
-		opts = append(opts, standin.WithFences())
-	}
 	if p.ChecksKeys {
 		opts = append(opts, standin.WithKeys(keys))
 	}
--- a/internal/harness/standin/serve.go
+++ b/internal/harness/standin/serve.go
@@ -215,7 +215,6 @@
 // run generates the answer and is true when all of it was sent.
 func (s *engineStream) run() bool {
 	messages, prefix := splitPrefix(s.req)
-	s.t.engine.keep(s.id, *s.req)
 	if wait.For(s.r.Context(), s.t.pace(s.prefill(messages))) != nil {
 		return false
 	}
@@ -255,11 +254,9 @@
 		text.WriteString(string(m.Content))
 	}
 	full := s.t.speed.Base + time.Duration(size/bytesPerKB)*s.t.speed.PerKB
-	prefix := PrefixName(text.String())
-	if s.t.cache.touch(prefix) {
+	if s.t.cache.touch(text.String()) {
 		return time.Duration(cacheShare * float64(full))
 	}
-	s.t.engine.noteCache(prefix, true)
 	return full
 }
 
@@ -334,33 +331,24 @@
 	return http.NewResponseController(s.w).Flush() == nil
 }
 
-// PrefixName returns the name of a prompt in cache events and exports.
-func PrefixName(prompt string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(prompt)) }
-
-// prefixCache remembers the newest prompts by name, as an engine's prefix cache
-// does.
+// prefixCache remembers the hashes of the newest prompts, as an engine's prefix
+// cache does.
 type prefixCache struct {
 	mu      sync.Mutex
-	prompts []string
-}
-
-// holds reports whether the prompt is cached.
-func (c *prefixCache) holds(prompt string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Contains(c.prompts, prompt)
+	prompts []uint64
 }
 
 // touch says whether the prompt was cached, and caches it.
 func (c *prefixCache) touch(prompt string) bool {
+	hash := xxhash.Sum64String(prompt)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := slices.Index(c.prompts, prompt)
+	i := slices.Index(c.prompts, hash)
 	hit := i >= 0
 	if hit {
 		c.prompts = slices.Delete(c.prompts, i, i+1)
 	}
-	c.prompts = append(c.prompts, prompt)
+	c.prompts = append(c.prompts, hash)
 	if len(c.prompts) > cacheEntries {
 		c.prompts = c.prompts[1:]
 	}
--- a/internal/harness/standin/target.go
+++ b/internal/harness/standin/target.go
@@ -72,7 +72,6 @@
 	queue    slotQueue
 	loads    loadLog
 	cache    prefixCache
-	engine   engine
 
 	mu          sync.Mutex
 	incarnation string
@@ -131,7 +130,6 @@
 	mux.HandleFunc("POST "+wire.PathStage, t.serveStage)
 	mux.HandleFunc("POST "+wire.PathChat, t.serveChat)
 	mux.HandleFunc("GET "+wire.PathLoad, t.serveLoad)
-	t.handleEngine(mux)
 	mux.HandleFunc("POST "+PathFault, t.serveFault)
 	mux.HandleFunc("POST "+PathLeave, t.serveLeave)
 	mux.HandleFunc("GET "+PathRuns, t.serveRuns)
