--- a/internal/contract/doc.go
+++ b/internal/contract/doc.go
@@ -11,7 +11,11 @@
 //   - help: the help text of each verb;
 //   - explain: what honeydyke explain prints for the log lines of input.log, which
 //     is written by hand;
-//   - state: the fields of the state dumps of both kinds of node.
+//   - state: the fields of the state dumps of both kinds of node;
+//   - native: what native nodes send and answer to callers, targets, the platform
+//     and each other, the names of their metrics with labels and bounds, and level,
+//     prefix and fields of their log lines. A log line may gain fields, and lines
+//     may be added. The explanations in refusals are not held.
 //
 // The tests name few identifiers of the program and compare values instead, so
 // that renaming code leaves them alone. Descriptions in schemas are not held. A
