--- a/internal/gateway/batching/eligible.go
+++ b/internal/gateway/batching/eligible.go
@@ -8,24 +8,6 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// eligibility says whether a target may take a batch now, or why not.
-type eligibility int
-
-const (
-	// eligible targets may take a batch.
-	eligible eligibility = iota
-	// notUsable targets are not listed any more or drain.
-	notUsable
-	// alreadyBusy targets run a batch, also a stuck one; a target works on one at a
-	// time.
-	alreadyBusy
-	// backingOff targets had trouble shortly before (targetBackoff).
-	backingOff
-	// slowerThanWaiting targets would end a batch later than busy ones that can take
-	// the whole queue (fasterTakeAll).
-	slowerThanWaiting
-)
-
 // eligibleTargets returns the targets that may take a batch now, the fastest
 // first and otherwise in the order of the list.
 //
@@ -35,7 +17,7 @@
 func eligibleTargets(now time.Time, spec *catalog.Batch, targets []*target, queued int) []*target {
 	var list []*target
 	for _, t := range targets {
-		if eligibilityOf(now, spec, t, targets, queued) == eligible {
+		if isEligible(now, spec, t, targets, queued) {
 			list = append(list, t)
 		}
 	}
@@ -45,25 +27,18 @@
 	return list
 }
 
-// eligibilityOf decides whether a target may take a batch now. What is known of the
-// target itself counts before how it compares with the others.
+// isEligible decides whether a target may take a batch now: when it is listed and
+// does not drain, runs no batch, not even a stuck one, does not back off
+// (targetBackoff), and the queue is not better off with busy targets (fasterTakeAll).
 //
 // A second batch at a busy target would only wait there, out of reach of targets
 // that fall idle meanwhile. Taking a target that should be left out costs retries
 // or late items; leaving one out costs its capacity.
-func eligibilityOf(now time.Time, spec *catalog.Batch, t *target, targets []*target, queued int) eligibility {
-	switch {
-	case !t.usable:
-		return notUsable
-	case t.running != nil:
-		return alreadyBusy
-	case t.backoff.active(now):
-		return backingOff
-	case fasterTakeAll(now, spec, t, targets, queued):
-		return slowerThanWaiting
-	default:
-		return eligible
+func isEligible(now time.Time, spec *catalog.Batch, t *target, targets []*target, queued int) bool {
+	if !t.usable || t.running != nil || t.backoff.active(now) {
+		return false
 	}
+	return !fasterTakeAll(now, spec, t, targets, queued)
 }
 
 // fasterTakeAll says whether the queue is better off without a slow idle target:
--- a/internal/gateway/batching/eligible_test.go
+++ b/internal/gateway/batching/eligible_test.go
@@ -25,26 +25,26 @@
 		target *target
 		others []*target
 		queued int
-		want   eligibility
+		want   bool
 	}{
-		{"An idle target may take a batch", testTarget("t", "d0"), nil, 1, eligible},
-		{"A target that drains or is gone may not", drains, nil, 1, notUsable},
-		{"A target with a batch may not", busyTarget("t", "d0", time.Second), nil, 1, alreadyBusy},
-		{"A target that has just failed may not", failed, nil, 1, backingOff},
-		{"A target may again once its backoff is over", recovered, nil, 1, eligible},
-		{"A slow target with no other may", slow, nil, 1, eligible},
-		{"A slow target beside an idle fast one may, after it", slow, []*target{testTarget("u", "d0")}, 1, eligible},
-		{"A slow target waits while a busy one will take the whole queue sooner", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 4, slowerThanWaiting},
-		{"not when more is queued than that one takes", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 5, eligible},
-		{"two busy ones take twice as much", slow, []*target{busyTarget("u", "d0", 0), busyTarget("v", "d0", 0)}, 8, slowerThanWaiting},
-		{"not when the busy one would end no sooner", slow, []*target{busyTarget("u", "d0", 260*time.Millisecond)}, 1, eligible},
-		{"A busy target that is overdue is expected to end now", slow, []*target{busyTarget("u", "d0", -time.Minute)}, 1, slowerThanWaiting},
-		{"A stuck target is not waited for", slow, []*target{stuck}, 1, eligible},
-		{"A busy target that drains is not waited for", slow, []*target{gone}, 1, eligible},
+		{"An idle target may take a batch", testTarget("t", "d0"), nil, 1, true},
+		{"A target that drains or is gone may not", drains, nil, 1, false},
+		{"A target with a batch may not", busyTarget("t", "d0", time.Second), nil, 1, false},
+		{"A target that has just failed may not", failed, nil, 1, false},
+		{"A target may again once its backoff is over", recovered, nil, 1, true},
+		{"A slow target with no other may", slow, nil, 1, true},
+		{"A slow target beside an idle fast one may, after it", slow, []*target{testTarget("u", "d0")}, 1, true},
+		{"A slow target waits while a busy one will take the whole queue sooner", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 4, false},
+		{"not when more is queued than that one takes", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 5, true},
+		{"two busy ones take twice as much", slow, []*target{busyTarget("u", "d0", 0), busyTarget("v", "d0", 0)}, 8, false},
+		{"not when the busy one would end no sooner", slow, []*target{busyTarget("u", "d0", 260*time.Millisecond)}, 1, true},
+		{"A busy target that is overdue is expected to end now", slow, []*target{busyTarget("u", "d0", -time.Minute)}, 1, false},
+		{"A stuck target is not waited for", slow, []*target{stuck}, 1, true},
+		{"A busy target that drains is not waited for", slow, []*target{gone}, 1, true},
 	} {
 		convey.Convey(c.name, t, func() {
 			targets := append([]*target{c.target}, c.others...)
-			convey.So(eligibilityOf(noon, testSpec(), c.target, targets, c.queued), convey.ShouldEqual, c.want)
+			convey.So(isEligible(noon, testSpec(), c.target, targets, c.queued), convey.ShouldEqual, c.want)
 		})
 	}
 	convey.Convey("The fastest target comes first, equal ones in the order of the list", t, func() {
--- a/internal/gateway/batching/fill.go
+++ b/internal/gateway/batching/fill.go
@@ -12,23 +12,6 @@
 // the figure was not measured by itself.
 const keptForOnTime = 0.5
 
-// fit says whether an item goes into the batch that is assembled, or why not.
-type fit int
-
-const (
-	// fits: the item is taken.
-	fits fit = iota
-	// batchFull: the batch has as many items as the catalog allows.
-	batchFull
-	// noMemory: the target's result memory does not hold the result.
-	noMemory
-	// memoryKept: it would, but the item is past due and must leave a part of the
-	// memory to others.
-	memoryKept
-	// nearTargetPreferred: a target in the item's data centre can take it in time.
-	nearTargetPreferred
-)
-
 // filling is the state of the rule that decides which queued items one batch takes.
 type filling struct {
 	now     time.Time
@@ -54,7 +37,7 @@
 // the order of the queue.
 func (f *filling) split(queue []*queuedItem) (taken, rest []*queuedItem) {
 	for _, q := range queue {
-		if f.fit(q) != fits {
+		if !f.fits(q) {
 			rest = append(rest, q)
 			continue
 		}
@@ -65,12 +48,12 @@
 	return taken, rest
 }
 
-// fit decides whether the next item of the queue goes into the batch.
+// fits decides whether the next item of the queue goes into the batch.
 //
 // Its inputs are, in the order in which they count: the number of items taken and
 // the most that the catalog allows; the target's available result memory and the
 // result's size, both estimates in bytes; whether the item is past due; and the
-// nearness of other targets (localityOf). An item that does not fit stays in the
+// nearness of other targets (waitsForNear). An item that does not fit stays in the
 // queue, and smaller or nearer ones behind it may be taken. The batch is sent at
 // once, full or not: a target that waits for more items does nothing meanwhile.
 //
@@ -80,22 +63,13 @@
 //
 // Taking too much makes the target refuse items for lack of memory, which costs
 // retries; taking too little costs the fixed time of a further batch.
-func (f *filling) fit(q *queuedItem) fit {
-	if f.items >= f.spec.MaxItems {
-		return batchFull
-	}
+func (f *filling) fits(q *queuedItem) bool {
 	need := q.Bytes
 	if q.pastDue(f.earliest) {
 		need += int64(keptForOnTime * float64(f.spec.MemoryBytes))
 	}
-	switch {
-	case need > f.available && q.Bytes <= f.available:
-		return memoryKept
-	case need > f.available:
-		return noMemory
-	case localityOf(f.now, f.spec, q, f.target, f.targets) == waitForNear:
-		return nearTargetPreferred
-	default:
-		return fits
+	if f.items >= f.spec.MaxItems || need > f.available {
+		return false
 	}
+	return !waitsForNear(f.now, f.spec, q, f.target, f.targets)
 }
--- a/internal/gateway/batching/fill_test.go
+++ b/internal/gateway/batching/fill_test.go
@@ -17,24 +17,24 @@
 		// bytes 950 are planned with.
 		taken  int
 		stored int64
-		want   fit
+		want   bool
 	}{
-		{"An item that fits is taken", Item{Bytes: 100, Due: onTime}, 3, 0, fits},
-		{"No item goes into a full batch", Item{Bytes: 100, Due: onTime}, 4, 0, batchFull},
-		{"An item may use the last of the memory", Item{Bytes: 100, Due: onTime}, 0, 850, fits},
-		{"and not more", Item{Bytes: 101, Due: onTime}, 0, 850, noMemory},
-		{"A past-due item leaves half of the memory to others", Item{Bytes: 100, Due: late}, 0, 350, fits},
-		{"and waits when it could not", Item{Bytes: 101, Due: late}, 0, 350, memoryKept},
-		{"A past-due item lacks memory like others", Item{Bytes: 101, Due: late}, 0, 850, noMemory},
-		{"An item waits for a target in its data centre", Item{Bytes: 100, Due: onTime, DataCentre: "d1"}, 0, 0, nearTargetPreferred},
-		{"An item of another data centre without targets does not", Item{Bytes: 100, Due: onTime, DataCentre: "d9"}, 0, 0, fits},
+		{"An item that fits is taken", Item{Bytes: 100, Due: onTime}, 3, 0, true},
+		{"No item goes into a full batch", Item{Bytes: 100, Due: onTime}, 4, 0, false},
+		{"An item may use the last of the memory", Item{Bytes: 100, Due: onTime}, 0, 850, true},
+		{"and not more", Item{Bytes: 101, Due: onTime}, 0, 850, false},
+		{"A past-due item leaves half of the memory to others", Item{Bytes: 100, Due: late}, 0, 350, true},
+		{"and waits when it could not", Item{Bytes: 101, Due: late}, 0, 350, false},
+		{"A past-due item lacks memory like others", Item{Bytes: 101, Due: late}, 0, 850, false},
+		{"An item waits for a target in its data centre", Item{Bytes: 100, Due: onTime, DataCentre: "d1"}, 0, 0, false},
+		{"An item of another data centre without targets does not", Item{Bytes: 100, Due: onTime, DataCentre: "d9"}, 0, 0, true},
 	} {
 		convey.Convey(c.name, t, func() {
 			at := testTarget("t", "d0")
 			at.memory.store("h", storedResult{bytes: c.stored})
 			f := newFilling(noon, testSpec(), at, []*target{at, near})
 			f.items = c.taken
-			convey.So(f.fit(&queuedItem{Item: c.item}), convey.ShouldEqual, c.want)
+			convey.So(f.fits(&queuedItem{Item: c.item}), convey.ShouldEqual, c.want)
 		})
 	}
 	convey.Convey("Items behind one that does not fit are taken, in the order of the queue", t, func() {
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -98,10 +98,10 @@
 		c.stats.Retries++
 		q.queued = true
 		c.queue = append(c.queue, q)
-	case attemptsSpent, budgetSpent:
+	case fail:
 		c.stats.Refused++
 		c.fail(q.Token, cause.WithVerdict(verdict.NotRun))
-	case alreadyQueued, inAnotherBatch:
+	case leave:
 	}
 }
 
--- a/internal/gateway/batching/locality.go
+++ b/internal/gateway/batching/locality.go
@@ -1,6 +1,7 @@
 package batching
 
 import (
+	"slices"
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
@@ -11,23 +12,8 @@
 // changes (docs/MEASUREMENTS.md); the figure was not measured by itself.
 const maxNearWait = 300 * time.Millisecond
 
-// locality says whether an item should go to a target, by their data centres.
-type locality int
-
-const (
-	// anyDataCentre: the item has no data centre, so each target is as good.
-	anyDataCentre locality = iota
-	// sameDataCentre: the target is in the item's data centre.
-	sameDataCentre
-	// noneNearInTime: the target is elsewhere, but no target in the item's data centre
-	// can take the item soon and end before it is due.
-	noneNearInTime
-	// waitForNear: the item should not go to this target, as one in its data centre
-	// can take it in time.
-	waitForNear
-)
-
-// localityOf decides whether an item should go to a target.
+// waitsForNear decides whether an item should not go to a target, as one in the
+// item's data centre can take it in time.
 //
 // Its inputs are the item's data centre, where its inputs are or its result will be
 // used (empty for anywhere), its due time, and for each target in that data centre
@@ -42,19 +28,13 @@
 //
 // Going far too readily costs transfers between data centres; waiting too readily
 // leaves targets idle and makes items late.
-func localityOf(now time.Time, spec *catalog.Batch, q *queuedItem, t *target, targets []*target) locality {
-	if q.DataCentre == "" {
-		return anyDataCentre
-	}
-	if q.DataCentre == t.DataCentre {
-		return sameDataCentre
-	}
-	for _, near := range targets {
-		if near.DataCentre == q.DataCentre && near.takesInTime(now, spec, q.Due) {
-			return waitForNear
-		}
+func waitsForNear(now time.Time, spec *catalog.Batch, q *queuedItem, t *target, targets []*target) bool {
+	if q.DataCentre == "" || q.DataCentre == t.DataCentre {
+		return false
 	}
-	return noneNearInTime
+	return slices.ContainsFunc(targets, func(near *target) bool {
+		return near.DataCentre == q.DataCentre && near.takesInTime(now, spec, q.Due)
+	})
 }
 
 // takesInTime says whether the target can take an item within maxNearWait and end
--- a/internal/gateway/batching/locality_test.go
+++ b/internal/gateway/batching/locality_test.go
@@ -22,28 +22,28 @@
 		dataCentre string
 		due        time.Duration
 		near       []*target
-		want       locality
+		want       bool
 	}{
-		{"An item without a data centre goes anywhere", "", due, []*target{testTarget("n", "d0")}, anyDataCentre},
-		{"An item goes to a target in its data centre", "far", due, []*target{testTarget("n", "d0")}, sameDataCentre},
-		{"An item waits for an idle target in its data centre", "d0", due, []*target{testTarget("n", "d0")}, waitForNear},
-		{"and for one that will be idle in 300 ms", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond)}, waitForNear},
-		{"but not longer", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond+1)}, noneNearInTime},
-		{"and not beyond its due time", "d0", 420 * time.Millisecond, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, noneNearInTime},
-		{"An item that ends just before its due time waits", "d0", 420*time.Millisecond + 1, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, waitForNear},
-		{"No target in the data centre is waited for when there is none", "d0", due, nil, noneNearInTime},
-		{"nor one that backs off", "d0", due, []*target{backsOff}, noneNearInTime},
-		{"nor one that drains", "d0", due, []*target{drains}, noneNearInTime},
-		{"nor one that is stuck", "d0", due, []*target{stuck}, noneNearInTime},
-		{"nor one that is overdue", "d0", due, []*target{busyTarget("n", "d0", -1)}, noneNearInTime},
-		{"nor one that is too slow", "d0", due, []*target{slow}, noneNearInTime},
-		{"One of several near targets is enough", "d0", due, []*target{drains, stuck, testTarget("m", "d0")}, waitForNear},
+		{"An item without a data centre goes anywhere", "", due, []*target{testTarget("n", "")}, false},
+		{"An item goes to a target in its data centre", "far", due, []*target{testTarget("n", "d0")}, false},
+		{"An item waits for an idle target in its data centre", "d0", due, []*target{testTarget("n", "d0")}, true},
+		{"and for one that will be idle in 300 ms", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond)}, true},
+		{"but not longer", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond+1)}, false},
+		{"and not beyond its due time", "d0", 420 * time.Millisecond, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, false},
+		{"An item that ends just before its due time waits", "d0", 420*time.Millisecond + 1, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, true},
+		{"No target in the data centre is waited for when there is none", "d0", due, nil, false},
+		{"nor one that backs off", "d0", due, []*target{backsOff}, false},
+		{"nor one that drains", "d0", due, []*target{drains}, false},
+		{"nor one that is stuck", "d0", due, []*target{stuck}, false},
+		{"nor one that is overdue", "d0", due, []*target{busyTarget("n", "d0", -1)}, false},
+		{"nor one that is too slow", "d0", due, []*target{slow}, false},
+		{"One of several near targets is enough", "d0", due, []*target{drains, stuck, testTarget("m", "d0")}, true},
 	} {
 		convey.Convey(c.name, t, func() {
 			q := &queuedItem{Item: Item{DataCentre: c.dataCentre, Due: noon.Add(c.due)}}
 			far := testTarget("f", "far")
 			targets := append([]*target{far}, c.near...)
-			convey.So(localityOf(noon, testSpec(), q, far, targets), convey.ShouldEqual, c.want)
+			convey.So(waitsForNear(noon, testSpec(), q, far, targets), convey.ShouldEqual, c.want)
 		})
 	}
 }
--- a/internal/gateway/batching/retry.go
+++ b/internal/gateway/batching/retry.go
@@ -11,15 +11,12 @@
 const (
 	// retry: the item is queued again.
 	retry retryDecision = iota
-	// alreadyQueued: the item waits for a batch as it is.
-	alreadyQueued
-	// inAnotherBatch: the item is not queued again, but another batch that runs holds
-	// it and may give its result.
-	inAnotherBatch
-	// attemptsSpent: the item was part of as many batches as it may be, and fails.
-	attemptsSpent
-	// budgetSpent: the retry budget of the service has nothing left, and the item fails.
-	budgetSpent
+	// leave: the item stays as it is, since it is queued, or another batch that runs
+	// holds it and may give its result.
+	leave
+	// fail: the item was part of as many batches as it may be, or the retry budget of
+	// the service has nothing left, and it fails.
+	fail
 )
 
 // decideRetry decides whether an item is queued again.
@@ -38,18 +35,13 @@
 // Retrying too readily breaks the bound on retries, retrying too little fails
 // requests that another target could have served.
 func decideRetry(q *queuedItem, spend func() bool) retryDecision {
-	if q.queued {
-		return alreadyQueued
+	switch {
+	case q.queued:
+		return leave
+	case q.attempts < maxAttempts && spend():
+		return retry
+	case q.running > 0:
+		return leave
 	}
-	spent := attemptsSpent
-	if q.attempts < maxAttempts {
-		if spend() {
-			return retry
-		}
-		spent = budgetSpent
-	}
-	if q.running > 0 {
-		return inAnotherBatch
-	}
-	return spent
+	return fail
 }
