--- a/internal/gateway/relay/measured.go
+++ b/internal/gateway/relay/measured.go
@@ -20,9 +20,6 @@
 
 // retried notes a client's timeout and says whether its request is a retry.
 func (c *clientTimeouts) retried(route string, timeout time.Duration) bool {
-	if timeout <= 0 {
-		return rules.Retried(timeout, 0)
-	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.longest[route] = max(c.longest[route], timeout)
--- a/internal/gateway/relay/rules/admission.go
+++ b/internal/gateway/relay/rules/admission.go
@@ -64,30 +64,13 @@
 type AdmissionDecision interface{ isAdmissionDecision() }
 
 // Admitted lets the stages begin.
-type Admitted struct{ Comparison Comparison }
+type Admitted struct{}
 
 // PlanAgain has a retried request wait for Pause and plan its stages again.
-type PlanAgain struct {
-	Comparison Comparison
-	Pause      time.Duration
-}
+type PlanAgain struct{ Pause time.Duration }
 
 // Refused ends the request at once, as not run.
-type Refused struct {
-	Comparison Comparison
-	Reason     RefusalReason
-}
-
-// RefusalReason says why a request is not admitted.
-type RefusalReason string
-
-// Reasons of refusals.
-const (
-	// WaitTooLong is a first attempt whose stages would be late.
-	WaitTooLong RefusalReason = "wait too long"
-	// RetryWaitedTooLong is a retried request that has used up its waiting time.
-	RetryWaitedTooLong RefusalReason = "retry waited too long"
-)
+type Refused struct{ Comparison Comparison }
 
 func (Admitted) isAdmissionDecision()  {}
 func (PlanAgain) isAdmissionDecision() {}
@@ -109,13 +92,11 @@
 	c := compare(a)
 	switch {
 	case c.Wait <= c.Bound:
-		return Admitted{Comparison: c}
-	case !a.Retried:
-		return Refused{Comparison: c, Reason: WaitTooLong}
-	case a.Elapsed+retriedPause > time.Duration(retriedWaitShare*float64(a.AnswerTime)):
-		return Refused{Comparison: c, Reason: RetryWaitedTooLong}
+		return Admitted{}
+	case !a.Retried, a.Elapsed+retriedPause > time.Duration(retriedWaitShare*float64(a.AnswerTime)):
+		return Refused{Comparison: c}
 	}
-	return PlanAgain{Comparison: c, Pause: retriedPause}
+	return PlanAgain{Pause: retriedPause}
 }
 
 func compare(a Admission) Comparison {
--- a/internal/gateway/relay/rules/admission_test.go
+++ b/internal/gateway/relay/rules/admission_test.go
@@ -26,10 +26,9 @@
 	convey.So(Admit(a), convey.ShouldHaveSameTypeAs, Admitted{})
 }
 
-func shouldRefuse(a Admission, reason RefusalReason) {
+func shouldRefuse(a Admission) {
 	d, ok := Admit(a).(Refused)
 	convey.So(ok, convey.ShouldBeTrue)
-	convey.So(d.Reason, convey.ShouldEqual, reason)
 	convey.So(d.Comparison.Wait, convey.ShouldBeGreaterThan, d.Comparison.Bound)
 }
 
@@ -44,17 +43,17 @@
 	const bound = 1050 * time.Millisecond
 	convey.Convey("A request is admitted up to the bound and refused beyond", t, func() {
 		shouldAdmit(firstAttempt(bound))
-		shouldRefuse(firstAttempt(bound+1), WaitTooLong)
+		shouldRefuse(firstAttempt(bound + 1))
 	})
 	convey.Convey("A request whose stages would fit the time left is refused when the share, the engine and its own work are taken off", t, func() {
 		a := firstAttempt(1200 * time.Millisecond)
 		convey.So(a.Estimated, convey.ShouldBeLessThan, a.Left)
-		shouldRefuse(a, WaitTooLong)
+		shouldRefuse(a)
 	})
 	convey.Convey("Each step of priority costs a margin", t, func() {
 		a := firstAttempt(bound)
 		a.Priority = 1
-		shouldRefuse(a, WaitTooLong)
+		shouldRefuse(a)
 		a.Estimated -= priorityMargin
 		shouldAdmit(a)
 	})
@@ -65,7 +64,7 @@
 		a.Estimated += minWait
 		shouldAdmit(a)
 		a.Estimated++
-		shouldRefuse(a, WaitTooLong)
+		shouldRefuse(a)
 	})
 	convey.Convey("A request whose objective has passed still has the least wait", t, func() {
 		a := firstAttempt(minWait)
@@ -79,7 +78,7 @@
 	convey.Convey("A retried request that does not fit plans again until half of its time is over", t, func() {
 		shouldPlanAgain(retry(long, 0))
 		shouldPlanAgain(retry(long, 5*time.Second-retriedPause))
-		shouldRefuse(retry(long, 5*time.Second-retriedPause+1), RetryWaitedTooLong)
+		shouldRefuse(retry(long, 5*time.Second-retriedPause+1))
 	})
 	convey.Convey("It is admitted by its whole objective, however late it is", t, func() {
 		shouldAdmit(retry(time.Second, 4*time.Second))
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -9,8 +9,6 @@
 	// firstServerError is the first status by which a target reports a failure of its
 	// own, as in HTTP.
 	firstServerError = 500
-	// oneRetry is what the retry budget must hold for one retry.
-	oneRetry = 1
 	// retryTimeParts says how much time another attempt needs: more than one part of
 	// the objective cut into so many. Not measured (72a0bc2).
 	retryTimeParts = 2
@@ -37,32 +35,13 @@
 type AnswerDecision interface{ isAnswerDecision() }
 
 // PassOn gives the answer to the caller as it is.
-type PassOn struct{ Reason PassOnReason }
+type PassOn struct{}
 
 // TryAnother counts the answer as a failed attempt.
 type TryAnother struct{}
 
 // BreakOff ends a stream that has begun and that no target continues.
-type BreakOff struct{ Reason PassOnReason }
-
-// PassOnReason says why no other target is asked.
-type PassOnReason string
-
-// Reasons to ask no other target.
-const (
-	// Success is an answer that needs no other.
-	Success PassOnReason = "success"
-	// CallerFault is a failure that another target would report as well.
-	CallerFault PassOnReason = "caller's fault"
-	// RunOnce is a request that only one target may run.
-	RunOnce PassOnReason = "not retryable"
-	// NoAttemptLeft is a request whose route allows no other attempt.
-	NoAttemptLeft PassOnReason = "attempts spent"
-	// NoBudget is a service whose retry budget is spent.
-	NoBudget PassOnReason = "retry budget spent"
-	// NoTime is a request with too little time for another attempt.
-	NoTime PassOnReason = "too little time"
-)
+type BreakOff struct{}
 
 func (PassOn) isAnswerDecision()     {}
 func (TryAnother) isAnswerDecision() {}
@@ -75,33 +54,22 @@
 // cannot follow them. A wrong retry loads a failing service further; a wrong pass
 // returns an error that another target would not have had.
 func AfterAnswer(a Answer) AnswerDecision {
-	reason := whyPassOn(a)
 	switch {
-	case reason == "":
+	case worthAnother(a):
 		return TryAnother{}
 	case a.Begun:
-		return BreakOff{Reason: reason}
+		return BreakOff{}
 	}
-	return PassOn{Reason: reason}
+	return PassOn{}
 }
 
-// whyPassOn returns why no other target is asked, or nothing if one is.
-func whyPassOn(a Answer) PassOnReason {
-	switch {
-	case a.Succeeded:
-		return Success
-	case a.Status < firstServerError:
-		return CallerFault
-	case !a.Retryable:
-		return RunOnce
-	case a.Sends+1 >= a.MaxAttempts:
-		return NoAttemptLeft
-	case a.Budget < oneRetry:
-		return NoBudget
-	case a.Left <= a.Objective/retryTimeParts:
-		return NoTime
-	}
-	return ""
+// worthAnother says whether another target is asked: not for a success, nor for a
+// failure of the caller's, which any target would report, nor where the route, the
+// budget or the time allows no other attempt.
+func worthAnother(a Answer) bool {
+	return !a.Succeeded && a.Status >= firstServerError &&
+		a.Retryable && a.Sends+1 < a.MaxAttempts &&
+		a.Budget >= 1 && a.Left > a.Objective/retryTimeParts
 }
 
 // EventPassed says whether a stream's event reached the caller before, so that it
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -23,20 +23,19 @@
 	for _, c := range []struct {
 		what   string
 		change func(*Answer)
-		reason PassOnReason
 	}{
-		{"a success", func(a *Answer) { a.Status, a.Succeeded = 200, true }, Success},
-		{"a failure that another target would report as well", func(a *Answer) { a.Status = 404 }, CallerFault},
-		{"a failure of a request that must not run twice", func(a *Answer) { a.Retryable = false }, RunOnce},
-		{"a failure of the last attempt", func(a *Answer) { a.Sends = 1 }, NoAttemptLeft},
-		{"a failure while the retry budget is spent", func(a *Answer) { a.Budget = 0.9 }, NoBudget},
-		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }, NoTime},
+		{"a success, whatever its status", func(a *Answer) { a.Succeeded = true }},
+		{"a failure that another target would report as well", func(a *Answer) { a.Status = 404 }},
+		{"a failure of a request that must not run twice", func(a *Answer) { a.Retryable = false }},
+		{"a failure of the last attempt", func(a *Answer) { a.Sends = 1 }},
+		{"a failure while the retry budget is spent", func(a *Answer) { a.Budget = 0.9 }},
+		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }},
 	} {
 		a := failed()
 		c.change(&a)
-		convey.Convey("The caller gets "+c.what, t, func() { shouldBecome(a, PassOn{Reason: c.reason}) })
+		convey.Convey("The caller gets "+c.what, t, func() { shouldBecome(a, PassOn{}) })
 		a.Begun = true
-		convey.Convey("A stream that has begun is broken off by "+c.what, t, func() { shouldBecome(a, BreakOff{Reason: c.reason}) })
+		convey.Convey("A stream that has begun is broken off by "+c.what, t, func() { shouldBecome(a, BreakOff{}) })
 	}
 }
 
--- a/internal/gateway/relay/rules/doc.go
+++ b/internal/gateway/relay/rules/doc.go
@@ -5,7 +5,7 @@
 // Each rule is a function of its arguments alone. The package reads no clock,
 // draws no random number, holds no state and does no input or output; package
 // relay gathers the inputs, asks the rule once and acts. A rule that may end in
-// several ways returns one type for each, with the reason.
+// more than two ways returns one type for each, with what the log prints of it.
 //
 // The figures of a rule stand in one block above it, each with its unit and the
 // commit or note that set it. "Not measured" says that nothing did.
--- a/internal/gateway/relay/rules/retry_test.go
+++ b/internal/gateway/relay/rules/retry_test.go
@@ -114,25 +114,31 @@
 }
 
 func TestAttemptTimeout(t *testing.T) {
-	should := func(a Attempt, want TimeoutDecision) {
-		convey.So(AttemptTimeout(a), convey.ShouldResemble, want)
+	shouldLimit := func(a Attempt, want time.Duration) {
+		limit, limited := AttemptTimeout(a)
+		convey.So(limited, convey.ShouldBeTrue)
+		convey.So(limit, convey.ShouldEqual, want)
+	}
+	shouldNotLimit := func(a Attempt) {
+		_, limited := AttemptTimeout(a)
+		convey.So(limited, convey.ShouldBeFalse)
 	}
 	plain := Attempt{Retryable: true, MaxAttempts: 2, Objective: 2 * time.Second, PauseLimit: 500 * time.Millisecond}
 	convey.Convey("An attempt that another may follow", t, func() {
-		convey.Convey("may take a multiple of the objective", func() { should(plain, Timeout{Limit: 5 * time.Second}) })
+		convey.Convey("may take a multiple of the objective", func() { shouldLimit(plain, 5*time.Second) })
 		convey.Convey("may be silent for three pauses of its stream", func() {
 			stream := plain
 			stream.Stream = true
-			should(stream, Timeout{Limit: 1500 * time.Millisecond})
+			shouldLimit(stream, 1500*time.Millisecond)
 			stream.PauseLimit = 100 * time.Millisecond
-			should(stream, Timeout{Limit: minStreamTimeout})
+			shouldLimit(stream, minStreamTimeout)
 		})
 	})
 	convey.Convey("An attempt that no other may follow lasts as long as the request", t, func() {
 		once, last := plain, plain
 		once.Retryable = false
 		last.Sends = 1
-		should(once, NoTimeout{Reason: NotRetryable})
-		should(last, NoTimeout{Reason: LastAttempt})
+		shouldNotLimit(once)
+		shouldNotLimit(last)
 	})
 }
--- a/internal/gateway/relay/rules/timeout.go
+++ b/internal/gateway/relay/rules/timeout.go
@@ -28,42 +28,17 @@
 	Objective, PauseLimit time.Duration
 }
 
-// TimeoutDecision is NoTimeout or Timeout.
-type TimeoutDecision interface{ isTimeoutDecision() }
-
-// NoTimeout lets the attempt last until the request's answer deadline.
-type NoTimeout struct{ Reason NoTimeoutReason }
-
-// Timeout ends the attempt after Limit without an answer or, within a stream,
-// without an event.
-type Timeout struct{ Limit time.Duration }
-
-// NoTimeoutReason says why an attempt has no time limit of its own.
-type NoTimeoutReason string
-
-// Reasons for no time limit.
-const (
-	// NotRetryable is a request that no other target may run.
-	NotRetryable NoTimeoutReason = "not retryable"
-	// LastAttempt is the last attempt that the route allows.
-	LastAttempt NoTimeoutReason = "last attempt"
-)
-
-func (NoTimeout) isTimeoutDecision() {}
-func (Timeout) isTimeoutDecision()   {}
-
-// AttemptTimeout decides how long one attempt may be silent before it is ended in
-// favour of another target. An attempt that no other may follow has no limit. Too
-// short a time runs a request twice; too long a one spends the request's time at a
-// target that is stuck.
-func AttemptTimeout(a Attempt) TimeoutDecision {
+// AttemptTimeout decides how long one attempt may be silent, without an answer or,
+// within a stream, without an event, before it is ended in favour of another target.
+// An attempt that no other may follow is not limited, and lasts until the request's
+// answer deadline. Too short a time runs a request twice; too long a one spends the
+// request's time at a target that is stuck.
+func AttemptTimeout(a Attempt) (limit time.Duration, limited bool) {
 	switch {
-	case !a.Retryable:
-		return NoTimeout{Reason: NotRetryable}
-	case a.Sends+1 >= a.MaxAttempts:
-		return NoTimeout{Reason: LastAttempt}
+	case !a.Retryable || a.Sends+1 >= a.MaxAttempts:
+		return 0, false
 	case a.Stream:
-		return Timeout{Limit: max(minStreamTimeout, streamTimeoutPauses*a.PauseLimit)}
+		return max(minStreamTimeout, streamTimeoutPauses*a.PauseLimit), true
 	}
-	return Timeout{Limit: time.Duration(plainTimeoutShare * float64(a.Objective))}
+	return time.Duration(plainTimeoutShare * float64(a.Objective)), true
 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -88,15 +88,14 @@
 }
 
 func (s *sender) startTimer(cancel context.CancelCauseFunc, sends int) attemptTimer {
-	decision := rules.AttemptTimeout(rules.Attempt{
+	limit, limited := rules.AttemptTimeout(rules.Attempt{
 		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
 		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
 	})
-	timeout, limited := decision.(rules.Timeout)
 	if !limited {
 		return attemptTimer{}
 	}
-	return attemptTimer{limit: timeout.Limit, timer: time.AfterFunc(timeout.Limit, func() { cancel(errTimeout) })}
+	return attemptTimer{limit: limit, timer: time.AfterFunc(limit, func() { cancel(errTimeout) })}
 }
 
 func (s *sender) call(target directory.Target) Call {
