--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -20,7 +20,7 @@
 
 func service() *catalog.Service {
 	return &catalog.Service{Name: "s", Batch: &catalog.Batch{
-		Slots: 1, Queue: 2, MaxItems: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond,
+		MaxItems: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond,
 		MemoryBytes: 1000, ResultTTL: 4 * time.Second,
 	}}
 }
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -229,12 +229,5 @@
 	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: timeout(expected), TargetIdle: t.answered})
 }
 
-// Usable says whether an item may be sent to a target now; a shell asks once
-// more just before it writes.
-func (c *Core) Usable(id string) bool {
-	t := c.byID[id]
-	return t != nil && t.usable
-}
-
 // Idle says whether nothing waits and nothing runs.
 func (c *Core) Idle() bool { return len(c.queue) == 0 && len(c.running) == 0 }
--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -118,28 +118,8 @@
 	return last
 }
 
-// Engine describes the targets of a service that generate from a prompt. The gateway
-// asks only whether a service has one; no rule uses its figures so far.
-type Engine struct {
-	// Slots is how many calls one target works on at a time.
-	Slots int
-	// CacheTokens is how many tokens of prompts one target keeps cached.
-	CacheTokens int
-	// TokenBytes is the memory of one token, in bytes.
-	TokenBytes float64
-	// Backups says whether a run's memory can be copied as it grows.
-	Backups bool
-	// HandleTTL is how long such a copy outlives its run.
-	HandleTTL time.Duration
-}
-
 // Batch describes the targets of a service that work on items of stages.
 type Batch struct {
-	// Slots is how many calls one target works on at a time. Not used: the
-	// coordinator sends one call at a time.
-	Slots int
-	// Queue is how many calls may wait at one target. Not used, for the same reason.
-	Queue int
 	// MaxItems is the most items of one call.
 	MaxItems int
 	// CallLatency is about how long a call takes besides its items, and PerItem how
@@ -159,9 +139,9 @@
 	// MaxConnections is how many connections one target takes from all nodes
 	// together; 0 for no bound.
 	MaxConnections int
-	// Engine is set when the targets generate from prompts, Batch when they work on
-	// items of stages; neither for plain services.
-	Engine *Engine
+	// Engine says that the targets generate from prompts. Batch is set when they work
+	// on items of stages. Plain services have neither.
+	Engine bool
 	Batch  *Batch
 }
 
@@ -175,18 +155,11 @@
 	Priority int
 }
 
-// Limits bound what callers may send. Of them the gateway applies BodyBytes; its
-// servers have bounds of their own for the others, since they start before any catalog
-// is known.
+// Limits bound what callers may send. The gateway's servers have bounds of their own
+// for heads and idle connections, since they start before any catalog is known.
 type Limits struct {
-	// HeaderBytes bounds the head of a request, in bytes.
-	HeaderBytes int
 	// BodyBytes bounds the body of a request, in bytes; 0 for the gateway's default.
 	BodyBytes int64
-	// HeaderTimeout bounds the time in which the head must come, and IdleTimeout the
-	// time that a connection may be idle between requests.
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
 }
 
 // Catalog is one version of the configuration.
@@ -261,9 +234,6 @@
 // Service returns a service by name; nil for none.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Services returns all services by name; the caller must not change them.
-func (c *Catalog) Services() map[string]*Service { return c.services }
-
 // Organisation returns the holder of a key; nil for an unknown key.
 func (c *Catalog) Organisation(key string) *Organisation { return c.organisations[key] }
 
--- a/internal/gateway/handback_test.go
+++ b/internal/gateway/handback_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(g.sockets.close)
-	batch := &catalog.Batch{Slots: 1, MaxItems: 4, CallLatency: time.Minute, MemoryBytes: 1000, ResultTTL: time.Minute}
+	batch := &catalog.Batch{MaxItems: 4, CallLatency: time.Minute, MemoryBytes: 1000, ResultTTL: time.Minute}
 	c, err := catalog.New(1, nil, []*catalog.Service{{Name: "s", Batch: batch}}, nil, catalog.Limits{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -110,9 +110,6 @@
 	s.sentSinceLoad = 0
 }
 
-// Inflight returns how many calls of this node a target works on.
-func (t *TargetTable) Inflight(id string) int { return t.of(id).inflight }
-
 // Prune forgets targets that are not in the directory and have no call.
 func (t *TargetTable) Prune(d *directory.Directory) {
 	for id, s := range t.targets {
--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -40,7 +40,7 @@
 // service's prompts is asked; when it cannot be, this node chooses by itself.
 // inputs are the bytes of the request's inputs in each data centre.
 func (c *chooser) place(ctx context.Context, inputs map[string]int64) (directory.Target, bool) {
-	if c.service.Engine == nil {
+	if !c.service.Engine {
 		return c.own(inputs)
 	}
 	d := c.view().Directory
@@ -65,7 +65,7 @@
 	if c.service.MaxConnections > 0 {
 		q.MaxInflight = rules.ConnectionShare(c.service.MaxConnections, c.members())
 	}
-	if c.service.Engine == nil {
+	if !c.service.Engine {
 		return c.targets.leastLoaded(list, q)
 	}
 	q.Key, q.SharedTokens = sharedPrefix(c.req.Parts)
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -78,7 +78,7 @@
 
 // inputBytes returns the bytes of the inputs in each data centre for an engine.
 func (d *delivery) inputBytes() map[string]int64 {
-	if d.service.Engine == nil {
+	if !d.service.Engine {
 		return nil
 	}
 	return d.work.results.bytes()
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -104,7 +104,7 @@
 		Organisation: s.organisation(), Priority: noPriority, LastEvent: s.answer.lastEvent,
 		Permit: func() error { return s.permit(target.ID) },
 	}
-	if s.service.Engine != nil {
+	if s.service.Engine {
 		c.Priority = s.priority()
 		c.Inputs = s.work.results.inputs()
 	}
@@ -128,7 +128,7 @@
 // the given time: the engine has read the prompt and the inputs.
 func (s *sender) answerBegan(reply *Reply, sent time.Time) {
 	s.prefilled(true)
-	if s.service.Engine != nil && reply.Succeeded {
+	if s.service.Engine && reply.Succeeded {
 		s.prefills.note(s.service.Name, s.req.Tokens, s.now().Sub(sent))
 	}
 	s.work.results.consumed()
@@ -137,7 +137,7 @@
 // prefilled reports to the placer that the prompt no longer loads its engine:
 // whole says whether it was read.
 func (s *sender) prefilled(whole bool) {
-	if s.service.Engine != nil {
+	if s.service.Engine {
 		s.placer.Prefilled(s.service.Name, s.req.ID, whole)
 	}
 }
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -208,7 +208,7 @@
 // first stage's results; empty when they are few or read by a later stage.
 func (r *stageResults) nearEngine(i int) string {
 	w := r.work
-	if !slices.Contains(w.route.LastStages(), i) || w.service.Engine == nil {
+	if !slices.Contains(w.route.LastStages(), i) || !w.service.Engine {
 		return ""
 	}
 	if !rules.WorthNearness(w.route.Stages[i].ResultBytes * int64(w.stages[i].Items)) {
--- a/internal/gateway/relay/world_test.go
+++ b/internal/gateway/relay/world_test.go
@@ -177,7 +177,7 @@
 	r.Timeout, r.Objective, r.PauseLimit = 10*time.Second, 2*time.Second, 400*time.Millisecond
 	services := []*catalog.Service{{Name: "s"}}
 	if engine {
-		services[0].Engine = &catalog.Engine{Slots: 8}
+		services[0].Engine = true
 	}
 	for _, name := range []string{"one", "two", "three"} {
 		services = append(services, &catalog.Service{Name: name, Batch: &catalog.Batch{MaxItems: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond}})
