--- a/internal/gateway/batching/plans.go
+++ b/internal/gateway/batching/plans.go
@@ -15,12 +15,6 @@
 	stage   int
 }
 
-// plan is what a request announced for one stage.
-type plan struct {
-	items int
-	due   time.Time
-}
-
 // plans are the announced items that have not been submitted. They count in the
 // backlog (State), by which later requests are admitted, and decide nothing else.
 //
@@ -30,11 +24,11 @@
 //
 // A plan kept too long makes admission refuse requests that would fit; one dropped
 // too early admits more than the service can carry.
-type plans map[planKey]plan
+type plans map[planKey]Plan
 
 // add takes in an announcement, in place of an earlier one for the same stage.
 func (p plans) add(ev Plan) {
-	p[planKey{ev.Request, ev.Stage}] = plan{items: ev.Items, due: ev.Due}
+	p[planKey{ev.Request, ev.Stage}] = ev
 }
 
 // remove ends the plan of a stage, if there is one.
@@ -44,8 +38,8 @@
 
 // expire drops the plans that are long due.
 func (p plans) expire(now time.Time) {
-	maps.DeleteFunc(p, func(_ planKey, announced plan) bool {
-		return now.After(announced.due.Add(planGrace))
+	maps.DeleteFunc(p, func(_ planKey, announced Plan) bool {
+		return now.After(announced.Due.Add(planGrace))
 	})
 }
 
@@ -53,7 +47,7 @@
 func (p plans) items() int {
 	n := 0
 	for _, announced := range p {
-		n += announced.items
+		n += announced.Items
 	}
 	return n
 }
