--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -61,24 +61,39 @@
 }
 
 // begin passes back the head of an answer; length is unknownLength for a stream.
-func (a *answer) begin(reply *Reply, length int) error {
+func (a *answer) begin(reply *Reply, length int) *verdict.Error {
 	a.begun.Store(true)
 	a.outcome.Status = reply.Status
 	a.outcome.FirstByte = a.now().Sub(a.arrived)
 	a.began(reply)
-	return a.out.Begin(reply, length)
+	if err := a.out.Begin(reply, length); err != nil {
+		return callerGone(err)
+	}
+	return nil
 }
 
-func (a *answer) passWhole(reply *Reply, body []byte) *verdict.Error {
-	if err := a.begin(reply, len(body)); err != nil {
-		return callerGone(err)
+// beginStream passes back the head of a stream, unless the caller has one already.
+func (a *answer) beginStream(reply *Reply) *verdict.Error {
+	if a.begun.Load() {
+		return nil
 	}
-	if err := a.out.Write(body); err != nil {
+	return a.begin(reply, unknownLength)
+}
+
+func (a *answer) write(p []byte) *verdict.Error {
+	if err := a.out.Write(p); err != nil {
 		return callerGone(err)
 	}
 	return nil
 }
 
+func (a *answer) passWhole(reply *Reply, body []byte) *verdict.Error {
+	if err := a.begin(reply, len(body)); err != nil {
+		return err
+	}
+	return a.write(body)
+}
+
 // passStream passes events back as they come. When the stream breaks it may be
 // continued after the last event that was passed back.
 func (a *answer) passStream(ctx context.Context, reply *Reply, timer attemptTimer) *verdict.Error {
@@ -86,7 +101,8 @@
 	for {
 		ev, err := events.next()
 		if err == io.EOF {
-			return a.endStream(reply)
+			// A stream without events has only its head.
+			return a.beginStream(reply)
 		}
 		if err != nil {
 			return broken(ctx, err)
@@ -102,13 +118,11 @@
 }
 
 func (a *answer) passEvent(reply *Reply, ev event) *verdict.Error {
-	if !a.begun.Load() {
-		if err := a.begin(reply, unknownLength); err != nil {
-			return callerGone(err)
-		}
+	if err := a.beginStream(reply); err != nil {
+		return err
 	}
-	if err := a.out.Write(ev.text); err != nil {
-		return callerGone(err)
+	if err := a.write(ev.text); err != nil {
+		return err
 	}
 	a.outcome.Events++
 	if ev.id != "" {
@@ -117,17 +131,6 @@
 	return nil
 }
 
-// endStream ends a whole stream; one without events has only its head.
-func (a *answer) endStream(reply *Reply) *verdict.Error {
-	if a.begun.Load() {
-		return nil
-	}
-	if err := a.begin(reply, unknownLength); err != nil {
-		return callerGone(err)
-	}
-	return nil
-}
-
 // broken returns the error for an answer that was cut. When the request itself had
 // ended, that is the reason.
 func broken(ctx context.Context, cause error) *verdict.Error {
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -47,7 +47,7 @@
 		if !d.mayAttempt(first) {
 			return d.endError(verdict.ReasonRetryExhausted, "the budget of repeats is spent")
 		}
-		target, ok := d.chooser.place(ctx, d.inputBytes())
+		target, ok := d.chooser.place(ctx, d.work.results.bytes())
 		if !ok {
 			return d.endError(verdict.ReasonNoTarget, "no target can take the request")
 		}
@@ -76,14 +76,6 @@
 	return d.budgets.spend(d.service.Name)
 }
 
-// inputBytes returns the bytes of the inputs in each data centre for an engine.
-func (d *delivery) inputBytes() map[string]int64 {
-	if !d.service.Engine {
-		return nil
-	}
-	return d.work.results.bytes()
-}
-
 // try sends the request to one target, over another connection where an idle one
 // had ended. An error comes with what follows it.
 func (d *delivery) try(ctx context.Context, target directory.Target) (rules.NextAttempt, *verdict.Error) {
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -20,8 +20,6 @@
 import (
 	"context"
 	"math/rand/v2"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
@@ -51,9 +49,9 @@
 type Server struct {
 	cfg Config
 
-	// stopped is closed when requests without an answer are to be given up.
-	stopped  chan struct{}
-	stopOnce sync.Once
+	// stopping ends when requests without an answer are to be given up.
+	stopping context.Context
+	stop     context.CancelFunc
 
 	targets  *targets
 	budgets  *retryBudgets
@@ -63,15 +61,16 @@
 
 // New returns a server.
 func New(cfg Config) *Server {
+	stopping, stop := context.WithCancel(context.Background())
 	return &Server{
-		cfg: cfg, stopped: make(chan struct{}),
+		cfg: cfg, stopping: stopping, stop: stop,
 		targets: newTargets(cfg.Now), budgets: newRetryBudgets(cfg.RetryPolicy, cfg.Now),
 		timeouts: newClientTimeouts(), prefills: newPrefillRates(),
 	}
 }
 
 // Stop gives up the requests whose answer has not begun.
-func (s *Server) Stop() { s.stopOnce.Do(func() { close(s.stopped) }) }
+func (s *Server) Stop() { s.stop() }
 
 // Prune forgets what was measured of targets that are gone.
 func (s *Server) Prune(d *directory.Directory) { s.targets.prune(d) }
@@ -98,7 +97,11 @@
 		return err
 	}
 	d := s.delivery(r, out, outcome)
-	defer s.cancelOnStop(cancel, &d.answer.begun)()
+	defer context.AfterFunc(s.stopping, func() {
+		if !d.answer.begun.Load() {
+			cancel()
+		}
+	})()
 	defer func() { outcome.Recomputed = d.work.recomputes }()
 	defer func() { d.work.results.releaseAll() }()
 	if err := d.work.results.run(ctx); err != nil {
@@ -111,22 +114,6 @@
 	return nil
 }
 
-// cancelOnStop ends a request when the node stops before its answer has begun,
-// until it is released.
-func (s *Server) cancelOnStop(cancel context.CancelFunc, begun *atomic.Bool) (release func()) {
-	done := make(chan struct{})
-	go func() {
-		select {
-		case <-s.stopped:
-			if !begun.Load() {
-				cancel()
-			}
-		case <-done:
-		}
-	}()
-	return func() { close(done) }
-}
-
 // decided reports a decision to the observer.
 func (s *Server) decided(r *resolved) func(Decision) {
 	return func(d Decision) { s.cfg.Observer.Decided(r.req.ID, d) }
--- a/internal/gateway/relay/resolve.go
+++ b/internal/gateway/relay/resolve.go
@@ -70,9 +70,6 @@
 
 // stagesOf returns the stages of a route with the items of one request.
 func stagesOf(c *catalog.Catalog, route *catalog.Route, items []int) rules.Stages {
-	if len(route.Stages) == 0 {
-		return nil
-	}
 	stages := make(rules.Stages, len(route.Stages))
 	for i, s := range route.Stages {
 		stages[i].After = s.After
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -61,9 +61,7 @@
 	}
 	var all sync.WaitGroup
 	for i := range stages {
-		all.Add(1)
-		go func() {
-			defer all.Done()
+		all.Go(func() {
 			defer close(ended[i])
 			for _, a := range stages[i].After {
 				<-ended[a]
@@ -75,7 +73,7 @@
 			if errs[i] = r.runStage(ctx, i); errs[i] != nil {
 				cancel()
 			}
-		}()
+		})
 	}
 	all.Wait()
 	return firstError(errs)
