--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"fmt"
 	"strconv"
 	"strings"
 	"time"
@@ -150,20 +151,13 @@
 
 // attemptsText lists target, status or reason, and milliseconds of each attempt.
 func attemptsText(attempts []relay.Attempt) string {
-	var b strings.Builder
+	texts := make([]string, len(attempts))
 	for i, a := range attempts {
-		if i > 0 {
-			b.WriteByte(' ')
-		}
-		b.WriteString(a.Target)
-		b.WriteByte(':')
+		reason := ""
 		if a.Err != nil {
-			b.WriteString(string(a.Err.Reason()))
-			b.WriteByte('/')
+			reason = string(a.Err.Reason()) + "/"
 		}
-		b.WriteString(strconv.Itoa(a.Status))
-		b.WriteByte(':')
-		b.WriteString(strconv.FormatInt(a.Took.Milliseconds(), 10))
+		texts[i] = fmt.Sprintf("%s:%s%d:%d", a.Target, reason, a.Status, a.Took.Milliseconds())
 	}
-	return b.String()
+	return strings.Join(texts, " ")
 }
