--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -93,7 +93,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.times.Answer.Sub(s.cfg.Now()))
 	defer cancel()
-	if outcome.Planned, err = s.admission(r).admit(ctx); err != nil {
+	if outcome.Planned, err = s.admit(ctx, r); err != nil {
 		return err
 	}
 	d := s.delivery(r, out, outcome)
