--- a/internal/gateway/relay/resolve.go
+++ b/internal/gateway/relay/resolve.go
@@ -20,8 +20,8 @@
 	req     *Request
 	route   *catalog.Route
 	service *catalog.Service
-	// org is the holder of the caller's key; nil for none.
-	org *catalog.Organisation
+	// org is the holder of the caller's key; the zero value for none.
+	org catalog.Organisation
 	// stages has one entry for each stage of the route.
 	stages rules.Stages
 	times  rules.Times
@@ -42,10 +42,12 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotFound, "no route leads there")
 	}
 	if !r.route.Public && c.NeedsKeys() {
-		if r.org = c.Organisation(req.Key); r.org == nil {
+		org := c.Organisation(req.Key)
+		if org == nil {
 			return nil, verdict.New(verdict.NotRun, verdict.ReasonUnauthorised, "the key is not known")
 		}
-		outcome.Organisation = r.org.Name
+		r.org = *org
+		outcome.Organisation = org.Name
 	}
 	r.service = serviceOf(c, r.route, req.ID)
 	outcome.Service = r.service.Name
@@ -84,18 +86,7 @@
 	return stages
 }
 
-// organisation returns the name passed to targets; empty for none.
-func (r *resolved) organisation() string {
-	if r.org == nil {
-		return ""
-	}
-	return r.org.Name
-}
-
 // priority returns the priority of the request's items and prompt at targets.
 func (r *resolved) priority() int {
-	if r.org == nil {
-		return rules.EnginePriority(0, r.route.Priority)
-	}
 	return rules.EnginePriority(r.org.Priority, r.route.Priority)
 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -101,7 +101,7 @@
 func (s *sender) call(target directory.Target) Call {
 	c := Call{
 		Target: target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.Answer,
-		Organisation: s.organisation(), Priority: noPriority, LastEvent: s.answer.lastEvent,
+		Organisation: s.org.Name, Priority: noPriority, LastEvent: s.answer.lastEvent,
 		Permit: func() error { return s.permit(target.ID) },
 	}
 	if s.service.Engine {
