--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"maps"
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
@@ -79,11 +80,10 @@
 // Prune forgets what engines have cached that are not in the directory.
 func (p *EngineChooser) Prune(d *directory.Directory) {
 	for _, engines := range p.cached {
-		for e := range engines {
-			if _, known := d.Target(e); !known {
-				delete(engines, e)
-			}
-		}
+		maps.DeleteFunc(engines, func(e string, _ time.Time) bool {
+			_, known := d.Target(e)
+			return !known
+		})
 	}
 }
 
@@ -112,19 +112,9 @@
 
 // forgetExpired drops what is too old to count.
 func (p *EngineChooser) forgetExpired(now time.Time) {
-	for request, r := range p.pending {
-		if now.Sub(r.placed) > pendingFor {
-			delete(p.pending, request)
-		}
-	}
-	for key, engines := range p.cached {
-		for e, used := range engines {
-			if now.Sub(used) > cachedFor {
-				delete(engines, e)
-			}
-		}
-		if len(engines) == 0 {
-			delete(p.cached, key)
-		}
-	}
+	maps.DeleteFunc(p.pending, func(_ string, r pendingPrompt) bool { return now.Sub(r.placed) > pendingFor })
+	maps.DeleteFunc(p.cached, func(_ uint64, engines map[string]time.Time) bool {
+		maps.DeleteFunc(engines, func(_ string, used time.Time) bool { return now.Sub(used) > cachedFor })
+		return len(engines) == 0
+	})
 }
