--- a/internal/gateway/batching/estimate.go
+++ b/internal/gateway/batching/estimate.go
@@ -1,6 +1,7 @@
 package batching
 
 import (
+	"math"
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
@@ -82,10 +83,10 @@
 }
 
 // addTargets counts the targets and adds up their rates, and returns how long it
-// takes until the first of them is idle.
+// takes until the first of them that does not back off is idle; the longest duration
+// when there is none.
 func (s *State) addTargets(now time.Time, spec *catalog.Batch, targets []*target) time.Duration {
-	const unknown = time.Duration(-1)
-	firstIdle := unknown
+	firstIdle := time.Duration(math.MaxInt64)
 	for _, t := range targets {
 		s.UsedBytes += t.memory.used()
 		if !t.usable {
@@ -103,9 +104,7 @@
 			s.Busy++
 			left = max(t.running.expectedEnd.Sub(now), 0)
 		}
-		if firstIdle == unknown || left < firstIdle {
-			firstIdle = left
-		}
+		firstIdle = min(firstIdle, left)
 	}
 	return firstIdle
 }
