--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -97,13 +97,11 @@
 // keeps its time.
 func (d *Directory) WithLapsed(id string, until time.Time) *Directory {
 	t, known := d.targets[id]
-	switch {
-	case !known:
+	if !known || t.State == Lapsed {
 		return d
-	case t.State == Draining:
+	}
+	if t.State == Draining {
 		return d.Without(id)
-	case t.State == Lapsed:
-		return d
 	}
 	t.State = Lapsed
 	t.LapsesAt = until
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -93,7 +93,9 @@
 	for _, c := range ch.List {
 		switch c := c.(type) {
 		case CatalogChange:
-			next = *next.withCatalog(c)
+			if next.Catalog == nil || c.Catalog.Version > next.Catalog.Version {
+				next.Catalog, next.Document = c.Catalog, c.Document
+			}
 		case TargetChange:
 			next.Directory = next.Directory.With(c.Target)
 		case TargetGone:
@@ -141,16 +143,6 @@
 	return &next
 }
 
-func (v *View) withCatalog(c CatalogChange) *View {
-	if v.Catalog != nil && c.Catalog.Version <= v.Catalog.Version {
-		return v
-	}
-	next := *v
-	next.Catalog = c.Catalog
-	next.Document = c.Document
-	return &next
-}
-
 // withoutTarget decides what becomes of a target that vanished: it has lapsed within
 // LapseGrace of an outage, and is gone otherwise. A wrong lapse sends calls to a
 // target that has left; a wrong removal leaves a service without targets that work.
