--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -61,16 +61,12 @@
 // own chooses a target by what this node knows alone.
 func (c *chooser) own(inputs map[string]int64) (directory.Target, bool) {
 	list := c.view().Directory.Service(c.service.Name)
-	q := placement.Query{DataCentre: c.dataCentre, Exclude: c.tried}
+	key, tokens := sharedPrefix(c.req.Parts)
+	q := placement.Query{DataCentre: c.dataCentre, Exclude: c.tried, Key: key, SharedTokens: tokens, InputBytes: inputs}
 	if c.service.MaxConnections > 0 {
 		q.MaxInflight = rules.ConnectionShare(c.service.MaxConnections, c.members())
 	}
-	if !c.service.Engine {
-		return c.targets.leastLoaded(list, q)
-	}
-	q.Key, q.SharedTokens = sharedPrefix(c.req.Parts)
-	q.InputBytes = inputs
-	return c.targets.byPrefix(list, q)
+	return c.targets.choose(c.service.Engine, list, q)
 }
 
 // sharedPrefix returns the hash of the deepest part of the prompt that other
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -40,11 +40,12 @@
 // deliver sends the request to targets until one answers, the time is over or no
 // other may be tried.
 func (d *delivery) deliver(ctx context.Context) *verdict.Error {
+	d.budgets.first(d.service.Name)
 	for first := true; ; first = false {
 		if err := d.work.ensure(ctx); err != nil {
 			return err
 		}
-		if !d.mayAttempt(first) {
+		if !first && !d.budgets.spend(d.service.Name) {
 			return d.endError(verdict.ReasonRetryExhausted, "the budget of repeats is spent")
 		}
 		target, ok := d.chooser.place(ctx, d.work.results.bytes())
@@ -67,15 +68,6 @@
 	}
 }
 
-// mayAttempt counts a first attempt, or takes a retry from the service's budget.
-func (d *delivery) mayAttempt(first bool) bool {
-	if first {
-		d.budgets.first(d.service.Name)
-		return true
-	}
-	return d.budgets.spend(d.service.Name)
-}
-
 // try sends the request to one target, over another connection where an idle one
 // had ended. An error comes with what follows it.
 func (d *delivery) try(ctx context.Context, target directory.Target) (rules.NextAttempt, *verdict.Error) {
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -20,22 +20,18 @@
 	return &targets{now: now, table: placement.NewTargetTable()}
 }
 
-// leastLoaded chooses a target for a request without a prompt.
-func (t *targets) leastLoaded(list []directory.Target, q placement.Query) (directory.Target, bool) {
+// choose chooses an engine by the shared parts of a prompt, or a target for a request
+// without one.
+func (t *targets) choose(engine bool, list []directory.Target, q placement.Query) (directory.Target, bool) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
+	if engine {
+		return t.table.ByPrefix(now, list, q)
+	}
 	return t.table.LeastLoaded(now, list, q)
 }
 
-// byPrefix chooses an engine by the shared parts of a prompt.
-func (t *targets) byPrefix(list []directory.Target, q placement.Query) (directory.Target, bool) {
-	now := t.now()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.table.ByPrefix(now, list, q)
-}
-
 // ejected returns the identities of the targets that are not used for now.
 func (t *targets) ejected(now time.Time, list []directory.Target) []string {
 	t.mu.Lock()
