--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -93,16 +93,12 @@
 	if ev.Service != nil && ev.Service.Batch != nil {
 		c.spec = ev.Service.Batch
 	}
-	listed := make(map[string]bool, len(ev.Targets))
+	for _, t := range c.targets {
+		t.usable = false
+	}
 	for _, t := range ev.Targets {
-		listed[t.ID] = true
 		c.list(t)
 	}
-	for _, t := range c.targets {
-		if !listed[t.ID] {
-			t.usable = false
-		}
-	}
 	c.targets = slices.DeleteFunc(c.targets, func(t *target) bool {
 		if !t.forgettable() {
 			return false
