--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
@@ -108,17 +109,13 @@
 	if d.Since != v.Revision || d.Revision <= v.Revision {
 		return v
 	}
-	next := *v
 	ch := Changes{Revision: d.Revision}
 	for _, t := range d.Targets {
-		next.Directory = next.Directory.With(t)
 		ch.List = append(ch.List, TargetChange{Target: t})
 	}
 	for _, id := range d.Gone {
-		next.Directory = next.Directory.Without(id)
 		ch.List = append(ch.List, TargetGone{ID: id})
 	}
-	next.Revision = d.Revision
-	next.history = v.history.With(ch)
-	return &next
+	// The member has decided which targets lapse, so that the others have gone here too.
+	return v.WithChanges(time.Time{}, ch, time.Time{})
 }
