--- a/internal/gateway/relay/outcome.go
+++ b/internal/gateway/relay/outcome.go
@@ -91,7 +91,8 @@
 	// Planned is how long the stages were expected to take when the request was
 	// admitted.
 	Planned time.Duration
-	// StagesTook is the time until all stages were done.
+	// StagesTook is the time from the request's arrival until all stages were done for
+	// the first time; what is computed again after a failed attempt is not in it.
 	StagesTook time.Duration
 	// FirstByte is the time to the first byte passed back; 0 for none.
 	FirstByte time.Duration
