--- a/pkg/cmd/node/gateway.go
+++ b/pkg/cmd/node/gateway.go
@@ -25,7 +25,9 @@
 
 // runGateway runs a node that relays requests by a published configuration.
 func runGateway(ctx context.Context, opts *Options, cfg *settings.Settings) error {
-	log, err := gatewayLog(opts.Factory.Out, cfg)
+	out := newLogWriter(opts.Factory.Out)
+	defer func() { _ = out.Close() }() // waits for the last lines; there is nowhere to report a failure
+	log, err := gatewayLog(out, cfg)
 	if err != nil {
 		return err
 	}
@@ -46,16 +48,21 @@
 	return g.Run(ctx)
 }
 
-// gatewayLog returns a log that never waits for its reader.
-func gatewayLog(out io.Writer, cfg *settings.Settings) (zerolog.Logger, error) {
+// newLogWriter returns a writer that never waits for the reader of w. Its Close
+// writes what is left and leaves w open.
+func newLogWriter(w io.Writer) io.WriteCloser {
+	return diode.NewWriter(struct{ io.Writer }{w}, logLines, 0, func(int) {
+		_, _ = io.WriteString(os.Stderr, "log: lines dropped\n") // nowhere else to report it
+	})
+}
+
+// gatewayLog returns the log in the form and at the level of the settings.
+func gatewayLog(w io.Writer, cfg *settings.Settings) (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(cfg.LogLevelName())
 	if err != nil {
 		return zerolog.Nop(), err
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	var w io.Writer = diode.NewWriter(out, logLines, 0, func(missed int) {
-		_, _ = io.WriteString(os.Stderr, "log: lines dropped\n") // nowhere else to report it
-	})
 	if cfg.TextLog() {
 		w = zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: time.TimeOnly}
 	}
