--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -63,9 +63,9 @@
 	Identity string
 	// Deadline ends the call; it is checked again just before the first write.
 	Deadline time.Time
-	// Patience is the timeout after which the call counts as stalled; zero for as
+	// Timeout is how long the call may take before it counts as stalled; zero for as
 	// long as the deadline allows.
-	Patience time.Duration
+	Timeout time.Duration
 	// Key is an idempotency key for targets that check them; empty for none.
 	Key string
 	// Priority is lower for work that is served first.
@@ -163,9 +163,9 @@
 func (c *Client) Do(ctx context.Context, call Call) (*message.StageAnswer, error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	if call.Patience > 0 {
+	if call.Timeout > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeoutCause(ctx, call.Patience, errStalled)
+		ctx, stop = context.WithTimeoutCause(ctx, call.Timeout, errStalled)
 		defer stop()
 	}
 	ex, err := c.send(ctx, call)
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -190,13 +190,13 @@
 	})
 }
 
-func TestPatience(t *testing.T) {
-	convey.Convey("A call that outlasts its patience is stalled, long before its deadline", t, func() {
+func TestTimeout(t *testing.T) {
+	convey.Convey("A call that outlasts its timeout is stalled, long before its deadline", t, func() {
 		target := startTarget(t)
 		target.Fail(standin.Stall, 1)
 		call := stageCall(target.Address(), "id")
 		call.Deadline = time.Now().Add(time.Hour)
-		call.Patience = 50 * time.Millisecond
+		call.Timeout = 50 * time.Millisecond
 		_, err := delivery.New().Do(context.Background(), call)
 		convey.So(verdict.From(err).Reason(), convey.ShouldEqual, verdict.ReasonStalled)
 		convey.So(verdict.From(err).Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
--- a/internal/harness/experiment/costs.go
+++ b/internal/harness/experiment/costs.go
@@ -164,7 +164,7 @@
 			Node: fmt.Sprintf("10.1.%d.%d:8081", i>>8, i&255), Incarnation: ticket.NewSerial(), DataCentre: fmt.Sprint("d", i%12),
 			Bundle: 123456, Digest: bundle.Digest(nil),
 		}
-		v, _ = v.WithWord(now, exchange)
+		v, _ = v.WithExchange(now, exchange)
 	}
 	return v, exchange, now
 }
@@ -173,7 +173,7 @@
 func exchangeCost(peers int) func() float64 {
 	v, exchange, now := viewOf(peers)
 	return func() float64 {
-		return microseconds(200, func(int) { v, _ = v.WithWord(now, exchange) })
+		return microseconds(200, func(int) { v, _ = v.WithExchange(now, exchange) })
 	}
 }
 
@@ -182,7 +182,7 @@
 	v, exchange, now := viewOf(peers)
 	rng := rand.New(rand.NewPCG(1, 1))
 	return func() float64 {
-		exchange.Peers = v.Told(now, rng)
+		exchange.Peers = v.NamedPeers(now, rng)
 		exchange.Readers = []message.Reader{{Node: "10.1.0.1:8081", AgeMs: 1200}, {Node: "10.1.0.2:8081", AgeMs: 800}}
 		return jsonSize(exchange)
 	}
--- a/internal/native/admission/admission.go
+++ b/internal/native/admission/admission.go
@@ -183,7 +183,7 @@
 	it.target = t
 	t.granted = now
 	t.inFlight++
-	return Grant{ID: it.ID, Target: t.spec, Pool: it.pool.spec, Patience: attemptTimeout(it.expected)}
+	return Grant{ID: it.ID, Target: t.spec, Pool: it.pool.spec, Timeout: attemptTimeout(it.expected)}
 }
 
 // withdraw drops held work, or releases the slot of a grant that was not used.
--- a/internal/native/admission/event.go
+++ b/internal/native/admission/event.go
@@ -127,9 +127,9 @@
 	ID     uint64
 	Target bundle.Target
 	Pool   *bundle.Pool
-	// Patience is the timeout of an attempt that may be repeated: after it another
+	// Timeout is how long an attempt that may be repeated may take: after it another
 	// target is more likely to answer in time; see timeout.go.
-	Patience time.Duration
+	Timeout time.Duration
 }
 
 // Refuse is the last answer to an Open or Submit.
--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -6,7 +6,7 @@
 // does no input or output and reads no clock. Without exchanges peers are no longer
 // live after liveFor and are dropped after forgetAfter, and the node reads the
 // service itself; without the platform's list the number of nodes is estimated from
-// the peers that were heard.
+// the peers that sent an exchange lately.
 //
 // Leaving marks form a set that only grows within the life of an incarnation, so any
 // order, loss or repetition of exchanges ends the same. Peers are known from
@@ -71,28 +71,28 @@
 	Bundle      int
 	Digest      string
 	Leaving     bool
-	// Heard is when its last exchange was received; zero for never.
-	Heard time.Time
+	// LastExchange is when its last exchange was received; zero for never.
+	LastExchange time.Time
 	// Added is when it became known.
 	Added time.Time
 }
 
-// lastSign is when the peer was last heard, or became known.
+// lastSign is when the last exchange of the peer was received, or when it became known.
 func (p Peer) lastSign() time.Time {
-	if p.Heard.IsZero() {
+	if p.LastExchange.IsZero() {
 		return p.Added
 	}
-	return p.Heard
+	return p.LastExchange
 }
 
-// heardWithin says whether the peer's last exchange is at most d old and the peer is
+// exchangedWithin says whether the peer's last exchange is at most d old and the peer is
 // not leaving.
-func (p Peer) heardWithin(now time.Time, d time.Duration) bool {
-	return !p.Leaving && !p.Heard.IsZero() && now.Sub(p.Heard) <= d
+func (p Peer) exchangedWithin(now time.Time, d time.Duration) bool {
+	return !p.Leaving && !p.LastExchange.IsZero() && now.Sub(p.LastExchange) <= d
 }
 
 // live says whether the peer is worth naming to others.
-func (p Peer) live(now time.Time) bool { return p.heardWithin(now, liveFor) }
+func (p Peer) live(now time.Time) bool { return p.exchangedWithin(now, liveFor) }
 
 // View is what a node knows. It is immutable.
 type View struct {
@@ -134,9 +134,9 @@
 	return v
 }
 
-// WithWord returns the view after an exchange received from a peer, and the leaving
+// WithExchange returns the view after an exchange received from a peer, and the leaving
 // marks that were not known.
-func (v View) WithWord(now time.Time, ex message.Exchange) (View, []message.LeavingMark) {
+func (v View) WithExchange(now time.Time, ex message.Exchange) (View, []message.LeavingMark) {
 	if ex.Node != v.self {
 		v.peers = maps.Clone(v.peers)
 		old := v.peers[ex.Node]
@@ -146,7 +146,7 @@
 		}
 		v.peers[ex.Node] = Peer{
 			Address: ex.Node, Incarnation: ex.Incarnation, DataCentre: ex.DataCentre,
-			Bundle: ex.Bundle, Digest: ex.Digest, Leaving: leavingFor(old, ex), Heard: now, Added: added,
+			Bundle: ex.Bundle, Digest: ex.Digest, Leaving: leavingFor(old, ex), LastExchange: now, Added: added,
 		}
 	}
 	if ex.DataCentre == v.dataCentre {
@@ -188,7 +188,7 @@
 	return v, added
 }
 
-// WithTime drops peers that have not been heard for forgetAfter.
+// WithTime drops peers without an exchange for forgetAfter.
 func (v View) WithTime(now time.Time) View {
 	for a, p := range v.peers {
 		if now.Sub(p.lastSign()) > forgetAfter {
@@ -222,9 +222,9 @@
 	return list
 }
 
-// Told returns the addresses to name in an exchange: live peers, at random when
+// NamedPeers returns the addresses to name in an exchange: live peers, at random when
 // there are many.
-func (v View) Told(now time.Time, rng *rand.Rand) []string {
+func (v View) NamedPeers(now time.Time, rng *rand.Rand) []string {
 	var live []string
 	for _, p := range v.Peers() {
 		if p.live(now) {
@@ -257,14 +257,14 @@
 }
 
 // Size estimates how many nodes there are, this one included: as many as the
-// platform lists, or as were heard within countedFor where it lists none.
+// platform lists, or as sent an exchange within countedFor where it lists none.
 func (v View) Size(now time.Time) int {
 	if v.listed > 0 {
 		return v.listed
 	}
 	n := 1
 	for _, p := range v.peers {
-		if p.heardWithin(now, countedFor) {
+		if p.exchangedWithin(now, countedFor) {
 			n++
 		}
 	}
--- a/internal/native/membership/membership_test.go
+++ b/internal/native/membership/membership_test.go
@@ -45,12 +45,12 @@
 	for range seconds {
 		g.now = g.now.Add(time.Second)
 		for i := range g.views {
-			g.views[i] = g.views[i].WithDuty(g.now)
+			g.views[i] = g.views[i].WithReading(g.now)
 			j := g.rng.IntN(len(g.views))
 			if i != j && !g.alone[i] && !g.alone[j] {
 				a, b := g.exchange(i), g.exchange(j)
-				g.views[i], _ = g.views[i].WithWord(g.now, b)
-				g.views[j], _ = g.views[j].WithWord(g.now, a)
+				g.views[i], _ = g.views[i].WithExchange(g.now, b)
+				g.views[j], _ = g.views[j].WithExchange(g.now, a)
 			}
 		}
 	}
@@ -106,20 +106,20 @@
 
 func TestPeers(t *testing.T) {
 	convey.Convey("Given a view of one peer", t, func() {
-		v, _ := membership.New("self", "d").WithWord(start, exchange("peer", "d"))
+		v, _ := membership.New("self", "d").WithExchange(start, exchange("peer", "d"))
 		convey.Convey("its leaving holds for the incarnation whatever comes later", func() {
 			gone := exchange("peer", "d")
 			gone.Leaving = true
-			v, _ = v.WithWord(start, gone)
-			v, _ = v.WithWord(start, exchange("peer", "d"))
+			v, _ = v.WithExchange(start, gone)
+			v, _ = v.WithExchange(start, exchange("peer", "d"))
 			convey.So(v.Peers()[0].Leaving, convey.ShouldBeTrue)
 			again := exchange("peer", "d")
 			again.Incarnation = "2"
-			v, _ = v.WithWord(start, again)
+			v, _ = v.WithExchange(start, again)
 			convey.So(v.Peers()[0].Leaving, convey.ShouldBeFalse)
 		})
 		convey.Convey("its own exchange does not make the node its own peer", func() {
-			v, _ = v.WithWord(start, exchange("self", "d"))
+			v, _ = v.WithExchange(start, exchange("self", "d"))
 			convey.So(len(v.Peers()), convey.ShouldEqual, 1)
 		})
 		convey.Convey("it is forgotten after a long silence", func() {
@@ -193,17 +193,17 @@
 				v := membership.New(self, "d")
 				now := start
 				if c.reading {
-					v = v.WithDuty(now)
+					v = v.WithReading(now)
 					now = now.Add(longest)
-					v = v.WithDuty(now)
+					v = v.WithReading(now)
 					convey.So(v.Reading(), convey.ShouldBeTrue)
 				}
 				ex := exchange("peer", "d")
 				for _, node := range c.known {
 					ex.Readers = append(ex.Readers, message.Reader{Node: node, AgeMs: int(c.age.Milliseconds())})
 				}
-				v, _ = v.WithWord(now, ex)
-				v = v.WithDuty(now).WithDuty(now.Add(longest))
+				v, _ = v.WithExchange(now, ex)
+				v = v.WithReading(now).WithReading(now.Add(longest))
 				convey.So(v.Reading(), convey.ShouldEqual, c.want)
 			})
 		}
@@ -215,21 +215,21 @@
 	convey.Convey("Given peers and marks of which some are old", t, func() {
 		v := membership.New("self", "d")
 		for i := range 6 {
-			v, _ = v.WithWord(start, exchange(fmt.Sprint("p", i), "d"))
+			v, _ = v.WithExchange(start, exchange(fmt.Sprint("p", i), "d"))
 		}
 		gone := exchange("gone", "d")
 		gone.Leaving = true
-		v, _ = v.WithWord(start, gone)
+		v, _ = v.WithExchange(start, gone)
 		for i := range 40 {
 			v, _ = v.WithMarks(start, []message.LeavingMark{{Target: fmt.Sprint("t", i), Incarnation: "1"}})
 		}
 		convey.Convey("it names four live peers, none that is leaving", func() {
-			named := v.Told(start.Add(5*time.Second), rng)
+			named := v.NamedPeers(start.Add(5*time.Second), rng)
 			convey.So(len(named), convey.ShouldEqual, 4)
 			convey.So(named, convey.ShouldNotContain, "gone")
 		})
-		convey.Convey("it names no peer that was not heard for longer", func() {
-			convey.So(v.Told(start.Add(5*time.Second+1), rng), convey.ShouldBeEmpty)
+		convey.Convey("it names no peer that was without an exchange for longer", func() {
+			convey.So(v.NamedPeers(start.Add(5*time.Second+1), rng), convey.ShouldBeEmpty)
 		})
 		convey.Convey("it names the newest 32 marks while they are passed on", func() {
 			convey.So(len(v.FreshMarks(start.Add(30*time.Second))), convey.ShouldEqual, 32)
@@ -241,8 +241,8 @@
 
 func TestSizeOfTheFleet(t *testing.T) {
 	convey.Convey("Given a view of one peer", t, func() {
-		v, _ := membership.New("self", "d").WithWord(start, exchange("peer", "d"))
-		convey.Convey("the size counts the peers heard within a minute", func() {
+		v, _ := membership.New("self", "d").WithExchange(start, exchange("peer", "d"))
+		convey.Convey("the size counts the peers that sent an exchange within a minute", func() {
 			convey.So(v.Size(start.Add(time.Minute)), convey.ShouldEqual, 2)
 			convey.So(v.Size(start.Add(time.Minute+1)), convey.ShouldEqual, 1)
 		})
--- a/internal/native/membership/readers.go
+++ b/internal/native/membership/readers.go
@@ -76,8 +76,8 @@
 // Reading says whether this node is a reader of its data centre.
 func (v View) Reading() bool { return v.reading }
 
-// WithDuty decides whether this node is a reader.
-func (v View) WithDuty(now time.Time) View {
+// WithReading returns the view after deciding whether this node is a reader.
+func (v View) WithReading(now time.Time) View {
 	others, above := v.countReaders(now)
 	if v.reading {
 		v.reading = above < wantedReaders
--- a/internal/native/node/admin.go
+++ b/internal/native/node/admin.go
@@ -85,8 +85,8 @@
 	}
 	for _, p := range view.Peers() {
 		s := message.PeerState{Address: p.Address, Incarnation: p.Incarnation, Bundle: p.Bundle, Leaving: p.Leaving, AgeMs: neverReceived}
-		if !p.Heard.IsZero() {
-			s.AgeMs = int(a.incarnation.now().Sub(p.Heard).Milliseconds())
+		if !p.LastExchange.IsZero() {
+			s.AgeMs = int(a.incarnation.now().Sub(p.LastExchange).Milliseconds())
 		}
 		states = append(states, s)
 	}
--- a/internal/native/node/attempt.go
+++ b/internal/native/node/attempt.go
@@ -110,7 +110,7 @@
 		Permit:   a.runner.permit,
 	}
 	if a.spec.Repeatable && a.start.Attempt < a.spec.AttemptLimit() {
-		call.Patience = grant.Patience
+		call.Timeout = grant.Timeout
 	}
 	if grant.Pool.ChecksKeys && a.job.key != "" {
 		call.Key = a.job.key + "/" + a.spec.Name
--- a/internal/native/node/gossip.go
+++ b/internal/native/node/gossip.go
@@ -34,7 +34,7 @@
 	update := message.Exchange{
 		Node: g.address, Incarnation: g.incarnation.id, DataCentre: g.dataCentre,
 		Leaving: g.incarnation.currentPhase() == Leaving,
-		Peers:   view.Told(now, rng), Marks: view.FreshMarks(now), Readers: view.Readers(now),
+		Peers:   view.NamedPeers(now, rng), Marks: view.FreshMarks(now), Readers: view.Readers(now),
 	}
 	b, err := g.bundles.describe()
 	if err != nil {
--- a/internal/native/node/members.go
+++ b/internal/native/node/members.go
@@ -71,7 +71,7 @@
 		a.exchange(updateFanOut)
 	case timePassed:
 		now := a.incarnation.now()
-		a.view = a.view.WithTime(now).WithDuty(now)
+		a.view = a.view.WithTime(now).WithReading(now)
 		a.gate.apply(admission.Nodes{Count: a.view.Size(now)})
 		a.exchange(1)
 	case received:
@@ -94,7 +94,7 @@
 }
 
 func (a *memberActor) receive(update message.Exchange) {
-	view, fresh := a.view.WithWord(a.incarnation.now(), update)
+	view, fresh := a.view.WithExchange(a.incarnation.now(), update)
 	a.view = view
 	a.apply(fresh)
 	a.bundles.send(peerAnswered{})
--- a/internal/native/node/tickets.go
+++ b/internal/native/node/tickets.go
@@ -83,7 +83,7 @@
 func (t *tickets) look(tk ticket.Ticket) (ticket.State, ticket.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.book.Look(t.age(), tk)
+	return t.book.State(t.age(), tk)
 }
 
 // counts returns how many tickets run and how many are spent.
--- a/internal/native/ticket/book.go
+++ b/internal/native/ticket/book.go
@@ -147,9 +147,9 @@
 	b.entries[t.Serial] = e
 }
 
-// Look returns the state of a ticket at the age of the home's incarnation, and its
+// State returns the state of a ticket at the age of the home's incarnation, and its
 // outcome when it is spent.
-func (b *Book) Look(age time.Duration, t Ticket) (State, Outcome) {
+func (b *Book) State(age time.Duration, t Ticket) (State, Outcome) {
 	if e, known := b.entries[t.Serial]; known {
 		return e.state, e.outcome
 	}
--- a/internal/native/ticket/ticket_test.go
+++ b/internal/native/ticket/ticket_test.go
@@ -93,7 +93,7 @@
 		convey.So(b.Spend(0, first, body), convey.ShouldBeNil)
 		b.Settle(first, ticket.Outcome{Verdict: verdict.Ran})
 		convey.So(b.Spend(0, second, body), convey.ShouldNotBeNil)
-		state, _ := b.Look(0, first)
+		state, _ := b.State(0, first)
 		convey.So(state, convey.ShouldEqual, ticket.Spent)
 		convey.So(b.Spend(2*time.Second, second, body), convey.ShouldBeNil)
 	})
