--- a/internal/native/request/retry.go
+++ b/internal/native/request/retry.go
@@ -45,76 +45,37 @@
 	textSent bool
 }
 
-// retryDecision is retry or giveUp.
-type retryDecision interface{ isRetryDecision() }
-
-// retry gives the stage another attempt.
-type retry struct{}
-
-// giveUp ends the request.
-type giveUp struct{ reason giveUpReason }
-
-func (retry) isRetryDecision()  {}
-func (giveUp) isRetryDecision() {}
-
-// giveUpReason says why a stage gets no other attempt.
-type giveUpReason string
-
-const (
-	// noTargetCalled means that admission refused the attempt.
-	noTargetCalled giveUpReason = "no target was called"
-	// noTimeLeft means that the stage's minimum time passes the deadline.
-	noTimeLeft giveUpReason = "no time is left"
-	// textIsSent means that the caller has text, and the bundle ends such streams.
-	textIsSent giveUpReason = "text was sent"
-	// mayNotRepeat means that the stage may have run and may not be repeated.
-	mayNotRepeat giveUpReason = "the stage may not be repeated"
-	// attemptsUsed means that the stage has had all its attempts.
-	attemptsUsed giveUpReason = "the attempts are used"
-)
-
-// judgeRetry decides on another attempt.
-func judgeRetry(in retryInput) retryDecision {
+// mayRetry says whether the stage gets another attempt.
+func mayRetry(in retryInput) bool {
 	if in.target == "" {
-		return giveUp{noTargetCalled}
+		return false // admission refused the attempt
 	}
 	if minimum := time.Duration(in.spec.MinimumMs) * time.Millisecond; !in.now.Add(minimum).Before(in.deadline) {
-		return giveUp{noTimeLeft}
+		return false
 	}
 	if in.textSent {
-		return judgeContinuation(in)
+		return mayContinue(in)
 	}
 	if in.attempts >= maxAttempts {
-		return giveUp{attemptsUsed}
+		return false
 	}
 	if in.verdict == verdict.NotRun && in.unproven == 0 {
-		return retry{}
-	}
-	if !in.spec.Repeatable {
-		return giveUp{mayNotRepeat}
+		return true
 	}
-	if in.unproven >= in.spec.AttemptLimit() {
-		return giveUp{attemptsUsed}
-	}
-	return retry{}
+	return in.spec.Repeatable && in.unproven < in.spec.AttemptLimit()
 }
 
-// judgeContinuation decides whether another engine continues the text that the
-// caller has. A new run would not give the same text, so it cannot start anew.
-func judgeContinuation(in retryInput) retryDecision {
-	if in.spec.OnLoss != bundle.StageOnLossContinue {
-		return giveUp{textIsSent}
-	}
-	if in.unproven > in.spec.AttemptLimit() || in.attempts >= maxAttempts {
-		return giveUp{attemptsUsed}
-	}
-	return retry{}
+// mayContinue says whether another engine continues the text that the caller has. A
+// new run would not give the same text, so it cannot start anew.
+func mayContinue(in retryInput) bool {
+	return in.spec.OnLoss == bundle.StageOnLossContinue &&
+		in.unproven <= in.spec.AttemptLimit() && in.attempts < maxAttempts
 }
 
-// decideRetry gathers the inputs of judgeRetry after a failed attempt was counted.
-func (s State) decideRetry(now time.Time, e Broke) retryDecision {
+// mayRetry gathers the inputs of the rule after a failed attempt was counted.
+func (s State) mayRetry(now time.Time, e Broke) bool {
 	st := s.stages[e.Stage]
-	return judgeRetry(retryInput{
+	return mayRetry(retryInput{
 		now: now, deadline: s.deadline, spec: s.pipeline.Stages[e.Stage],
 		attempts: st.Attempt, unproven: st.Unproven,
 		target: e.Target, verdict: e.Err.Verdict(), textSent: e.Stage == s.pipeline.Last && s.emitted > 0,
--- a/internal/native/request/step.go
+++ b/internal/native/request/step.go
@@ -136,7 +136,7 @@
 		st.Ended++
 	}
 	s = s.WithStage(e.Stage, st)
-	if _, again := s.decideRetry(now, e).(retry); !again {
+	if !s.mayRetry(now, e) {
 		return s.fail(e.Err.WithVerdict(s.Verdict()).WithStage(s.pipeline.Stages[e.Stage].Name))
 	}
 	if e.Stage != s.pipeline.Last {
