--- a/internal/native/admission/admission.go
+++ b/internal/native/admission/admission.go
@@ -159,7 +159,7 @@
 		return refuse(e.ID, verdict.New(verdict.NotRun, verdict.ReasonRetryExhausted, "the pool's budget of retries is spent"))
 	}
 	it := c.newItem(now, p, e)
-	if err := c.refusalFor(now, p, c.judge(now, p, it)); err != nil {
+	if err := c.refusalFor(now, p, it); err != nil {
 		return refuse(e.ID, err)
 	}
 	c.items[e.ID] = it
--- a/internal/native/admission/fit.go
+++ b/internal/native/admission/fit.go
@@ -48,45 +48,29 @@
 	holdAnyway bool
 }
 
-// fitDecision is fits, queueFull, noneInService or startsLate.
-type fitDecision interface{ isFitDecision() }
-
-// fits lets the attempt start or wait.
-type fits struct{}
-
-// queueFull refuses an attempt whose pool holds maxHeld already.
-type queueFull struct{ drain time.Duration }
-
-// noneInService refuses an attempt that no target can start by its latest start.
-type noneInService struct{ probeAt time.Time }
-
-// startsLate refuses an attempt that would start excess after its latest start.
-type startsLate struct{ excess time.Duration }
-
-func (fits) isFitDecision()          {}
-func (queueFull) isFitDecision()     {}
-func (noneInService) isFitDecision() {}
-func (startsLate) isFitDecision()    {}
-
-// judgeFit decides whether an attempt can start in time.
-func judgeFit(in fitInput) fitDecision {
+// judgeFit says why an attempt cannot start in time and after which time a retry is
+// worth it; the reason is empty for an attempt that can.
+func judgeFit(in fitInput) (reason verdict.Reason, retryAfter time.Duration) {
 	if in.held >= maxHeld {
-		return queueFull{drain: in.heldPerSlot}
+		return verdict.ReasonOverload, in.heldPerSlot
+	}
+	if in.slots == 0 && in.probeAt.IsZero() {
+		return verdict.ReasonNoTarget, unknownRetryAfter
 	}
-	if in.slots == 0 && (in.probeAt.IsZero() || in.probeAt.After(in.latestStart)) {
-		return noneInService{probeAt: in.probeAt}
+	if in.slots == 0 && in.probeAt.After(in.latestStart) {
+		return verdict.ReasonNoTarget, in.probeAt.Sub(in.now)
 	}
 	if in.holdAnyway {
-		return fits{}
+		return "", 0
 	}
 	if start := in.now.Add(in.wait); start.After(in.latestStart) {
-		return startsLate{excess: start.Sub(in.latestStart)}
+		return verdict.ReasonOverload, start.Sub(in.latestStart)
 	}
-	return fits{}
+	return "", 0
 }
 
-// judge gathers the inputs of judgeFit for an attempt.
-func (c *Core) judge(now time.Time, p *pool, it *item) fitDecision {
+// fitInput gathers the inputs of judgeFit for an attempt.
+func (c *Core) fitInput(now time.Time, p *pool, it *item) fitInput {
 	in := fitInput{
 		now: now, latestStart: it.latestStart, held: p.held, slots: p.slots(now), holdAnyway: c.cfg.NeverRefuse,
 	}
@@ -97,19 +81,17 @@
 	if !in.holdAnyway {
 		in.wait = p.wait(now, c.shedder.nodes, it.Organisation, c.weight(it.Organisation), it.latestStart)
 	}
-	return judgeFit(in)
+	return in
 }
 
 // refusalFor returns the answer to an attempt that does not fit, and nil for one
 // that does.
-func (c *Core) refusalFor(now time.Time, p *pool, decision fitDecision) *verdict.Error {
-	switch d := decision.(type) {
-	case queueFull:
-		return c.overload(d.drain)
-	case noneInService:
-		return c.noTarget(now, p, d.probeAt)
-	case startsLate:
-		return c.overload(d.excess)
+func (c *Core) refusalFor(now time.Time, p *pool, it *item) *verdict.Error {
+	switch reason, retryAfter := judgeFit(c.fitInput(now, p, it)); reason {
+	case verdict.ReasonOverload:
+		return c.overload(retryAfter)
+	case verdict.ReasonNoTarget:
+		return c.noTarget(p, retryAfter)
 	default:
 		return nil
 	}
--- a/internal/native/admission/refusal.go
+++ b/internal/native/admission/refusal.go
@@ -35,12 +35,10 @@
 }
 
 // noTarget refuses work of a pool none of whose targets is in service.
-func (c *Core) noTarget(now time.Time, p *pool, probeAt time.Time) *verdict.Error {
-	err := verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "no target of pool %s may get work", p.spec.Name)
-	if probeAt.IsZero() {
-		return c.jitter(err.WithRetryAfter(unknownRetryAfter))
-	}
-	return c.jitter(err.WithRetryAfter(max(probeAt.Sub(now), minimumRetryAfter)))
+func (c *Core) noTarget(p *pool, retryAfter time.Duration) *verdict.Error {
+	err := verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "no target of pool %s may get work", p.spec.Name).
+		WithRetryAfter(max(retryAfter, minimumRetryAfter))
+	return c.jitter(err)
 }
 
 // jitter lengthens a retry time at random.
--- a/internal/native/admission/rules_test.go
+++ b/internal/native/admission/rules_test.go
@@ -18,18 +18,19 @@
 	cases := []struct {
 		question string
 		in       fitInput
-		want     fitDecision
+		reason   verdict.Reason
+		after    time.Duration
 	}{
-		{"slots are there and nothing waits", fitInput{slots: 2}, fits{}},
-		{"the wait ends at the latest start", fitInput{slots: 2, wait: time.Second}, fits{}},
-		{"the wait ends after the latest start", fitInput{slots: 2, wait: 1500 * time.Millisecond}, startsLate{excess: 500 * time.Millisecond}},
-		{"the latest start has passed", fitInput{now: later.Add(time.Millisecond), slots: 2}, startsLate{excess: time.Millisecond}},
-		{"the pool holds all that it may", fitInput{slots: 2, held: maxHeld, heldPerSlot: time.Minute}, queueFull{drain: time.Minute}},
-		{"all targets are leaving", fitInput{}, noneInService{}},
-		{"an ejected target is probed in time", fitInput{probeAt: later}, fits{}},
-		{"an ejected target is probed too late", fitInput{probeAt: later.Add(1)}, noneInService{probeAt: later.Add(1)}},
-		{"work is held anyway", fitInput{slots: 2, wait: time.Hour, holdAnyway: true}, fits{}},
-		{"work is held anyway and nobody can serve it", fitInput{holdAnyway: true}, noneInService{}},
+		{"slots are there and nothing waits", fitInput{slots: 2}, "", 0},
+		{"the wait ends at the latest start", fitInput{slots: 2, wait: time.Second}, "", 0},
+		{"the wait ends after the latest start", fitInput{slots: 2, wait: 1500 * time.Millisecond}, verdict.ReasonOverload, 500 * time.Millisecond},
+		{"the latest start has passed", fitInput{now: later.Add(time.Millisecond), slots: 2}, verdict.ReasonOverload, time.Millisecond},
+		{"the pool holds all that it may", fitInput{slots: 2, held: maxHeld, heldPerSlot: time.Minute}, verdict.ReasonOverload, time.Minute},
+		{"all targets are leaving", fitInput{}, verdict.ReasonNoTarget, unknownRetryAfter},
+		{"an ejected target is probed in time", fitInput{probeAt: later}, "", 0},
+		{"an ejected target is probed too late", fitInput{probeAt: later.Add(1)}, verdict.ReasonNoTarget, time.Second + 1},
+		{"work is held anyway", fitInput{slots: 2, wait: time.Hour, holdAnyway: true}, "", 0},
+		{"work is held anyway and nobody can serve it", fitInput{holdAnyway: true}, verdict.ReasonNoTarget, unknownRetryAfter},
 	}
 	convey.Convey("An attempt that must start within a second", t, func() {
 		for _, c := range cases {
@@ -38,7 +39,9 @@
 				if c.in.now.IsZero() {
 					c.in.now = t0
 				}
-				convey.So(judgeFit(c.in), convey.ShouldResemble, c.want)
+				reason, after := judgeFit(c.in)
+				convey.So(reason, convey.ShouldEqual, c.reason)
+				convey.So(after, convey.ShouldEqual, c.after)
 			})
 		}
 	})
