--- a/internal/native/admission/admission.go
+++ b/internal/native/admission/admission.go
@@ -27,6 +27,7 @@
 package admission
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -60,7 +61,7 @@
 	organisations map[string]*organisation
 	open          map[uint64]openRequest
 	items         map[uint64]*item
-	times         *estimator
+	times         estimator
 	shedder       *shedder
 }
 
@@ -84,8 +85,8 @@
 		organisations: make(map[string]*organisation),
 		open:          make(map[uint64]openRequest),
 		items:         make(map[uint64]*item),
-		times:         newEstimator(),
-		shedder:       newShedder(),
+		times:         make(estimator),
+		shedder:       &shedder{classes: make(map[classKey]*class), nodes: 1},
 	}
 }
 
@@ -279,11 +280,4 @@
 
 func refuse(id uint64, err *verdict.Error) []Effect { return []Effect{Refuse{ID: id, Err: err}} }
 
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/native/admission/estimate.go
+++ b/internal/native/admission/estimate.go
@@ -32,18 +32,15 @@
 )
 
 // estimator learns how long stages take, by the class of their work size.
-type estimator struct {
-	stages map[stageKey]*stageTimes
-}
+type estimator map[stageKey]*stageTimes
 
 type stageKey struct {
 	pipeline string
 	stage    string
 }
 
-type stageTimes struct {
-	classes [sizeClasses]movingMean
-}
+// stageTimes holds the mean time of each class of work size, in seconds.
+type stageTimes [sizeClasses]movingMean
 
 // movingMean is an exponentially weighted mean.
 type movingMean struct {
@@ -60,28 +57,24 @@
 	m.mean += learnRate * (x - m.mean)
 }
 
-func newEstimator() *estimator {
-	return &estimator{stages: make(map[stageKey]*stageTimes)}
-}
-
 func sizeClass(size int) int { return min(bits.Len(uint(max(size, 0))), sizeClasses-1) }
 
 // learn counts the time of one successful attempt.
-func (e *estimator) learn(p *bundle.PipelinePlan, stage, size int, took time.Duration) {
+func (e estimator) learn(p *bundle.PipelinePlan, stage, size int, took time.Duration) {
 	key := stageKey{p.Name, p.Stages[stage].Name}
-	t := e.stages[key]
+	t := e[key]
 	if t == nil {
 		t = &stageTimes{}
-		e.stages[key] = t
+		e[key] = t
 	}
-	t.classes[sizeClass(size)].add(took.Seconds())
+	t[sizeClass(size)].add(took.Seconds())
 }
 
 // estimate returns the expected time of a stage with work of size.
-func (e *estimator) estimate(p *bundle.PipelinePlan, stage, size int) time.Duration {
+func (e estimator) estimate(p *bundle.PipelinePlan, stage, size int) time.Duration {
 	spec := p.Stages[stage]
 	least := time.Duration(spec.MinimumMs) * time.Millisecond
-	t := e.stages[stageKey{p.Name, spec.Name}]
+	t := e[stageKey{p.Name, spec.Name}]
 	if t == nil {
 		return least
 	}
@@ -92,8 +85,8 @@
 func (t *stageTimes) nearest(class int) time.Duration {
 	for d := range sizeClasses {
 		for _, c := range [2]int{class - d, class + d} {
-			if c >= 0 && c < sizeClasses && t.classes[c].seen {
-				return time.Duration(t.classes[c].mean * float64(time.Second))
+			if c >= 0 && c < sizeClasses && t[c].seen {
+				return time.Duration(t[c].mean * float64(time.Second))
 			}
 		}
 	}
--- a/internal/native/admission/rules_test.go
+++ b/internal/native/admission/rules_test.go
@@ -187,7 +187,7 @@
 func TestEstimateRule(t *testing.T) {
 	p := &bundle.PipelinePlan{Pipeline: bundle.Pipeline{Name: "x", Stages: []bundle.Stage{{Name: "s", MinimumMs: 100}}}}
 	convey.Convey("The expected time of a stage", t, func() {
-		e := newEstimator()
+		e := make(estimator)
 		convey.Convey("is the bundle's minimum before any attempt", func() {
 			convey.So(e.estimate(p, 0, 1000), convey.ShouldEqual, 100*time.Millisecond)
 		})
--- a/internal/native/admission/shed.go
+++ b/internal/native/admission/shed.go
@@ -89,10 +89,6 @@
 	credit float64
 }
 
-func newShedder() *shedder {
-	return &shedder{classes: make(map[classKey]*class), nodes: 1}
-}
-
 // arrive counts the arrival of a request and returns its class.
 func (s *shedder) arrive(now time.Time, e Open) *class {
 	key := classKey{e.Organisation, e.Pipeline.Name, sizeClass(e.Size)}
