--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -91,9 +91,6 @@
 	return !p.Leaving && !p.LastExchange.IsZero() && now.Sub(p.LastExchange) <= d
 }
 
-// live says whether the peer is worth naming to others.
-func (p Peer) live(now time.Time) bool { return p.exchangedWithin(now, liveFor) }
-
 // View is what a node knows. It is immutable.
 type View struct {
 	self       string
@@ -227,7 +224,7 @@
 func (v View) NamedPeers(now time.Time, rng *rand.Rand) []string {
 	var live []string
 	for _, p := range v.Peers() {
-		if p.live(now) {
+		if p.exchangedWithin(now, liveFor) {
 			live = append(live, p.Address)
 		}
 	}
--- a/internal/native/routing/baselines.go
+++ b/internal/native/routing/baselines.go
@@ -25,8 +25,14 @@
 func (LeastOutstanding) isPolicy() {}
 func (TwoChoices) isPolicy()       {}
 
-// ownCalls is the cost by which some baselines compare.
-func ownCalls(c Candidate) float64 { return float64(c.InFlight) }
+// fewerCalls returns i when that candidate is free and has fewer own calls than
+// chosen, which may be -1, and else chosen.
+func fewerCalls(cs []Candidate, chosen, i int) int {
+	if cs[i].Free() && (chosen < 0 || cs[i].InFlight < cs[chosen].InFlight) {
+		return i
+	}
+	return chosen
+}
 
 // pickFree returns the free candidate that pick chooses among n.
 func pickFree(cs []Candidate, pick func(n int) int) int {
@@ -52,29 +58,24 @@
 	return -1
 }
 
-// best returns the free candidate with the lowest cost.
-func best(cs []Candidate, cost func(Candidate) float64) int {
+// fewestCalls returns the free candidate with the fewest own calls.
+func fewestCalls(cs []Candidate) int {
 	chosen := -1
 	for i := range cs {
-		if cs[i].Free() && (chosen < 0 || cost(cs[i]) < cost(cs[chosen])) {
-			chosen = i
-		}
+		chosen = fewerCalls(cs, chosen, i)
 	}
 	return chosen
 }
 
-// sampled compares a few candidates and falls back to all of them when none of
-// the few is free.
-func sampled(cs []Candidate, rng *rand.Rand, cost func(Candidate) float64) int {
+// sampled compares a few candidates by their own calls and falls back to all of them
+// when none of the few is free.
+func sampled(cs []Candidate, rng *rand.Rand) int {
 	if len(cs) == 0 {
 		return -1
 	}
 	chosen := -1
 	for range samples {
-		i := rng.IntN(len(cs))
-		if cs[i].Free() && (chosen < 0 || cost(cs[i]) < cost(cs[chosen])) {
-			chosen = i
-		}
+		chosen = fewerCalls(cs, chosen, rng.IntN(len(cs)))
 	}
 	if chosen >= 0 {
 		return chosen
--- a/internal/native/routing/routing.go
+++ b/internal/native/routing/routing.go
@@ -105,9 +105,9 @@
 	case RoundRobin:
 		return pickFree(cs, func(n int) int { return int(q.Turn % uint64(n)) })
 	case LeastOutstanding:
-		return best(cs, ownCalls)
+		return fewestCalls(cs)
 	case TwoChoices:
-		return sampled(cs, rng, ownCalls)
+		return sampled(cs, rng)
 	default:
 		return balanced(cs, q, rng)
 	}
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -23,8 +23,6 @@
 	DoneMark = "[DONE]"
 	// FinishStop is the finish reason of an answer that came to its own end.
 	FinishStop = "stop"
-	// FinishLength is the finish reason of an answer that reached its ceiling.
-	FinishLength = "length"
 
 	// Roles of messages.
 	RoleSystem    = "system"
