--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"net/http"
+	"net/url"
 	"sync/atomic"
 
 	"github.com/pkg/errors"
@@ -43,8 +45,8 @@
 // docs/decisions/0003-verdicts.md. A wrong "not run" lets a caller run work twice; a
 // wrong "may have run" fails a request that could be retried.
 
-// failure gives the verdict on a call that got no answer.
-func (a *attempt) failure(ctx context.Context, err error) *verdict.Error {
+// failure gives the verdict on a request that got no answer.
+func (a *attempt) failure(req *http.Request, err error) *verdict.Error {
 	v := verdict.NotRun
 	reason := verdict.ReasonDial
 	if conn := a.conn.Load(); conn != nil {
@@ -56,14 +58,24 @@
 	if refusal := a.refusal.Load(); refusal != nil && v == verdict.NotRun {
 		return refusal.WithVerdict(v)
 	}
-	if ctx.Err() != nil {
+	if ctx := req.Context(); ctx.Err() != nil {
 		reason = reasonOfContext(ctx)
 	}
-	return verdict.New(v, reason, "the call got no answer").WithCause(err)
+	return verdict.New(v, reason, "the call got no answer").WithCause(withoutPath(req, err))
+}
+
+// withoutPath names the method and the address of a failed request in place of the
+// whole URL that net/http names: its path may be a client's text.
+func withoutPath(req *http.Request, err error) error {
+	var failed *url.Error
+	if errors.As(err, &failed) {
+		err = failed.Err
+	}
+	return errors.WithMessagef(err, "%s %s", req.Method, req.URL.Host)
 }
 
 // errStalled ends the context of a call that took longer than its timeout.
-var errStalled = errors.New("the call outlasted its patience")
+var errStalled = errors.New("the call took longer than its timeout")
 
 // reasonOfContext says why the context of a call ended.
 func reasonOfContext(ctx context.Context) verdict.Reason {
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -200,7 +200,7 @@
 	ctx := httptrace.WithClientTrace(req.Context(), trace)
 	resp, err := c.shared.Do(req.WithContext(ctx))
 	if err != nil {
-		return nil, nil, sent.failure(ctx, err)
+		return nil, nil, sent.failure(req, err)
 	}
 	conn := sent.conn.Load()
 	return resp, func() {
@@ -227,7 +227,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, sent.failure(ctx, err)
+		return nil, sent.failure(req, err)
 	}
 	ex := &exchange{call: call, conn: sent.conn.Load(), resp: resp}
 	if err := ex.checkHeader(); err != nil {
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -3,15 +3,18 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"github.com/smartystreets/goconvey/convey"
 
 	"github.com/honeydyke/honeydyke/internal/delivery"
@@ -146,18 +149,46 @@
 	})
 }
 
+// closedPort returns an address on which nothing listens.
+func closedPort() string {
+	ln, err := net.Listen("tcp", loopback)
+	convey.So(err, convey.ShouldBeNil)
+	convey.So(ln.Close(), convey.ShouldBeNil)
+	return ln.Addr().String()
+}
+
 func TestNothingDialledIsNotRun(t *testing.T) {
 	convey.Convey("A call to a closed port is not run", t, func() {
-		ln, err := net.Listen("tcp", loopback)
-		convey.So(err, convey.ShouldBeNil)
-		address := ln.Addr().String()
-		convey.So(ln.Close(), convey.ShouldBeNil)
-		_, err = delivery.New().Do(context.Background(), stageCall(address, "id"))
+		_, err := delivery.New().Do(context.Background(), stageCall(closedPort(), "id"))
 		convey.So(verdict.From(err).Verdict(), convey.ShouldEqual, verdict.NotRun)
 		convey.So(verdict.From(err).Reason(), convey.ShouldEqual, verdict.ReasonDial)
 	})
 }
 
+// saysWhere holds that the error names the method, the address and the cause, and not
+// the path.
+func saysWhere(err error, address string) {
+	want := fmt.Sprintf("the call got no answer: POST %s: dial tcp %s: connect: connection refused", address, address)
+	convey.So(err.Error(), convey.ShouldEndWith, want)
+	convey.So(errors.Is(err, syscall.ECONNREFUSED), convey.ShouldBeTrue)
+}
+
+func TestErrorsNameNoPath(t *testing.T) {
+	convey.Convey("The error of a call without an answer leaves out the path, which a client wrote", t, func() {
+		address := closedPort()
+		call := stageCall(address, "id")
+		call.Path = "/a-client's-text"
+		_, err := delivery.New().Do(context.Background(), call)
+		saysWhere(err, address)
+		convey.Convey("and so does that of a request sent as it is", func() {
+			req, err := http.NewRequest(http.MethodPost, "http://"+address+call.Path, http.NoBody)
+			convey.So(err, convey.ShouldBeNil)
+			_, _, failure := delivery.New().Exchange(req, func() error { return nil })
+			saysWhere(failure, address)
+		})
+	})
+}
+
 func TestPauseBeforeTheWrite(t *testing.T) {
 	convey.Convey("Given a process that is paused between its decision and the first byte", t, func() {
 		target := startTarget(t)
