--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -86,7 +86,10 @@
 	shared *http.Client
 	once   *http.Client
 	scheme string
-	now    func() time.Time
+	tls    *tls.Config
+	// dial bounds the time to connect to a target.
+	dial time.Duration
+	now  func() time.Time
 	// stall is the longest silence of a stream.
 	stall time.Duration
 }
@@ -102,45 +105,37 @@
 
 // WithDialTimeout bounds the time to connect to a target.
 func WithDialTimeout(d time.Duration) Option {
-	return func(c *Client) {
-		c.shared = newHTTPClient(nil, false, d)
-		c.once = newHTTPClient(nil, true, d)
-	}
+	return func(c *Client) { c.dial = d }
 }
 
 // WithTLS calls targets over TLS.
 func WithTLS(cfg *tls.Config) Option {
 	return func(c *Client) {
 		c.scheme = "https"
-		c.shared = newHTTPClient(cfg, false, dialTimeout)
-		c.once = newHTTPClient(cfg, true, dialTimeout)
+		c.tls = cfg
 	}
 }
 
 // New returns a client of targets over plain HTTP.
 func New(opts ...Option) *Client {
-	c := &Client{
-		shared: newHTTPClient(nil, false, dialTimeout),
-		once:   newHTTPClient(nil, true, dialTimeout),
-		scheme: "http",
-		now:    time.Now,
-		stall:  defaultStall,
-	}
+	c := &Client{scheme: "http", dial: dialTimeout, now: time.Now, stall: defaultStall}
 	for _, opt := range opts {
 		opt(c)
 	}
+	c.shared = c.newHTTPClient(false)
+	c.once = c.newHTTPClient(true)
 	return c
 }
 
 // newHTTPClient returns a client that sends a request once: it follows no
 // redirect and speaks no HTTP/2, whose transport re-sends refused requests.
-func newHTTPClient(cfg *tls.Config, fresh bool, dial time.Duration) *http.Client {
+func (c *Client) newHTTPClient(fresh bool) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
-	dialer := &net.Dialer{Timeout: dial, KeepAlive: keepAlivePeriod}
+	dialer := &net.Dialer{Timeout: c.dial, KeepAlive: keepAlivePeriod}
 	transport := &http.Transport{
 		DialContext:         dialGuarded(dialer),
-		TLSClientConfig:     cfg,
+		TLSClientConfig:     c.tls,
 		Protocols:           protocols,
 		DisableCompression:  true,
 		DisableKeepAlives:   fresh,
--- a/internal/jsondoc/jsondoc.go
+++ b/internal/jsondoc/jsondoc.go
@@ -67,11 +67,7 @@
 	if err := c.AddResource(name, doc); err != nil {
 		panic(errors.Wrap(err, name))
 	}
-	compiled, err := c.Compile(name)
-	if err != nil {
-		panic(errors.Wrap(err, name))
-	}
-	return &Schema{compiled: compiled}
+	return &Schema{compiled: c.MustCompile(name)}
 }
 
 // Document is a parsed text that knows the line of each of its keys.
@@ -131,16 +127,9 @@
 
 // lineOfSyntaxError takes the line from hujson's text "hujson: line 3, column 4: ...".
 func lineOfSyntaxError(err error) int {
-	_, rest, ok := strings.Cut(err.Error(), "line ")
-	if !ok {
-		return 1
-	}
-	digits, _, _ := strings.Cut(rest, ",")
-	n, convErr := strconv.Atoi(digits)
-	if convErr != nil {
-		return 1
-	}
-	return n
+	line := 1
+	_, _ = fmt.Sscanf(err.Error(), "hujson: line %d", &line) // another text leaves the first line
+	return line
 }
 
 func (d *Document) duplicates(v *hujson.Value, key string, ps Problems) Problems {
--- a/internal/native/admission/fit.go
+++ b/internal/native/admission/fit.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"slices"
 	"time"
 
 	"github.com/honeydyke/honeydyke/pkg/verdict"
@@ -104,11 +105,7 @@
 		return 0
 	}
 	left := c.remaining(now, e.Organisation, e.Pipeline, e.Size, e.Deadline)
-	var need time.Duration
-	for _, d := range left {
-		need = max(need, d)
-	}
-	return need - e.Deadline.Sub(now)
+	return slices.Max(left) - e.Deadline.Sub(now)
 }
 
 // latestStart returns the latest start of an attempt from which its request can
--- a/internal/native/admission/shed.go
+++ b/internal/native/admission/shed.go
@@ -177,9 +177,6 @@
 	granted float64
 }
 
-// total is the slots that the class asks for.
-func (d demand) total() float64 { return d.work * d.rate }
-
 // replan works out the share of each class.
 func (c *Core) replan(now time.Time) {
 	c.shedder.planned = now
@@ -285,7 +282,7 @@
 func allocate(demands []*demand, capacity float64) float64 {
 	used := 0.0
 	for _, d := range demands {
-		more := min(d.total()-d.granted*d.work, capacity-used)
+		more := min(d.work*d.rate-d.granted*d.work, capacity-used)
 		if more <= 0 {
 			continue
 		}
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -13,6 +13,7 @@
 	"context"
 	"encoding/json"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"strings"
@@ -195,9 +196,7 @@
 	if len(body) == 0 {
 		req.Body = http.NoBody
 	}
-	for name, values := range h {
-		req.Header[name] = values
-	}
+	maps.Copy(req.Header, h)
 	req.Header.Set("Content-Type", "application/json")
 	if c.key != "" {
 		req.Header.Set("Authorization", "Bearer "+c.key)
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -52,18 +52,22 @@
 
 // check finds what the schema cannot express.
 func (s *Settings) check(doc *jsondoc.Document) jsondoc.Problems {
-	var ps jsondoc.Problems
-	addresses := []struct{ key, address string }{
+	type keyed struct{ key, address string }
+	addresses := []keyed{
 		{"/listen/callers", s.Listen.Callers},
 		{"/listen/peers", s.Listen.Peers},
 		{"/listen/admin", s.Listen.Admin},
 	}
+	if s.Gateway != nil {
+		addresses = append(addresses, keyed{"/gateway/store", s.Gateway.Store}, keyed{"/gateway/ready", s.Gateway.Ready})
+	}
+	var ps jsondoc.Problems
 	for _, a := range addresses {
 		if _, err := netip.ParseAddrPort(a.address); err != nil {
 			ps = append(ps, doc.Problem(a.key, "%q is not an IP number and a port from 0 to 65535", a.address))
 		}
 	}
-	ps = append(ps, s.checkMode(doc)...)
+	ps = append(ps, s.checkNative(doc)...)
 	if s.Trust != nil && s.Trust.Required > len(s.Trust.Approvers) {
 		ps = append(ps, doc.Problem("/trust/required", "%d signatures are required of %d approvers", s.Trust.Required, len(s.Trust.Approvers)))
 	}
@@ -73,18 +77,13 @@
 	return ps
 }
 
-// checkMode checks what a node needs that follows signed bundles, or one that
-// relays requests as a gateway.
-func (s *Settings) checkMode(doc *jsondoc.Document) jsondoc.Problems {
-	var ps jsondoc.Problems
+// checkNative checks what a node needs that follows signed bundles; one that relays
+// requests as a gateway needs none of it.
+func (s *Settings) checkNative(doc *jsondoc.Document) jsondoc.Problems {
 	if s.Gateway != nil {
-		for _, a := range []struct{ key, address string }{{"/gateway/store", s.Gateway.Store}, {"/gateway/ready", s.Gateway.Ready}} {
-			if _, err := netip.ParseAddrPort(a.address); err != nil {
-				ps = append(ps, doc.Problem(a.key, "%q is not an IP number and a port from 0 to 65535", a.address))
-			}
-		}
-		return ps
+		return nil
 	}
+	var ps jsondoc.Problems
 	if s.Trust == nil {
 		ps = append(ps, doc.Problem("", "trust is required unless the node is a gateway"))
 	}
