--- a/internal/delivery/stream.go
+++ b/internal/delivery/stream.go
@@ -14,8 +14,6 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-const contentTypeEvents = "text/event-stream"
-
 // Rule: when a stream is whole.
 //
 // A stream is whole with a finish reason and then the end mark, both; every chunk must
@@ -64,7 +62,7 @@
 		return StreamEnd{}, err
 	}
 	defer ex.close()
-	if !strings.HasPrefix(ex.resp.Header.Get("Content-Type"), contentTypeEvents) {
+	if !strings.HasPrefix(ex.resp.Header.Get("Content-Type"), "text/event-stream") {
 		return StreamEnd{}, ex.broken(verdict.ReasonTargetError, "the engine sent no event stream")
 	}
 	s := streamReader{ex: ex, id: openai.CompletionID(call.Identity), emit: emit}
--- a/internal/jsondoc/jsondoc.go
+++ b/internal/jsondoc/jsondoc.go
@@ -52,13 +52,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Schema is a compiled JSON Schema.
-type Schema struct {
-	compiled *jsonschema.Schema
-}
-
 // MustCompile compiles an embedded schema and panics when it is invalid.
-func MustCompile(name string, text []byte) *Schema {
+func MustCompile(name string, text []byte) *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		panic(errors.Wrap(err, name))
@@ -67,7 +62,7 @@
 	if err := c.AddResource(name, doc); err != nil {
 		panic(errors.Wrap(err, name))
 	}
-	return &Schema{compiled: c.MustCompile(name)}
+	return c.MustCompile(name)
 }
 
 // Document is a parsed text that knows the line of each of its keys.
@@ -79,7 +74,7 @@
 
 // Read parses text, checks it against schema and decodes it into out.
 // The error is of type Problems.
-func Read(file string, text []byte, schema *Schema, out any) (*Document, error) {
+func Read(file string, text []byte, schema *jsonschema.Schema, out any) (*Document, error) {
 	doc := &Document{file: file, text: text}
 	tree, err := hujson.Parse(text)
 	if err != nil {
@@ -162,12 +157,12 @@
 	return lit.String()
 }
 
-func (d *Document) validate(packed []byte, schema *Schema) Problems {
+func (d *Document) validate(packed []byte, schema *jsonschema.Schema) Problems {
 	inst, err := jsonschema.UnmarshalJSON(bytes.NewReader(packed))
 	if err != nil {
 		return Problems{{File: d.file, Line: 1, Text: err.Error()}}
 	}
-	err = schema.compiled.Validate(inst)
+	err = schema.Validate(inst)
 	if err == nil {
 		return nil
 	}
--- a/internal/native/membership/membership.go
+++ b/internal/native/membership/membership.go
@@ -64,12 +64,11 @@
 type Peer struct {
 	// Address is its IP number and port for peers.
 	Address string
-	// Incarnation, DataCentre, Bundle, Digest and Leaving are those of its last
-	// exchange; Bundle and Digest are the number and digest of its newest bundle.
+	// Incarnation, DataCentre, Bundle and Leaving are those of its last exchange;
+	// Bundle is the number of its newest bundle.
 	Incarnation string
 	DataCentre  string
 	Bundle      int
-	Digest      string
 	Leaving     bool
 	// LastExchange is when its last exchange was received; zero for never.
 	LastExchange time.Time
@@ -143,7 +142,7 @@
 		}
 		v.peers[ex.Node] = Peer{
 			Address: ex.Node, Incarnation: ex.Incarnation, DataCentre: ex.DataCentre,
-			Bundle: ex.Bundle, Digest: ex.Digest, Leaving: leavingFor(old, ex), LastExchange: now, Added: added,
+			Bundle: ex.Bundle, Leaving: leavingFor(old, ex), LastExchange: now, Added: added,
 		}
 	}
 	if ex.DataCentre == v.dataCentre {
--- a/internal/native/request/step.go
+++ b/internal/native/request/step.go
@@ -46,7 +46,7 @@
 
 func (s State) needsDone(i int) bool {
 	for _, need := range s.pipeline.Stages[i].Needs {
-		j := s.index(need)
+		j := slices.IndexFunc(s.pipeline.Stages, func(st bundle.Stage) bool { return st.Name == need })
 		if s.stages[j].Status != Done {
 			return false
 		}
@@ -54,10 +54,6 @@
 	return true
 }
 
-func (s State) index(name string) int {
-	return slices.IndexFunc(s.pipeline.Stages, func(st bundle.Stage) bool { return st.Name == name })
-}
-
 // start runs the next attempt of stage i.
 func (s State) start(i int) (State, Run) {
 	st := s.stages[i]
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -28,12 +28,10 @@
 	RoleSystem    = "system"
 	RoleUser      = "user"
 	RoleAssistant = "assistant"
-
-	idPrefix = "chatcmpl-"
 )
 
 // CompletionID returns the identity of the completion of request id.
-func CompletionID(id string) string { return idPrefix + id }
+func CompletionID(id string) string { return "chatcmpl-" + id }
 
 // ChatRequest is the body of a call.
 type ChatRequest struct {
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -25,9 +25,6 @@
 // configuration service. docs/CAPACITY.md measures bundles up to it.
 const MaxBytes = 1 << 20
 
-// digestPrefix names the hash of a digest.
-const digestPrefix = "sha256:"
-
 //go:embed bundle.schema.json
 var schemaText []byte
 
@@ -36,7 +33,7 @@
 // Digest returns the digest of text in the form "sha256:<hexadecimal>".
 func Digest(text []byte) string {
 	sum := sha256.Sum256(text)
-	return digestPrefix + hex.EncodeToString(sum[:])
+	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
 // Parse reads and checks a bundle. The file name only serves the error, which
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -153,34 +153,28 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.ticket(ctx, http.MethodPost, wire.PathTickets, body)
+	return read[Ticket](ctx, c, http.MethodPost, wire.PathTickets, body)
 }
 
 // LookTicket asks what became of a ticket.
 func (c *Client) LookTicket(ctx context.Context, ticket string) (*Ticket, error) {
-	return c.ticket(ctx, http.MethodGet, wire.PathTickets+"/"+ticket, nil)
-}
-
-// ticket sends a request about a ticket.
-func (c *Client) ticket(ctx context.Context, method, path string, body []byte) (*Ticket, error) {
-	resp, err := c.send(ctx, method, path, body, nil)
-	if err != nil {
-		return nil, err
-	}
-	defer closeBody(resp)
-	var t Ticket
-	return &t, readWhole(resp, &t)
+	return read[Ticket](ctx, c, http.MethodGet, wire.PathTickets+"/"+ticket, nil)
 }
 
 // ReadState reads the state of a node from its admin address, a URL.
 func (c *Client) ReadState(ctx context.Context) (*State, error) {
-	resp, err := c.send(ctx, http.MethodGet, wire.PathState, nil, nil)
+	return read[State](ctx, c, http.MethodGet, wire.PathState, nil)
+}
+
+// read sends a request without headers of its own and reads its JSON answer.
+func read[T any](ctx context.Context, c *Client, method, path string, body []byte) (*T, error) {
+	resp, err := c.send(ctx, method, path, body, nil)
 	if err != nil {
 		return nil, err
 	}
 	defer closeBody(resp)
-	var s State
-	return &s, readWhole(resp, &s)
+	var answer T
+	return &answer, readWhole(resp, &answer)
 }
 
 // send sends one HTTP request and returns the head of the answer, whatever its status.
