--- a/internal/native/admission/admission.go
+++ b/internal/native/admission/admission.go
@@ -41,7 +41,7 @@
 type Config struct {
 	// DataCentre is the node's own.
 	DataCentre string
-	// Policy chooses targets; Balanced when nil.
+	// Policy chooses targets; nil for that of the product, routing.Balanced.
 	Policy routing.Policy
 	// Seed makes the random choices repeatable and fixes which targets of a large
 	// pool the node prefers.
@@ -74,9 +74,6 @@
 
 // New returns a core with no bundle in force; it refuses all work until Install.
 func New(cfg Config) *Core {
-	if cfg.Policy == nil {
-		cfg.Policy = routing.Balanced{}
-	}
 	return &Core{
 		cfg:           cfg,
 		rng:           rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
--- a/internal/native/routing/routing.go
+++ b/internal/native/routing/routing.go
@@ -97,7 +97,7 @@
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Choose returns the index of the chosen candidate in cs, or -1 when none is
-// free.
+// free. Without a policy it chooses as Balanced.
 func Choose(policy Policy, cs []Candidate, q Query, rng *rand.Rand) int {
 	switch policy.(type) {
 	case Random:
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -13,7 +13,6 @@
 	_ "embed" // the schema
 	"encoding/hex"
 	"net/netip"
-	"strings"
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/jsondoc"
@@ -138,5 +137,5 @@
 	if s.Log == nil || s.Log.Level == "" {
 		return string(LogLevelInfo)
 	}
-	return strings.ToLower(string(s.Log.Level))
+	return string(s.Log.Level)
 }
