--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -10,6 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
+	"github.com/honeydyke/honeydyke/internal/wait"
 )
 
 // How long calls to the source wait and how long after that their answers may take
@@ -80,12 +81,13 @@
 }
 
 // run reads the source until ctx ends: all of it at first and after its history is
-// lost, else what changes.
+// lost, else what changes. The only error of a wait is the end of ctx, which the loop
+// checks.
 func (f *storeFollower) run(ctx context.Context) {
 	whole := true
 	for ctx.Err() == nil {
 		if !whole && f.members.followsReaders() {
-			pause(ctx, readerCheck)
+			_ = wait.For(ctx, readerCheck)
 			continue
 		}
 		started := f.now()
@@ -94,13 +96,13 @@
 		case err == nil:
 			whole = false
 			f.reached()
-			pause(ctx, gatherChanges)
+			_ = wait.For(ctx, gatherChanges)
 		case errors.Is(err, ErrHistoryGone):
 			f.log.Info().Int64("revision", f.views.load().Revision).Msg("source: history gone, reading all")
 			whole = true
 		default:
 			f.failed(started, err)
-			pause(ctx, f.retryPause())
+			_ = wait.For(ctx, f.retryPause())
 		}
 	}
 }
@@ -211,13 +213,3 @@
 		end()
 	}
 }
-
-// pause waits for d or the end of ctx.
-func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
-}
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/membership"
-	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/internal/wait"
 )
 
 const (
@@ -60,7 +60,8 @@
 			return
 		case <-timer.C:
 		case <-g.triggered:
-			pause(ctx, triggerDelay)
+			// Its only error is the end of ctx, which ends the loop.
+			_ = wait.For(ctx, triggerDelay)
 		}
 		g.round(ctx)
 		timer.Reset(gossipInterval)
@@ -101,9 +102,6 @@
 	return true
 }
 
-// answer merges what a member sent and returns what this node knows.
-func (g *gossip) answer(in message.Gossip) message.Gossip { return g.members.exchange(in) }
-
 // answered has a round begin when a member turns out to be ahead of this node: at
 // once when this node leaves the source to the readers, else when its own watch
 // should have delivered the change.
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -54,7 +54,7 @@
 	if !readMessage(w, r, &in) {
 		return
 	}
-	writeMessage(w, s.gossip.answer(in))
+	writeMessage(w, s.gossip.members.exchange(in))
 	s.gossip.answered()
 }
 
