--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,7 +20,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync"
 	"time"
 
 	"github.com/asynkron/protoactor-go/actor"
@@ -45,9 +44,6 @@
 	log   zerolog.Logger
 	now   func() time.Time
 
-	sampleMu sync.Mutex
-	sampler  sampler
-
 	members      *members
 	health       *sourceHealth
 	views        *viewKeeper
@@ -126,7 +122,7 @@
 	batches := &batches{log: g.log, members: g.members, peers: peers, runner: runner, local: g.coordinators}
 	g.relay = relay.New(relay.Config{
 		DataCentre: g.cfg.DataCentre, View: g.views.load, Upstream: g.ports.Targets, Batcher: batches, Placer: g.prompts,
-		Observer: g, Now: g.now, RetryPolicy: retries, Members: g.members.size,
+		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, Members: g.members.size,
 	})
 	g.wireServers()
 }
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -3,6 +3,7 @@
 import (
 	"strconv"
 	"strings"
+	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -25,46 +26,48 @@
 	logShares = 1000
 )
 
-// sampler decides which requests are logged in full.
-type sampler struct {
+// requestLog implements relay.Observer: it logs and counts what became of requests.
+// It owns the sample of those that are logged in full.
+type requestLog struct {
+	now     func() time.Time
+	log     zerolog.Logger
+	metrics *metrics
+
+	mu sync.Mutex
+	// begun is when the current window began, and count its requests so far.
 	begun time.Time
 	count int
 	// share is the part of requests that is logged, from the last window.
 	share float64
 }
 
-// take counts a request and says whether it is logged in full.
-func (s *sampler) take(now time.Time, id string) bool {
-	if now.Sub(s.begun) >= logWindow {
-		s.share = min(1, wholeLogs/float64(max(s.count, 1)))
-		s.begun, s.count = now, 0
+// sampled counts a request and says whether it is logged in full.
+func (l *requestLog) sampled(id string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now := l.now(); now.Sub(l.begun) >= logWindow {
+		l.share = min(1, wholeLogs/float64(max(l.count, 1)))
+		l.begun, l.count = now, 0
 	}
-	s.count++
-	return float64(xxhash.Sum64String(id)%logShares) < logShares*s.share
-}
-
-// sampled says whether a request's decisions are logged.
-func (g *Gateway) sampled(id string) bool {
-	g.sampleMu.Lock()
-	defer g.sampleMu.Unlock()
-	return g.sampler.take(g.now(), id)
+	l.count++
+	return float64(xxhash.Sum64String(id)%logShares) < logShares*l.share
 }
 
 // Decided implements relay.Observer.
-func (g *Gateway) Decided(request string, d relay.Decision) {
+func (l *requestLog) Decided(request string, d relay.Decision) {
 	switch d := d.(type) {
 	case relay.Refused:
-		logRefused(g.log.Info().Str("request", request), d)
+		logRefused(l.log.Info().Str("request", request), d)
 	case relay.StageDone:
-		if g.sampled(request) {
-			g.log.Info().Str("request", request).Int("stage", d.Stage).Str("service", d.Service).Int("items", d.Items).
+		if l.sampled(request) {
+			l.log.Info().Str("request", request).Int("stage", d.Stage).Str("service", d.Service).Int("items", d.Items).
 				Dur("took", d.Took).Strs("targets", d.Targets).Msg("request: stage made")
 		}
 	case relay.StageFailed:
-		logError(g.log.Warn(), d.Err).Str("request", request).Int("stage", d.Stage).Str("service", d.Service).Int("items", d.Items).
+		logError(l.log.Warn(), d.Err).Str("request", request).Int("stage", d.Stage).Str("service", d.Service).Int("items", d.Items).
 			Dur("took", d.Took).Msg("request: stage failed")
 	case relay.AttemptFailed:
-		logError(g.log.Warn(), d.Attempt.Err).Str("request", request).Str("target", d.Attempt.Target).Int("status", d.Attempt.Status).
+		logError(l.log.Warn(), d.Attempt.Err).Str("request", request).Str("target", d.Attempt.Target).Int("status", d.Attempt.Status).
 			Dur("took", d.Attempt.Took).Int("events", d.Events).Str("lastEvent", d.LastEvent).Dur("left", d.Left).Bool("again", d.WillRetry).
 			Str("next", nextText(d.Next)).Msg("request: attempt failed")
 	}
@@ -107,19 +110,19 @@
 
 // Ended implements relay.Observer. A request that ended well is one of many;
 // one that did not is always logged.
-func (g *Gateway) Ended(o *relay.Outcome) {
-	g.metrics.ended(o)
-	if o.Err == nil && len(o.Attempts) <= 1 && !g.sampled(o.Request.ID) {
+func (l *requestLog) Ended(o *relay.Outcome) {
+	l.metrics.ended(o)
+	if o.Err == nil && len(o.Attempts) <= 1 && !l.sampled(o.Request.ID) {
 		return
 	}
-	g.logRequest(o)
+	l.logRequest(o)
 }
 
 // logRequest writes one line with what decided the request's end.
-func (g *Gateway) logRequest(o *relay.Outcome) {
-	ev := g.log.Info()
+func (l *requestLog) logRequest(o *relay.Outcome) {
+	ev := l.log.Info()
 	if o.Err != nil && o.Err.Reason() != verdict.ReasonCancelled {
-		ev = g.log.Warn()
+		ev = l.log.Warn()
 	}
 	ev.Str("request", o.Request.ID).Int64("version", o.Version).Int64("revision", o.Revision)
 	if o.Route != nil {
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -16,8 +16,8 @@
 // logged returns the line that a decision writes.
 func logged(d relay.Decision) map[string]any {
 	var out bytes.Buffer
-	g := &Gateway{log: zerolog.New(&out)}
-	g.Decided("r", d)
+	l := &requestLog{log: zerolog.New(&out)}
+	l.Decided("r", d)
 	var line map[string]any
 	convey.So(json.Unmarshal(out.Bytes(), &line), convey.ShouldBeNil)
 	return line
