--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"fmt"
 	"strconv"
 	"strings"
 	"sync"
@@ -153,20 +154,13 @@
 
 // attemptsText lists target, status or reason, and milliseconds of each attempt.
 func attemptsText(attempts []relay.Attempt) string {
-	var b strings.Builder
+	list := make([]string, len(attempts))
 	for i, a := range attempts {
-		if i > 0 {
-			b.WriteByte(' ')
-		}
-		b.WriteString(a.Target)
-		b.WriteByte(':')
+		status := strconv.Itoa(a.Status)
 		if a.Err != nil {
-			b.WriteString(string(a.Err.Reason()))
-			b.WriteByte('/')
+			status = string(a.Err.Reason()) + "/" + status
 		}
-		b.WriteString(strconv.Itoa(a.Status))
-		b.WriteByte(':')
-		b.WriteString(strconv.FormatInt(a.Took.Milliseconds(), 10))
+		list[i] = fmt.Sprintf("%s:%s:%d", a.Target, status, a.Took.Milliseconds())
 	}
-	return b.String()
+	return strings.Join(list, " ")
 }
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
 // logged returns the line that a decision writes.
@@ -59,3 +60,14 @@
 		})
 	})
 }
+
+func TestAttemptsText(t *testing.T) {
+	convey.Convey("Each attempt has its target, its reason if it failed, its status and its milliseconds", t, func() {
+		failed := verdict.New(verdict.MayHaveRun, verdict.ReasonCut, "why")
+		text := attemptsText([]relay.Attempt{
+			{Target: "a", Status: 200, Err: failed, Took: 1387 * time.Millisecond}, {Target: "b", Status: 200, Took: 2900 * time.Microsecond},
+		})
+		convey.So(text, convey.ShouldEqual, "a:answer-cut/200:1387 b:200:2")
+		convey.So(attemptsText(nil), convey.ShouldBeEmpty)
+	})
+}
