--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -50,7 +50,7 @@
 	service string
 	core    *batching.Core
 	last    batching.Token
-	items   map[batching.Token]pendingItem
+	items   map[batching.Token]*pendingItem
 	ticking bool
 	// leaving says that another node runs what has not started.
 	leaving bool
@@ -67,7 +67,7 @@
 func newCoordinator(cfg coordinatorConfig, service string) *coordinator {
 	return &coordinator{
 		coordinatorConfig: cfg, service: service, core: batching.New(cfg.retries),
-		items:    map[batching.Token]pendingItem{},
+		items:    map[batching.Token]*pendingItem{},
 		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[string]*pendingDiscard{}},
 	}
 }
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -18,7 +18,7 @@
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
-		c.items[item.Token] = pendingItem{group: g, index: i}
+		c.items[item.Token] = &pendingItem{group: g, index: i}
 	}
 	c.handle(batching.Submit{Items: items})
 }
@@ -26,21 +26,16 @@
 // noteStarted notes that items are part of a batch, and has the groups whose inputs
 // are being read report that readTime later.
 func (c *coordinator) noteStarted(e batching.Send) {
-	for _, item := range e.Items {
-		if p, known := c.items[item.Token]; known {
-			p.group.started = true
-		}
-	}
-	if !e.TargetIdle {
-		return
-	}
 	for _, item := range e.Items {
 		p, known := c.items[item.Token]
-		if !known || p.reading {
+		if !known {
+			continue
+		}
+		p.group.started = true
+		if !e.TargetIdle || p.reading {
 			continue
 		}
 		p.reading = true
-		c.items[item.Token] = p
 		if p.group.noteReading() {
 			c.sendLater(readTime, inputsRead{p.group})
 		}
