--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -30,11 +30,13 @@
 // state. When a member does not answer, this node does without the plan, releases
 // the results itself, and hands the group to the next member.
 type batches struct {
+	now     func() time.Time
 	log     zerolog.Logger
 	members *members
 	peers   *peerClient
-	runner  *memberRunner
 	local   *coordinators
+	// exchange gossips with a member and says whether it answered.
+	exchange func(ctx context.Context, member string) bool
 }
 
 // Run implements relay.Batcher.
@@ -44,7 +46,7 @@
 		if member == "" {
 			break
 		}
-		results, err := b.runner.run(ctx, member, service, group, inputsRead)
+		results, err := b.runAt(ctx, member, service, group, inputsRead)
 		if err == nil || !tryElsewhere(err) || ctx.Err() != nil {
 			return results, err
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -118,8 +118,9 @@
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views,
 		choosers: map[string]*placement.EngineChooser{},
 	}
-	runner := &memberRunner{now: g.now, members: g.members, peers: peers, exchange: g.gossip.exchange}
-	batches := &batches{log: g.log, members: g.members, peers: peers, runner: runner, local: g.coordinators}
+	batches := &batches{
+		now: g.now, log: g.log, members: g.members, peers: peers, local: g.coordinators, exchange: g.gossip.exchange,
+	}
 	g.relay = relay.New(relay.Config{
 		DataCentre: g.cfg.DataCentre, View: g.views.load, Upstream: g.ports.Targets, Batcher: batches, Placer: g.prompts,
 		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, Members: g.members.size,
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -20,20 +20,10 @@
 	aliveTimeout = 350 * time.Millisecond
 )
 
-// memberRunner has other members run groups. It waits for a member for as long as
-// that shows signs of life, however long its queue, and gives up on one that does
-// not.
-type memberRunner struct {
-	now     func() time.Time
-	members *members
-	peers   *peerClient
-	// exchange gossips with a member and says whether it answered.
-	exchange func(ctx context.Context, member string) bool
-}
-
-// run has a member run the items of a group. The error's reason is
-// ReasonConnection when the member shows no sign of life.
-func (r *memberRunner) run(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+// runAt has a member run the items of a group. It waits for the member for as long as
+// that shows signs of life, however long its queue, and gives up on one that does not:
+// then the error's reason is ReasonConnection.
+func (b *batches) runAt(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
@@ -42,7 +32,7 @@
 	}
 	answered := make(chan answer, 1)
 	go func() {
-		results, err := r.peers.runAtMember(ctx, member, service, group, inputsRead)
+		results, err := b.peers.runAtMember(ctx, member, service, group, inputsRead)
 		answered <- answer{results, err}
 	}()
 	check := time.NewTicker(aliveFor)
@@ -52,7 +42,7 @@
 		case a := <-answered:
 			return a.results, a.err
 		case <-check.C:
-			if !r.isAlive(ctx, member) {
+			if !b.isAlive(ctx, member) {
 				return nil, verdict.New(verdict.NotRun, verdict.ReasonConnection, "member %s shows no sign of life", member)
 			}
 		}
@@ -60,13 +50,13 @@
 }
 
 // isAlive says whether a member gave a sign of life lately or answers now.
-func (r *memberRunner) isAlive(ctx context.Context, member string) bool {
-	if countsAsAlive(r.now().Sub(r.members.lastContact(member))) {
+func (b *batches) isAlive(ctx context.Context, member string) bool {
+	if countsAsAlive(b.now().Sub(b.members.lastContact(member))) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
 	defer cancel()
-	return r.exchange(ctx, member)
+	return b.exchange(ctx, member)
 }
 
 // countsAsAlive decides whether a member that runs a group is still there, by the
--- a/internal/gateway/liveness_test.go
+++ b/internal/gateway/liveness_test.go
@@ -16,7 +16,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-func TestMemberRunner(t *testing.T) {
+func TestRunAtMember(t *testing.T) {
 	group := relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}
 	convey.Convey("Given a member that answers after its sign of life has been checked", t, func() {
 		release := make(chan struct{})
@@ -32,24 +32,24 @@
 			}
 		}()
 		address := strings.TrimPrefix(member.URL, "http://")
-		runner := &memberRunner{
+		caller := &batches{
 			now: time.Now, members: newMembers(time.Now, "10.0.0.1:1", 1, nil, 0), peers: newPeerClient(time.Now),
 		}
 		convey.Convey("one that shows no sign of life is given up", func() {
-			runner.exchange = func(context.Context, string) bool { return false }
-			_, err := runner.run(t.Context(), address, "s", group, nil)
+			caller.exchange = func(context.Context, string) bool { return false }
+			_, err := caller.runAt(t.Context(), address, "s", group, nil)
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonConnection)
 		})
 		convey.Convey("one that shows them is awaited", func() {
 			var checks atomic.Int64
-			runner.exchange = func(_ context.Context, member string) bool {
+			caller.exchange = func(_ context.Context, member string) bool {
 				if checks.Add(1) == 2 {
 					close(release)
 				}
 				return member == address
 			}
 			released = true
-			results, err := runner.run(t.Context(), address, "s", group, nil)
+			results, err := caller.runAt(t.Context(), address, "s", group, nil)
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(results, convey.ShouldHaveLength, 1)
 			convey.So(checks.Load(), convey.ShouldBeGreaterThanOrEqualTo, 2)
