--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,9 +33,6 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-// ErrNoGateway says that the settings have no gateway section.
-var ErrNoGateway = errors.New("the settings have no gateway")
-
 // Gateway is one node: it wires the parts, runs them and stops them. Create it with
 // New.
 type Gateway struct {
@@ -73,12 +70,9 @@
 // WithClock sets the clock, which must be monotonic; time.Now by default.
 func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.now = now } }
 
-// New returns a gateway that listens but serves nothing until Run. A port 0 in
-// the settings takes a free port.
+// New returns a gateway that listens but serves nothing until Run. The settings must
+// have a gateway section; a port 0 in them takes a free port.
 func New(cfg *settings.Settings, ports Ports, opts ...Option) (*Gateway, error) {
-	if cfg.Gateway == nil {
-		return nil, ErrNoGateway
-	}
 	g := &Gateway{
 		cfg: cfg, ports: ports, log: zerolog.Nop(), now: time.Now,
 		health: &sourceHealth{}, departure: &departure{}, metrics: newMetrics(),
@@ -171,9 +165,6 @@
 // State describes what the node knows and holds.
 func (g *Gateway) State() message.GatewayState { return g.admin.state() }
 
-// Leaving says whether a planned stop has begun.
-func (g *Gateway) Leaving() bool { return g.departure.begun() }
-
 // Run serves until ctx ends and then stops as planned: it informs the balancer
 // and its members, and finishes the work in flight within the time to stop.
 func (g *Gateway) Run(ctx context.Context) error {
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -11,6 +11,7 @@
 import (
 	"time"
 
+	"github.com/pkg/errors"
 	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/internal/gateway"
@@ -18,6 +19,9 @@
 	"github.com/honeydyke/honeydyke/platform"
 )
 
+// ErrNoGateway says that the settings have no gateway section.
+var ErrNoGateway = errors.New("the settings have no gateway")
+
 // Gateway is one instance. Its Run serves until the context ends and then stops
 // as planned; its Reload takes in changed settings.
 type Gateway = gateway.Gateway
@@ -26,11 +30,11 @@
 type Option = gateway.Option
 
 // New returns a gateway that listens on its addresses but serves nothing until
-// Run. A port 0 in the settings takes a free port. It fails when the settings
-// have no gateway section or an address cannot be listened on.
+// Run. A port 0 in the settings takes a free port. It fails with
+// ErrNoGateway, or when an address cannot be listened on.
 func New(cfg *settings.Settings, opts ...Option) (*Gateway, error) {
 	if cfg.Gateway == nil {
-		return nil, gateway.ErrNoGateway
+		return nil, ErrNoGateway
 	}
 	return gateway.New(cfg, platform.NewPorts(cfg.Gateway.Store), opts...)
 }
