--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -19,7 +19,6 @@
 // changes nothing.
 type adminServer struct {
 	now          func() time.Time
-	node         string
 	dataCentre   string
 	views        *viewKeeper
 	health       *sourceHealth
@@ -61,11 +60,10 @@
 	defer cancel()
 	v := s.views.load()
 	state := message.GatewayState{
-		Node: s.node, DataCentre: s.dataCentre, Phase: s.phase(),
+		Node: s.members.self, DataCentre: s.dataCentre, Phase: s.phase(),
 		Version: int(v.Version()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inflight.Load()),
-		Targets: targetMessages(s.now(), v.Directory), Services: []message.BatchState{},
+		Targets: targetMessages(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
 	}
-	state.Members = s.members.list()
 	batches := s.coordinators.states(ctx)
 	for _, service := range slices.Sorted(maps.Keys(batches)) {
 		state.Services = append(state.Services, batchMessage(service, batches[service]))
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -13,9 +13,6 @@
 // have 10 and 0.192.
 const linkPerCore = 250.0
 
-// thousandths are the parts of a core in which a capacity is given.
-const thousandths = 1000
-
 // capacityOf decides what a machine can carry of the work that one node does for all,
 // in thousandths of a core; 0 for unknown. Inputs, from the settings: its processor in
 // cores, and its link in Mbit/s, where that is known; the scarcer of both counts.
@@ -28,7 +25,7 @@
 	if cfg.LinkMbps > 0 {
 		cores = min(cores, cfg.LinkMbps/linkPerCore)
 	}
-	return int(thousandths * cores)
+	return int(1000 * cores)
 }
 
 const (
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -68,7 +68,7 @@
 	return &coordinator{
 		coordinatorConfig: cfg, service: service, core: batching.New(cfg.retries),
 		items:    map[batching.Token]*pendingItem{},
-		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[string]*pendingDiscard{}},
+		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[string]*batching.Discard{}},
 	}
 }
 
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -45,10 +45,6 @@
 	open atomic.Int64
 }
 
-func newCoordinators(cfg coordinatorConfig, views *viewKeeper) *coordinators {
-	return &coordinators{coordinatorConfig: cfg, views: views, services: map[string]*actor.PID{}}
-}
-
 // idle says whether this node runs no group.
 func (c *coordinators) idle() bool { return c.open.Load() == 0 }
 
@@ -108,11 +104,7 @@
 		return pending.results, pending.err
 	case <-ctx.Done():
 		c.system.Root.Send(pid, cancelGroup{pending})
-		reason := verdict.ReasonCancelled
-		if ctx.Err() == context.DeadlineExceeded {
-			reason = verdict.ReasonDeadline
-		}
-		return nil, verdict.New(verdict.NotRun, reason, "the results of stage %d were not awaited", group.Stage)
+		return nil, verdict.New(verdict.NotRun, unansweredReason(ctx), "the results of stage %d were not awaited", group.Stage)
 	}
 }
 
--- a/internal/gateway/discards.go
+++ b/internal/gateway/discards.go
@@ -7,7 +7,6 @@
 	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/batching"
-	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
 const (
@@ -17,17 +16,11 @@
 	discardTimeout = time.Second
 )
 
-// pendingDiscard is results to discard at one target.
-type pendingDiscard struct {
-	target  directory.Target
-	handles []string
-}
-
-// discards gathers results to discard, by target. Its coordinator owns it.
+// discards gathers results to discard, by the identity of their target. Its coordinator owns it.
 type discards struct {
 	log      zerolog.Logger
 	targets  Targets
-	byTarget map[string]*pendingDiscard
+	byTarget map[string]*batching.Discard
 	// scheduled says whether the coordinator is going to receive discardNow.
 	scheduled bool
 }
@@ -36,17 +29,17 @@
 func (d *discards) add(e batching.Discard) (schedule bool) {
 	p := d.byTarget[e.Target.ID]
 	if p == nil {
-		p = &pendingDiscard{target: e.Target}
+		p = &batching.Discard{Target: e.Target}
 		d.byTarget[e.Target.ID] = p
 	}
-	p.handles = append(p.handles, e.Handles...)
+	p.Handles = append(p.Handles, e.Handles...)
 	schedule = !d.scheduled
 	d.scheduled = true
 	return schedule
 }
 
 // take removes and returns what is gathered for a target; nil for nothing.
-func (d *discards) take(target string) *pendingDiscard {
+func (d *discards) take(target string) *batching.Discard {
 	p := d.byTarget[target]
 	delete(d.byTarget, target)
 	return p
@@ -63,10 +56,10 @@
 
 // call discards results at their target. A target that cannot be reached drops them
 // itself when they expire.
-func (d *discards) call(p *pendingDiscard) {
+func (d *discards) call(p *batching.Discard) {
 	ctx, cancel := context.WithTimeout(context.Background(), discardTimeout)
 	defer cancel()
-	if err := d.targets.Release(ctx, p.target, p.handles); err != nil {
-		d.log.Debug().Str("target", p.target.ID).Int("results", len(p.handles)).Err(err).Msg("items: results were not discarded")
+	if err := d.targets.Release(ctx, p.Target, p.Handles); err != nil {
+		d.log.Debug().Str("target", p.Target.ID).Int("results", len(p.Handles)).Err(err).Msg("items: results were not discarded")
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -104,10 +104,10 @@
 		checkBehind: g.follower.checkBehind, triggered: make(chan struct{}, 1),
 	}
 	retries := retryPolicy(g.cfg.Gateway, func() int { return retrySharers(g.now().Sub(started), g.members.peakSize()) })
-	g.coordinators = newCoordinators(coordinatorConfig{
+	g.coordinators = &coordinators{views: g.views, services: map[string]*actor.PID{}, coordinatorConfig: coordinatorConfig{
 		now: g.now, log: g.log, system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger)), members: g.members,
 		targets: g.ports.Targets, metrics: g.metrics, retries: retries, permit: g.views.permit,
-	}, g.views)
+	}}
 	g.prompts = &prompts{
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views,
 		choosers: map[string]*placement.EngineChooser{},
@@ -126,7 +126,7 @@
 func (g *Gateway) wireServers() {
 	g.callers = &callers{now: g.now, views: g.views, departure: g.departure, relay: g.relay}
 	g.admin = &adminServer{
-		now: g.now, node: g.PeerAddress(), dataCentre: g.cfg.DataCentre, views: g.views, health: g.health, members: g.members,
+		now: g.now, dataCentre: g.cfg.DataCentre, views: g.views, health: g.health, members: g.members,
 		departure: g.departure, callers: g.callers, coordinators: g.coordinators, metrics: g.metrics,
 	}
 	peers := &peerServer{now: g.now, views: g.views, gossip: g.gossip, coordinators: g.coordinators, prompts: g.prompts}
--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -77,7 +77,7 @@
 	return resultsOf(out.Results), nil
 }
 
-// unansweredReason says why a call that ended with an error got no answer. When
+// unansweredReason says why a call or a group that ended with an error got no answer. When
 // its time was over or nobody waits for it any more, that says nothing of the member.
 func unansweredReason(ctx context.Context) verdict.Reason {
 	switch ctx.Err() {
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -29,9 +29,6 @@
 	paramVersion = "version"
 )
 
-// keyBase is the base in which the key of a prompt is sent.
-const keyBase = 16
-
 // millis is a number of milliseconds as a duration.
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
@@ -111,7 +108,7 @@
 
 func promptMessage(service string, q placement.Prompt) message.PromptPlace {
 	m := message.PromptPlace{
-		Service: service, Request: q.Request, Key: strconv.FormatUint(q.Key, keyBase), SharedTokens: q.SharedTokens, Tokens: q.Tokens,
+		Service: service, Request: q.Request, Key: strconv.FormatUint(q.Key, 16), SharedTokens: q.SharedTokens, Tokens: q.Tokens,
 		SlackMs: int(q.Slack.Milliseconds()), Exclude: q.Exclude,
 	}
 	for dc, bytes := range q.InputBytes {
@@ -121,7 +118,7 @@
 }
 
 func promptOf(in message.PromptPlace) (placement.Prompt, error) {
-	key, err := strconv.ParseUint(in.Key, keyBase, 64)
+	key, err := strconv.ParseUint(in.Key, 16, 64)
 	if err != nil {
 		return placement.Prompt{}, errors.New("the key does not read")
 	}
