--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -77,8 +77,9 @@
 	return resultsOf(out.Results), nil
 }
 
-// unansweredReason says why a call or a group that ended with an error got no answer. When
-// its time was over or nobody waits for it any more, that says nothing of the member.
+// unansweredReason says why a call or a group got no answer, by the context that it
+// ran in. When its time was over or nobody waits for it any more, that says nothing of
+// the member.
 func unansweredReason(ctx context.Context) verdict.Reason {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
