--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -64,7 +64,7 @@
 // member: when the member cannot be reached, is leaving, or no longer coordinates
 // the service. Any other error is about the group, so another member would give it
 // too. A wrong yes runs items twice; a wrong no fails a request that could have been
-// answered. See docs/decisions/0012-batches.md.
+// answered. See docs/decisions/0012-batches.md, "Failure".
 func tryElsewhere(err *verdict.Error) bool {
 	switch err.Reason() {
 	case verdict.ReasonConnection, verdict.ReasonLeaving, verdict.ReasonMoved:
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -19,7 +19,7 @@
 // Members with less than half of the strongest one's coordinate nothing and do not
 // read the source. Too high a value has a weak machine fall behind with the work of
 // all; too low a one leaves the work to fewer. See docs/decisions/0012-batches.md,
-// "Who works for all": mean worth 0.556 to 0.639 and 0.273 to 0.547 (3bf0bbd).
+// "Who coordinates": mean worth 0.556 to 0.639 and 0.273 to 0.547 (3bf0bbd).
 func capacityOf(cfg *settings.Gateway) int {
 	cores := cfg.Cores
 	if cfg.LinkMbps > 0 {
@@ -72,7 +72,7 @@
 // at once. A node that cannot know all members yet has no part. Too few let the nodes
 // together exceed the bound, for instance when a partition hides members; too many
 // refuse retries that were allowed. See docs/decisions/0011-the-gateway.md, "The
-// budget of repeats" (9d8d7bf: 33 retries where 32 were allowed, before).
+// retry budget" (9d8d7bf: 33 retries where 32 were allowed, before).
 func retrySharers(age time.Duration, peak int) int {
 	if age < membersKnown {
 		return retrybudget.UnknownNodes
--- a/internal/gateway/handback.go
+++ b/internal/gateway/handback.go
@@ -32,7 +32,7 @@
 //
 // Without it, groups wait here for memory whose releases go to the new owner: on one
 // day 168 items waited for 4 s and more (992631a). A wrong yes costs the groups a
-// call to another member. See docs/decisions/0012-batches.md, "When the duty moves".
+// call to another member. See docs/decisions/0012-batches.md, "When coordination moves".
 func handsBack(owned, owns, leaving bool) bool { return owned && !owns && !leaving }
 
 // handBack ends the groups that have not started, for another node to run. Two nodes
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -53,7 +53,7 @@
 // (285f89b: inputs gone on one day 307 without, 138 with this). The inputs of other
 // batches are released when the batch has ended. Too early, an item finds its inputs
 // gone and they are computed again; too late, they take memory that other items wait
-// for. See docs/decisions/0012-batches.md, "Room" and "Inputs".
+// for. See docs/decisions/0012-batches.md, "Result memory" and "Inputs".
 func (g *pendingGroup) noteReading() bool {
 	g.unread--
 	return g.unread == 0 && len(g.group.Inputs) > 0 && g.onInputsRead != nil
--- a/internal/gateway/sourcehealth.go
+++ b/internal/gateway/sourcehealth.go
@@ -113,8 +113,7 @@
 //
 // Too early costs a call between members for a change that the source delivers
 // anyway; too late, the node works by an older configuration and by targets that
-// are leaving. See docs/decisions/0011-the-gateway.md, the part on changes of the
-// store.
+// are leaving. See docs/decisions/0011-the-gateway.md, "Changes in the store".
 func countsAsBehind(aheadFor time.Duration, followsReaders, unreachable bool) bool {
 	return followsReaders || unreachable || aheadFor >= behindAfter
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -39,11 +39,11 @@
 
 func TestDeparture(t *testing.T) {
 	signal := time.Now()
-	convey.Convey("A node that was not told to stop takes new requests", t, func() {
+	convey.Convey("A node that got no signal to stop takes new requests", t, func() {
 		d := &departure{}
 		convey.So(d.begun(), convey.ShouldBeFalse)
 		convey.So(d.refusesNew(signal), convey.ShouldBeFalse)
-		convey.Convey("one that was takes them until the balancer has had time", func() {
+		convey.Convey("one that got it takes them until the balancer has had time", func() {
 			d.begin(signal)
 			convey.So(d.begun(), convey.ShouldBeTrue)
 			convey.So(d.refusesNew(signal.Add(takeAfterSignal-1)), convey.ShouldBeFalse)
