--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -102,11 +102,7 @@
 	var remote sync.WaitGroup
 	for member, numbers := range b.byCoordinator(stages) {
 		if member != "" {
-			remote.Add(1)
-			go func() {
-				defer remote.Done()
-				b.planAt(ctx, member, request, stages, numbers, backlogs)
-			}()
+			remote.Go(func() { b.planAt(ctx, member, request, stages, numbers, backlogs) })
 			continue
 		}
 		for _, i := range numbers {
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -11,10 +11,8 @@
 		c.closeGroup(g, errLeaving())
 		return
 	}
-	items := g.items(func() batching.Token {
-		c.last++
-		return c.last
-	})
+	items := g.items(c.last)
+	c.last += batching.Token(len(items))
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -70,11 +70,11 @@
 	return results
 }
 
-// items returns the group's items; next numbers them.
-func (g *pendingGroup) items(next func() batching.Token) []batching.Item {
+// items returns the group's items, with the tokens that follow last.
+func (g *pendingGroup) items(last batching.Token) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
 	for i := range items {
-		token := next()
+		token := last + 1 + batching.Token(i)
 		g.tokens = append(g.tokens, token)
 		items[i] = batching.Item{
 			Token: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
