--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -85,7 +85,7 @@
 	}
 	f.log.Info().Str("member", member).Int("since", s.Since).Int("revision", s.Revision).
 		Msg("view: changes reported by a member")
-	f.views.apply(ch, func(_ time.Time, v *view.View, _ time.Time) *view.View { return v.WithDelta(d) })
+	f.views.apply(ch, func(_ time.Time, v *view.View) *view.View { return v.WithDelta(d) })
 }
 
 // takeWhole takes over all that a member knows.
@@ -108,7 +108,7 @@
 	f.log.Info().Str("member", member).Int64("version", catalog.Catalog.Version).Int("revision", s.Revision).
 		Msg("view: taken from a member")
 	// Without changes to log: the line above stands for all of them.
-	f.views.apply(view.Changes{}, func(now time.Time, v *view.View, _ time.Time) *view.View {
+	f.views.apply(view.Changes{}, func(now time.Time, v *view.View) *view.View {
 		return v.WithSnapshot(now, ch, time.Time{})
 	})
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -175,8 +175,8 @@
 	if err != nil {
 		return err
 	}
-	f.views.apply(ch, func(now time.Time, v *view.View, troubled time.Time) *view.View {
-		return v.WithSnapshot(now, ch, troubled)
+	f.views.apply(ch, func(now time.Time, v *view.View) *view.View {
+		return v.WithSnapshot(now, ch, f.health.lastOutage())
 	})
 	return nil
 }
@@ -194,11 +194,11 @@
 	if err != nil {
 		return err
 	}
-	f.views.apply(ch, func(now time.Time, v *view.View, troubled time.Time) *view.View {
+	f.views.apply(ch, func(now time.Time, v *view.View) *view.View {
 		if v.Revision != after {
 			return v
 		}
-		return v.WithChanges(now, ch, troubled)
+		return v.WithChanges(now, ch, f.health.lastOutage())
 	})
 	return nil
 }
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -8,6 +8,9 @@
 	"github.com/pkg/errors"
 	"github.com/rs/zerolog"
 	"github.com/smartystreets/goconvey/convey"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
 func TestWatchBounds(t *testing.T) {
@@ -62,12 +65,12 @@
 			convey.So(h.isReachable(start.Add(reachableFor)), convey.ShouldBeTrue)
 			convey.So(h.isReachable(start.Add(reachableFor+1)), convey.ShouldBeFalse)
 			convey.So(h.ageMs(start.Add(time.Second)), convey.ShouldEqual, 1000)
-			convey.Convey("until a call fails; the trouble counts from that call's beginning", func() {
+			convey.Convey("until a call fails; the outage counts from that call's beginning", func() {
 				lost, reached := h.markFailed(start.Add(time.Second))
 				convey.So(lost, convey.ShouldBeTrue)
 				convey.So(reached, convey.ShouldEqual, start)
 				convey.So(h.isReachable(start.Add(time.Second)), convey.ShouldBeFalse)
-				convey.So(h.lastTrouble(), convey.ShouldEqual, start.Add(time.Second))
+				convey.So(h.lastOutage(), convey.ShouldEqual, start.Add(time.Second))
 				lost, _ = h.markFailed(start.Add(2 * time.Second))
 				convey.So(lost, convey.ShouldBeFalse)
 				convey.So(h.markReached(start.Add(3*time.Second)), convey.ShouldBeTrue)
@@ -87,7 +90,7 @@
 		var lines []string
 		log := zerolog.New(io.Discard).Hook(zerolog.HookFunc(func(_ *zerolog.Event, _ zerolog.Level, msg string) { lines = append(lines, msg) }))
 		f := &storeFollower{
-			views: newViewKeeper(time.Now, log, func() time.Time { return time.Time{} }, nil), health: &sourceHealth{},
+			views: newViewKeeper(time.Now, log, nil), health: &sourceHealth{},
 			metrics: newMetrics(), log: log, now: time.Now,
 		}
 		f.failed(time.Now(), errors.New("silent"))
@@ -97,3 +100,40 @@
 		convey.So(lines, convey.ShouldResemble, []string{"source: lost", "source: reachable again"})
 	})
 }
+
+func TestOutageKeepsTargetsThatVanish(t *testing.T) {
+	convey.Convey("Given a follower that knows a target", t, func() {
+		s := newStore()
+		f := &storeFollower{
+			source: &reader{store: s}, health: &sourceHealth{}, metrics: newMetrics(), log: zerolog.Nop(), now: time.Now,
+			views: newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {}),
+		}
+		s.publish(view.TargetChange{Target: directory.Target{ID: "t", Service: "s"}})
+		convey.So(f.readWhole(t.Context()), convey.ShouldBeNil)
+		known := func(state directory.State) {
+			target, ok := f.views.load().Directory.All()["t"]
+			convey.So(ok, convey.ShouldBeTrue)
+			convey.So(target.State, convey.ShouldEqual, state)
+		}
+		known(directory.Ready)
+		gone := func() {
+			s.publish(view.TargetGone{ID: "t"})
+			convey.So(f.readChanges(t.Context(), time.Second, time.Second), convey.ShouldBeNil)
+		}
+		convey.Convey("one that vanishes is gone", func() {
+			gone()
+			convey.So(f.views.load().Directory.All(), convey.ShouldBeEmpty)
+		})
+		convey.Convey("one that vanishes after the source failed has lapsed", func() {
+			f.failed(time.Now(), errors.New("silent"))
+			gone()
+			known(directory.Lapsed)
+		})
+		convey.Convey("so has one that the whole no longer lists", func() {
+			f.failed(time.Now(), errors.New("silent"))
+			s.changes = s.changes[:1]
+			convey.So(f.readWhole(t.Context()), convey.ShouldBeNil)
+			known(directory.Lapsed)
+		})
+	})
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,7 +87,7 @@
 	}
 	g.sockets = sockets
 	g.members = newMembers(g.now, g.PeerAddress(), started.UnixNano(), cfg.Peers, capacityOf(cfg.Gateway))
-	g.views = newViewKeeper(g.now, g.log, g.health.lastTrouble, g.viewChanged)
+	g.views = newViewKeeper(g.now, g.log, g.viewChanged)
 	g.wire(started)
 	return g, nil
 }
--- a/internal/gateway/sourcehealth.go
+++ b/internal/gateway/sourcehealth.go
@@ -25,8 +25,8 @@
 	mu sync.Mutex
 	// reached is when the source last answered; zero for never.
 	reached time.Time
-	// troubled is when the last call that failed began; zero for never.
-	troubled time.Time
+	// outage is when the last call that failed began; zero for never.
+	outage time.Time
 	// down says whether the last call failed.
 	down bool
 	// aheadSince is since when a member is known to be ahead; zero for not.
@@ -46,12 +46,12 @@
 }
 
 // markFailed notes a call that failed and says whether the source was up before
-// it, and when it was last reached. The trouble counts from the beginning of the
+// it, and when it was last reached. The outage counts from the beginning of the
 // call: it may have ended while the call waited.
 func (h *sourceHealth) markFailed(started time.Time) (lost bool, reached time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.troubled = started
+	h.outage = started
 	lost = !h.down
 	h.down = true
 	return lost, h.reached
@@ -71,11 +71,11 @@
 	return !h.down && !h.reached.IsZero() && now.Sub(h.reached) <= reachableFor
 }
 
-// lastTrouble returns when the source was last in trouble; zero for never.
-func (h *sourceHealth) lastTrouble() time.Time {
+// lastOutage returns when the last call that failed began; zero for never.
+func (h *sourceHealth) lastOutage() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.troubled
+	return h.outage
 }
 
 // ageMs returns the milliseconds since the source was reached; -1 for never.
--- a/internal/gateway/viewkeeper.go
+++ b/internal/gateway/viewkeeper.go
@@ -17,8 +17,6 @@
 type viewKeeper struct {
 	now func() time.Time
 	log zerolog.Logger
-	// lastTrouble returns when the source was last in trouble; zero for never.
-	lastTrouble func() time.Time
 	// changed is called under the lock, in the order of the views, when the
 	// configuration or the targets have changed.
 	changed func(*view.View)
@@ -29,8 +27,8 @@
 }
 
 // newViewKeeper returns a keeper of the empty view.
-func newViewKeeper(now func() time.Time, log zerolog.Logger, lastTrouble func() time.Time, changed func(*view.View)) *viewKeeper {
-	k := &viewKeeper{now: now, log: log, lastTrouble: lastTrouble, changed: changed}
+func newViewKeeper(now func() time.Time, log zerolog.Logger, changed func(*view.View)) *viewKeeper {
+	k := &viewKeeper{now: now, log: log, changed: changed}
 	k.current.Store(view.New())
 	return k
 }
@@ -46,17 +44,14 @@
 	return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target is leaving")
 }
 
-// viewChange computes the next view from the current one. troubled is when the
-// source was last in trouble; zero for never.
-type viewChange func(now time.Time, v *view.View, troubled time.Time) *view.View
-
-// apply changes the view. ch is what the log shows of the change.
-func (k *viewKeeper) apply(ch view.Changes, change viewChange) {
+// apply replaces the current view by what change returns for it. ch is what the log
+// shows of the change.
+func (k *viewKeeper) apply(ch view.Changes, change func(now time.Time, v *view.View) *view.View) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	old := k.load()
 	now := k.now()
-	next := change(now, old.WithTime(now), k.lastTrouble())
+	next := change(now, old.WithTime(now))
 	if next == old {
 		return
 	}
--- a/internal/gateway/viewkeeper_test.go
+++ b/internal/gateway/viewkeeper_test.go
@@ -16,17 +16,15 @@
 	convey.Convey("Given a keeper", t, func() {
 		var keeper *viewKeeper
 		var notified []*view.View
-		trouble := time.Now().Add(-time.Minute)
-		keeper = newViewKeeper(time.Now, zerolog.Nop(), func() time.Time { return trouble }, func(v *view.View) {
+		keeper = newViewKeeper(time.Now, zerolog.Nop(), func(v *view.View) {
 			convey.So(keeper.load(), convey.ShouldEqual, v)
 			notified = append(notified, v)
 		})
 		target := directory.Target{ID: "t", Service: "s"}
 		publish := func(revision int64, list ...view.Change) {
 			ch := view.Changes{Revision: revision, List: list}
-			keeper.apply(ch, func(now time.Time, v *view.View, troubled time.Time) *view.View {
-				convey.So(troubled, convey.ShouldEqual, trouble)
-				return v.WithChanges(now, ch, troubled)
+			keeper.apply(ch, func(now time.Time, v *view.View) *view.View {
+				return v.WithChanges(now, ch, time.Time{})
 			})
 		}
 		convey.Convey("a changed target is notified once the view holds it", func() {
@@ -46,7 +44,7 @@
 			})
 		})
 		convey.Convey("a change that returns the same view does nothing", func() {
-			keeper.apply(view.Changes{}, func(_ time.Time, v *view.View, _ time.Time) *view.View { return v })
+			keeper.apply(view.Changes{}, func(_ time.Time, v *view.View) *view.View { return v })
 			convey.So(notified, convey.ShouldBeEmpty)
 		})
 		convey.Convey("calls to a target that is unknown are forbidden", func() {
