--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,7 +20,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync"
 	"time"
 
 	"github.com/asynkron/protoactor-go/actor"
@@ -34,9 +33,6 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-// ErrNoGateway says that the settings have no gateway section.
-var ErrNoGateway = errors.New("the settings have no gateway")
-
 // Gateway is one node: it wires the parts, runs them and stops them. Create it with
 // New.
 type Gateway struct {
@@ -45,9 +41,6 @@
 	log   zerolog.Logger
 	now   func() time.Time
 
-	sampleMu sync.Mutex
-	sampler  sampler
-
 	members      *members
 	health       *sourceHealth
 	views        *viewKeeper
@@ -77,12 +70,9 @@
 // WithClock sets the clock, which must be monotonic; time.Now by default.
 func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.now = now } }
 
-// New returns a gateway that listens but serves nothing until Run. A port 0 in
-// the settings takes a free port.
+// New returns a gateway that listens but serves nothing until Run. The settings must
+// have a gateway section; a port 0 in them takes a free port.
 func New(cfg *settings.Settings, ports Ports, opts ...Option) (*Gateway, error) {
-	if cfg.Gateway == nil {
-		return nil, ErrNoGateway
-	}
 	g := &Gateway{
 		cfg: cfg, ports: ports, log: zerolog.Nop(), now: time.Now,
 		health: &sourceHealth{}, departure: &departure{}, metrics: newMetrics(),
@@ -97,7 +87,7 @@
 	}
 	g.sockets = sockets
 	g.members = newMembers(g.now, g.PeerAddress(), started.UnixNano(), cfg.Peers, capacityOf(cfg.Gateway))
-	g.views = newViewKeeper(g.now, g.log, g.health.lastTrouble, g.viewChanged)
+	g.views = newViewKeeper(g.now, g.log, g.viewChanged)
 	g.wire(started)
 	return g, nil
 }
@@ -114,19 +104,20 @@
 		checkBehind: g.follower.checkBehind, triggered: make(chan struct{}, 1),
 	}
 	retries := retryPolicy(g.cfg.Gateway, func() int { return retrySharers(g.now().Sub(started), g.members.peakSize()) })
-	g.coordinators = newCoordinators(coordinatorConfig{
+	g.coordinators = &coordinators{views: g.views, services: map[string]*actor.PID{}, coordinatorConfig: coordinatorConfig{
 		now: g.now, log: g.log, system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger)), members: g.members,
 		targets: g.ports.Targets, metrics: g.metrics, retries: retries, permit: g.views.permit,
-	}, g.views)
+	}}
 	g.prompts = &prompts{
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views,
 		choosers: map[string]*placement.EngineChooser{},
 	}
-	runner := &memberRunner{now: g.now, members: g.members, peers: peers, exchange: g.gossip.exchange}
-	batches := &batches{log: g.log, members: g.members, peers: peers, runner: runner, local: g.coordinators}
+	batches := &batches{
+		now: g.now, log: g.log, members: g.members, peers: peers, local: g.coordinators, exchange: g.gossip.exchange,
+	}
 	g.relay = relay.New(relay.Config{
 		DataCentre: g.cfg.DataCentre, View: g.views.load, Upstream: g.ports.Targets, Batcher: batches, Placer: g.prompts,
-		Observer: g, Now: g.now, RetryPolicy: retries, Members: g.members.size,
+		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, Members: g.members.size,
 	})
 	g.wireServers()
 }
@@ -135,7 +126,7 @@
 func (g *Gateway) wireServers() {
 	g.callers = &callers{now: g.now, views: g.views, departure: g.departure, relay: g.relay}
 	g.admin = &adminServer{
-		now: g.now, node: g.PeerAddress(), dataCentre: g.cfg.DataCentre, views: g.views, health: g.health, members: g.members,
+		now: g.now, dataCentre: g.cfg.DataCentre, views: g.views, health: g.health, members: g.members,
 		departure: g.departure, callers: g.callers, coordinators: g.coordinators, metrics: g.metrics,
 	}
 	peers := &peerServer{now: g.now, views: g.views, gossip: g.gossip, coordinators: g.coordinators, prompts: g.prompts}
@@ -174,9 +165,6 @@
 // State describes what the node knows and holds.
 func (g *Gateway) State() message.GatewayState { return g.admin.state() }
 
-// Leaving says whether a planned stop has begun.
-func (g *Gateway) Leaving() bool { return g.departure.begun() }
-
 // Run serves until ctx ends and then stops as planned: it informs the balancer
 // and its members, and finishes the work in flight within the time to stop.
 func (g *Gateway) Run(ctx context.Context) error {
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -53,7 +53,7 @@
 // (285f89b: inputs gone on one day 307 without, 138 with this). The inputs of other
 // batches are released when the batch has ended. Too early, an item finds its inputs
 // gone and they are computed again; too late, they take memory that other items wait
-// for. See docs/decisions/0012-batches.md, "Room" and "Inputs".
+// for. See docs/decisions/0012-batches.md, "Result memory" and "Inputs".
 func (g *pendingGroup) noteReading() bool {
 	g.unread--
 	return g.unread == 0 && len(g.group.Inputs) > 0 && g.onInputsRead != nil
@@ -70,11 +70,11 @@
 	return results
 }
 
-// items returns the group's items; next numbers them.
-func (g *pendingGroup) items(next func() batching.Token) []batching.Item {
+// items returns the group's items, with the tokens that follow last.
+func (g *pendingGroup) items(last batching.Token) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
 	for i := range items {
-		token := next()
+		token := last + 1 + batching.Token(i)
 		g.tokens = append(g.tokens, token)
 		items[i] = batching.Item{
 			Token: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -17,8 +17,8 @@
 // logged returns the line that a decision writes.
 func logged(d relay.Decision) map[string]any {
 	var out bytes.Buffer
-	g := &Gateway{log: zerolog.New(&out)}
-	g.Decided("r", d)
+	l := &requestLog{log: zerolog.New(&out)}
+	l.Decided("r", d)
 	var line map[string]any
 	convey.So(json.Unmarshal(out.Bytes(), &line), convey.ShouldBeNil)
 	return line
@@ -69,3 +69,14 @@
 		})
 	})
 }
+
+func TestAttemptsText(t *testing.T) {
+	convey.Convey("Each attempt has its target, its reason if it failed, its status and its milliseconds", t, func() {
+		failed := verdict.New(verdict.MayHaveRun, verdict.ReasonCut, "why")
+		text := attemptsText([]relay.Attempt{
+			{Target: "a", Status: 200, Err: failed, Took: 1387 * time.Millisecond}, {Target: "b", Status: 200, Took: 2900 * time.Microsecond},
+		})
+		convey.So(text, convey.ShouldEqual, "a:answer-cut/200:1387 b:200:2")
+		convey.So(attemptsText(nil), convey.ShouldBeEmpty)
+	})
+}
