--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
+	"github.com/honeydyke/honeydyke/internal/wait"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
@@ -39,7 +40,7 @@
 				Stages: plan, Backlogs: backlogs, Estimated: estimated, Left: in.Left, Comparison: d.Comparison, Retried: retried,
 			})
 		case rules.PlanAgain:
-			if !sleep(ctx, d.Pause) {
+			if wait.For(ctx, d.Pause) != nil {
 				return 0, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "the caller has gone")
 			}
 		}
@@ -66,15 +67,3 @@
 	}
 	return plan
 }
-
-// sleep waits and says whether ctx is still in force.
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -46,7 +46,7 @@
 			return err
 		}
 		if !first && !d.budgets.spend(d.service.Name) {
-			return d.endError(verdict.ReasonRetryExhausted, "the budget of repeats is spent")
+			return d.endError(verdict.ReasonRetryExhausted, "the retry budget is spent")
 		}
 		target, ok := d.chooser.place(ctx, d.work.results.bytes())
 		if !ok {
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -39,15 +39,6 @@
 	})
 }
 
-func TestAttemptsText(t *testing.T) {
-	convey.Convey("The attempts of a request are listed with target, reason, status and milliseconds", t, func() {
-		convey.So(attemptsText(nil), convey.ShouldBeEmpty)
-		cut := verdict.New(verdict.MayHaveRun, verdict.ReasonCut, "cut")
-		text := attemptsText([]relay.Attempt{{Target: "a", Status: 503, Took: 1999 * time.Microsecond, Err: cut}, {Target: "b", Status: 200}})
-		convey.So(text, convey.ShouldEqual, "a:"+string(verdict.ReasonCut)+"/503:1 b:200:0")
-	})
-}
-
 func TestRefusedLine(t *testing.T) {
 	convey.Convey("A refusal's line has what was planned, what was compared and what the bound was made of", t, func() {
 		decision := rules.Admit(rules.Admission{
