--- a/internal/contract/native_logs_test.go
+++ b/internal/contract/native_logs_test.go
@@ -44,12 +44,13 @@
 	logged("debug loads:", "error", "target")
 	logged("warn loads:", "target", "answered")
 
+	// A change ends a read that waits for one, which may have begun by now.
 	d.Configuration.SetDown(true)
+	d.Configuration.Put([]byte("{}"))
 	d.eventually("the service is asked in vain", func() bool {
 		clock.jump(haste)
 		return lines.has("warn service:", "error")
 	})
-	d.Configuration.Put([]byte("{}"))
 	d.Configuration.SetDown(false)
 	logged("error bundle:", "error")
 	clock.jump(time.Hour)
