--- a/internal/native/node/attempt.go
+++ b/internal/native/node/attempt.go
@@ -39,19 +39,22 @@
 		return
 	}
 	begun := a.runner.now()
-	ev := a.callTarget(ctx, grant)
+	end, err := a.callTarget(ctx, grant)
 	took := a.runner.now().Sub(begun)
-	switch end := ev.(type) {
-	case request.Answered:
-		end.Took = took
-		a.runner.gate.end(grant, nil, took)
-		a.send(ctx, end)
-	case request.Broke:
-		end.Took = took
-		a.runner.gate.end(grant, end.Err, took)
-		a.runner.metrics.broken(end.Err)
-		a.send(ctx, end)
+	failure := verdict.From(err)
+	a.runner.gate.end(grant, failure, took)
+	if failure != nil {
+		a.runner.metrics.broken(failure)
+		a.send(ctx, request.Broke{
+			Stage: a.start.Stage, Attempt: a.start.Attempt, Target: grant.Target.Name, Err: failure, Tokens: end.Tokens, Took: took,
+		})
+		return
 	}
+	end.Stage = a.start.Stage
+	end.Attempt = a.start.Attempt
+	end.Target = grant.Target.Name
+	end.Took = took
+	a.send(ctx, end)
 }
 
 // send passes an event to the execution, unless that has ended.
@@ -91,9 +94,10 @@
 	return admission.AfterLoss
 }
 
-// callTarget calls the target of the grant and returns how the attempt ended,
-// as request.Answered or request.Broke.
-func (a *attempt) callTarget(ctx context.Context, grant admission.Grant) request.Event {
+// callTarget calls the target of the grant. The answer has no stage, attempt,
+// target and time yet. That of an engine that failed counts the tokens that it
+// generated.
+func (a *attempt) callTarget(ctx context.Context, grant admission.Grant) (request.Answered, error) {
 	if grant.Pool.Kind == bundle.KindEngine {
 		return a.generate(ctx, grant)
 	}
@@ -119,31 +123,28 @@
 }
 
 // callStage calls a target that is no engine.
-func (a *attempt) callStage(ctx context.Context, grant admission.Grant) request.Event {
+func (a *attempt) callStage(ctx context.Context, grant admission.Grant) (request.Answered, error) {
 	body, err := json.Marshal(message.StageCall{
 		Stage: a.spec.Name, Organisation: a.job.organisation.Name, Input: a.job.input, Needs: a.needs,
 	})
 	if err != nil {
-		return a.broke(grant, err, 0)
+		return request.Answered{}, err
 	}
 	call := a.call(grant)
 	call.Path = wire.PathStage
 	call.Body = body
 	answer, err := a.runner.delivery.Do(ctx, call)
 	if err != nil {
-		return a.broke(grant, err, 0)
-	}
-	return request.Answered{
-		Stage: a.start.Stage, Attempt: a.start.Attempt, Target: grant.Target.Name,
-		Output: answer.Output, Tokens: answer.Tokens,
+		return request.Answered{}, err
 	}
+	return request.Answered{Output: answer.Output, Tokens: answer.Tokens}, nil
 }
 
 // generate calls an engine and sends its text on while it arrives.
-func (a *attempt) generate(ctx context.Context, grant admission.Grant) request.Event {
+func (a *attempt) generate(ctx context.Context, grant admission.Grant) (request.Answered, error) {
 	body, err := json.Marshal(a.chatRequest(grant.Pool))
 	if err != nil {
-		return a.broke(grant, err, 0)
+		return request.Answered{}, err
 	}
 	call := a.call(grant)
 	call.Path = wire.PathChat
@@ -152,17 +153,5 @@
 		a.send(ctx, request.Text{Stage: a.start.Stage, Attempt: a.start.Attempt, Text: text})
 		return ctx.Err()
 	})
-	if err != nil {
-		return a.broke(grant, err, end.Tokens)
-	}
-	return request.Answered{
-		Stage: a.start.Stage, Attempt: a.start.Attempt, Target: grant.Target.Name, Finish: end.Finish, Tokens: end.Tokens,
-	}
-}
-
-// broke is the failed end of the attempt after so many tokens.
-func (a *attempt) broke(grant admission.Grant, err error, tokens int) request.Broke {
-	return request.Broke{
-		Stage: a.start.Stage, Attempt: a.start.Attempt, Target: grant.Target.Name, Err: verdict.From(err), Tokens: tokens,
-	}
+	return request.Answered{Finish: end.Finish, Tokens: end.Tokens}, err
 }
