--- a/internal/native/node/actorref.go
+++ b/internal/native/node/actorref.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/asynkron/protoactor-go/actor"
+	"github.com/pkg/errors"
 )
 
 // askTimeout bounds the wait for an actor's answer; not measured. Actors do no
@@ -25,9 +26,19 @@
 // send puts a message into the actor's mailbox.
 func (r *actorRef) send(msg any) { r.root.Send(r.pid, msg) }
 
-// ask sends a message and waits for the answer.
-func (r *actorRef) ask(msg any) (any, error) {
-	return r.root.RequestFuture(r.pid, msg, askTimeout).Result()
+// ask sends a message and waits for the answer. It fails when the actor gives
+// none of type T within askTimeout.
+func ask[T any](r *actorRef, msg any) (T, error) {
+	var none T
+	answer, err := r.root.RequestFuture(r.pid, msg, askTimeout).Result()
+	if err != nil {
+		return none, err
+	}
+	typed, ok := answer.(T)
+	if !ok {
+		return none, errors.Errorf("unexpected answer %T", answer)
+	}
+	return typed, nil
 }
 
 // quietLogger keeps the actor library's own lines out of the node's log.
--- a/internal/native/node/bundles.go
+++ b/internal/native/node/bundles.go
@@ -57,15 +57,8 @@
 // describe returns the state of the node's bundles. It fails when the actor does
 // not answer within askTimeout.
 func (b *bundles) describe() (bundleState, error) {
-	answer, err := b.ask(describeBundle{})
-	if err != nil {
-		return bundleState{}, errors.Wrap(err, "ask for the bundle")
-	}
-	state, ok := answer.(bundleState)
-	if !ok {
-		return bundleState{}, errors.Errorf("ask for the bundle: unexpected answer %T", answer)
-	}
-	return state, nil
+	state, err := ask[bundleState](&b.actorRef, describeBundle{})
+	return state, errors.Wrap(err, "ask for the bundle")
 }
 
 // bundleActor owns the node's rollout.State. It puts plans in force and decides
--- a/internal/native/node/members.go
+++ b/internal/native/node/members.go
@@ -22,13 +22,10 @@
 	exchangeNow struct{}
 	// marked are leaving marks that this node read itself.
 	marked struct{ marks []message.LeavingMark }
-	// describePeers asks for a peerView.
+	// describePeers asks for the membership.View, which is immutable.
 	describePeers struct{}
 )
 
-// peerView answers describePeers. It is immutable.
-type peerView struct{ view membership.View }
-
 // members passes messages to memberActor, which owns what the node knows of its
 // peers.
 type members struct{ actorRef }
@@ -36,15 +33,8 @@
 // view returns what the node knows of its peers. It fails when the actor does not
 // answer within askTimeout.
 func (m *members) view() (membership.View, error) {
-	answer, err := m.ask(describePeers{})
-	if err != nil {
-		return membership.View{}, errors.Wrap(err, "ask for the peers")
-	}
-	v, ok := answer.(peerView)
-	if !ok {
-		return membership.View{}, errors.Errorf("ask for the peers: unexpected answer %T", answer)
-	}
-	return v.view, nil
+	view, err := ask[membership.View](&m.actorRef, describePeers{})
+	return view, errors.Wrap(err, "ask for the peers")
 }
 
 // updateFanOut is to how many peers a node passes an update at once; with nothing
@@ -81,7 +71,7 @@
 	case marked:
 		a.mark(m.marks)
 	case describePeers:
-		c.Respond(peerView{view: a.view})
+		c.Respond(a.view)
 	}
 }
 
