--- a/internal/native/node/admin.go
+++ b/internal/native/node/admin.go
@@ -50,14 +50,13 @@
 // state describes what the node knows and holds. Parts that their owners do not
 // give in time are missing, with a log line.
 func (a *admin) state() message.StateDump {
-	g := a.gate.state()
 	running, spent := a.tickets.counts()
 	dump := message.StateDump{
 		Node: a.address, Incarnation: a.incarnation.id, DataCentre: a.dataCentre,
-		Phase: message.StateDumpPhase(a.incarnation.currentPhase().String()), InFlight: g.inFlight, Held: g.held,
-		ControlBytes: int(a.traffic.bytes.Load()), Targets: g.targets, Organisations: g.organisations,
-		Tickets: message.TicketState{Running: running, Spent: spent},
+		Phase:        message.StateDumpPhase(a.incarnation.currentPhase().String()),
+		ControlBytes: int(a.traffic.bytes.Load()), Tickets: message.TicketState{Running: running, Spent: spent},
 	}
+	a.gate.describe(&dump)
 	a.describeBundle(&dump)
 	dump.Peers = a.peers()
 	return dump
--- a/internal/native/node/gate.go
+++ b/internal/native/node/gate.go
@@ -7,7 +7,6 @@
 
 	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/internal/native/admission"
-	"github.com/honeydyke/honeydyke/internal/native/request"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
@@ -93,11 +92,11 @@
 }
 
 // open admits a request or refuses it; the returned function closes it.
-func (g *gate) open(j *job, s request.State) (func(), error) {
+func (g *gate) open(j *job) (func(), error) {
 	id, answer := g.ask(func(id uint64) admission.Event {
 		return admission.Open{
-			ID: id, Organisation: j.organisation.Name, Bundle: j.plan.Number(), Pipeline: s.Pipeline(), Deadline: s.Deadline(),
-			Size: len(j.input), Tokens: ceilingOf(s.Pipeline()),
+			ID: id, Organisation: j.organisation.Name, Bundle: j.plan.Number(), Pipeline: j.pipeline, Deadline: j.deadline,
+			Size: len(j.input), Tokens: ceilingOf(j.pipeline),
 		}
 	})
 	if refusal, refused := (<-answer).(admission.Refuse); refused {
@@ -164,22 +163,12 @@
 	return g.core.NextReport(g.now())
 }
 
-// gateState is a copy of what the core holds.
-type gateState struct {
-	inFlight      int
-	held          int
-	targets       []message.TargetState
-	organisations []message.OrganisationState
-}
-
-// state copies what the core holds.
-func (g *gate) state() gateState {
+// describe writes what the core holds into the state dump.
+func (g *gate) describe(dump *message.StateDump) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return gateState{
-		inFlight:      g.core.InFlight(),
-		held:          g.core.Held(),
-		targets:       g.core.Targets(g.now()),
-		organisations: g.core.Organisations(),
-	}
+	dump.InFlight = g.core.InFlight()
+	dump.Held = g.core.Held()
+	dump.Targets = g.core.Targets(g.now())
+	dump.Organisations = g.core.Organisations()
 }
--- a/internal/native/node/runner.go
+++ b/internal/native/node/runner.go
@@ -21,14 +21,16 @@
 // run takes the job through its stages and passes the output to emit, in order.
 // The error is a *verdict.Error whose verdict is about the whole request.
 func (r *runner) run(ctx context.Context, j *job, emit func(text string) error) (*result, error) {
-	state := request.New(j.pipeline, j.deadline)
-	closeRequest, err := r.gate.open(j, state)
+	closeRequest, err := r.gate.open(j)
 	if err != nil {
 		return nil, err
 	}
 	defer closeRequest()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	e := &execution{runner: r, job: j, state: state, emit: emit, cancel: cancel, events: make(chan request.Event)}
+	e := &execution{
+		runner: r, job: j, state: request.New(j.pipeline, j.deadline),
+		emit: emit, cancel: cancel, events: make(chan request.Event),
+	}
 	return e.loop(ctx)
 }
