--- a/internal/native/node/execution.go
+++ b/internal/native/node/execution.go
@@ -11,9 +11,6 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// microsecondsPerMillisecond converts a time to fractions of milliseconds.
-const microsecondsPerMillisecond = 1000
-
 // execution carries out the effects of the package request for one job. Its loop
 // is the only goroutine that touches the state; attempts send it events.
 type execution struct {
@@ -116,6 +113,6 @@
 		Attempts: st.Attempt,
 		Tokens:   st.Tokens,
 		Cost:     float64(st.Ended)*spec.Cost.PerCall + float64(st.Tokens)*spec.Cost.PerToken,
-		TookMs:   float64(st.Took.Microseconds()) / microsecondsPerMillisecond,
+		TookMs:   float64(st.Took.Microseconds()) / 1000,
 	}
 }
--- a/internal/native/node/metrics.go
+++ b/internal/native/node/metrics.go
@@ -13,12 +13,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-const (
-	// metricsInterval is how often counts reach the handler; not measured.
-	metricsInterval = time.Second
-	// thousandths is how many of them the counter of costs has in 1.
-	thousandths = 1000
-)
+// metricsInterval is how often counts reach the handler; not measured.
+const metricsInterval = time.Second
 
 // metrics counts what the node does, in the exposition format of Prometheus.
 type metrics struct {
@@ -52,7 +48,7 @@
 	for _, use := range stages {
 		s := m.scope.Tagged(map[string]string{"pipeline": pipeline, "stage": use.Stage})
 		s.Counter("stage_attempts").Inc(int64(use.Attempts))
-		s.Counter("stage_cost_thousandths").Inc(int64(use.Cost * thousandths))
+		s.Counter("stage_cost_thousandths").Inc(int64(use.Cost * 1000))
 	}
 }
 
