--- a/internal/native/node/node.go
+++ b/internal/native/node/node.go
@@ -21,7 +21,6 @@
 
 import (
 	"context"
-	"time"
 
 	"github.com/rs/zerolog"
 
@@ -70,12 +69,6 @@
 // AdminAddress returns the address that operators read from.
 func (n *Node) AdminAddress() string { return n.servers.admin.address() }
 
-// Incarnation returns the identity of this life of the node.
-func (n *Node) Incarnation() string { return n.incarnation.id }
-
-// Age returns the age of this incarnation by its monotonic clock.
-func (n *Node) Age() time.Duration { return n.incarnation.age() }
-
 // Phase returns the phase that the node is in.
 func (n *Node) Phase() Phase { return n.incarnation.currentPhase() }
 
