--- a/internal/native/node/form.go
+++ b/internal/native/node/form.go
@@ -2,8 +2,11 @@
 
 import "github.com/honeydyke/honeydyke/internal/openai"
 
-// form is the shape in which a caller wants its answer.
-type form interface{ isForm() }
+// form is the shape in which a caller wants its answer: nativeForm or chatForm.
+type form interface {
+	// streams reports whether the caller wants its answer as a stream.
+	streams() bool
+}
 
 // nativeForm is the shape of the pipeline endpoint.
 type nativeForm struct {
@@ -23,19 +26,8 @@
 	created int64
 }
 
-func (nativeForm) isForm() {}
-func (chatForm) isForm()   {}
-
-// streams reports whether the caller wants its answer as a stream.
-func streams(f form) bool {
-	switch f := f.(type) {
-	case nativeForm:
-		return f.stream
-	case chatForm:
-		return f.stream
-	}
-	return false
-}
+func (f nativeForm) streams() bool { return f.stream }
+func (f chatForm) streams() bool   { return f.stream }
 
 // completion is the whole answer.
 func (f chatForm) completion(text, finish string, usage openai.Usage) openai.Completion {
--- a/internal/native/node/reply.go
+++ b/internal/native/node/reply.go
@@ -43,10 +43,11 @@
 
 // text takes the next piece of the output.
 func (r *reply) text(text string) error {
-	if !streams(r.form) || r.record {
+	streams := r.form.streams()
+	if !streams || r.record {
 		r.output.WriteString(text)
 	}
-	if !streams(r.form) {
+	if !streams {
 		return nil
 	}
 	err := r.streamText(text)
