--- a/internal/native/node/reply.go
+++ b/internal/native/node/reply.go
@@ -30,10 +30,9 @@
 	output strings.Builder
 	// record is true when the answer is kept for a caller that asks again with its
 	// ticket. The run then goes on also when the caller is gone.
-	record   bool
-	recorded []byte
-	verdict  verdict.Verdict
-	status   int
+	record bool
+	// outcome is what the ticket's book keeps of the answer.
+	outcome ticket.Outcome
 	// undecided is true for a call with a ticket until the book of the ticket's
 	// home has answered; no refusal may say "not run" before.
 	undecided bool
@@ -111,8 +110,8 @@
 
 // finish writes the end of a whole answer.
 func (r *reply) finish(res *result) {
-	r.verdict = verdict.Ran
-	r.status = http.StatusOK
+	r.outcome.Verdict = verdict.Ran
+	r.outcome.Status = http.StatusOK
 	switch f := r.form.(type) {
 	case nativeForm:
 		r.finishNative(f, res)
@@ -166,8 +165,8 @@
 	if r.undecided {
 		e = e.WithVerdict(verdict.MayHaveRun).WithUnsafeRetry()
 	}
-	r.verdict = e.Verdict()
-	r.status = statusOf(e.Reason())
+	r.outcome.Verdict = e.Verdict()
+	r.outcome.Status = statusOf(e.Reason())
 	refusal := refusalOf(r.id, e)
 	r.remember(refusal)
 	switch {
@@ -176,7 +175,7 @@
 		r.refuseStream(e, refusal)
 	default:
 		refusalHeaders(r.w.Header(), e)
-		writeJSON(r.w, r.status, r.errorBody(e, refusal))
+		writeJSON(r.w, r.outcome.Status, r.errorBody(e, refusal))
 	}
 }
 
@@ -196,7 +195,7 @@
 		return refusal
 	}
 	kind := "server_error"
-	if r.status < http.StatusInternalServerError {
+	if r.outcome.Status < http.StatusInternalServerError {
 		kind = "invalid_request_error"
 	}
 	return openai.ErrorAnswer{Error: openai.ErrorBody{
@@ -213,15 +212,10 @@
 	// Both types of answer always encode.
 	raw, err := json.Marshal(answer)
 	if err == nil && len(raw) <= maxRecorded {
-		r.recorded = raw
+		r.outcome.Answer = raw
 	}
 }
 
-// outcome is what the ticket's book keeps of the answer.
-func (r *reply) outcome() ticket.Outcome {
-	return ticket.Outcome{Verdict: r.verdict, Answer: r.recorded, Status: r.status}
-}
-
 // replay answers with the outcome of the ticket's one run, never as a stream.
 func (r *reply) replay(out ticket.Outcome) {
 	if out.Verdict != verdict.Ran || out.Status != http.StatusOK {
--- a/internal/native/node/tickethome.go
+++ b/internal/native/node/tickethome.go
@@ -32,7 +32,7 @@
 	}
 	out.undecided = false
 	out.record = true
-	defer func() { h.tickets.settle(tk, out.outcome()) }()
+	defer func() { h.tickets.settle(tk, out.outcome) }()
 	j, err := h.intake.pipelineJob(r, org, body, out)
 	if err != nil {
 		out.refuse(err)
