--- a/internal/native/node/answerer.go
+++ b/internal/native/node/answerer.go
@@ -21,14 +21,19 @@
 	log     zerolog.Logger
 }
 
+// serveFunc serves one call. An error that it returns is the answer.
+type serveFunc func(http.ResponseWriter, *http.Request, *reply) error
+
 // counted counts calls in flight and gives each its identity.
-func (a *answerer) counted(next func(http.ResponseWriter, *http.Request, *reply)) http.HandlerFunc {
+func (a *answerer) counted(serve serveFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		a.metrics.calls.Add(1)
 		defer a.metrics.calls.Add(-1)
 		out := &reply{w: w, id: a.ids.of(r)}
 		w.Header().Set(wire.HeaderIdentity, out.id)
-		next(w, r, out)
+		if err := serve(w, r, out); err != nil {
+			out.refuse(err)
+		}
 	}
 }
 
--- a/internal/native/node/callers.go
+++ b/internal/native/node/callers.go
@@ -27,20 +27,19 @@
 }
 
 // servePipeline is the native endpoint.
-func (c *callers) servePipeline(w http.ResponseWriter, r *http.Request, out *reply) {
+func (c *callers) servePipeline(w http.ResponseWriter, r *http.Request, out *reply) error {
 	if token := r.Header.Get(wire.HeaderTicket); token != "" {
-		c.tickets.serveUse(w, r, out, token)
-		return
+		return c.tickets.serveUse(w, r, out, token)
 	}
-	c.serve(w, r, out, func(_ *bundle.Plan, org *bundle.Organisation, body []byte) (*job, error) {
+	return c.serve(w, r, out, func(_ *bundle.Plan, org *bundle.Organisation, body []byte) (*job, error) {
 		return c.intake.pipelineJob(r, org, body, out)
 	})
 }
 
 // serveChat is the OpenAI-compatible endpoint; the model names the pipeline.
-func (c *callers) serveChat(w http.ResponseWriter, r *http.Request, out *reply) {
+func (c *callers) serveChat(w http.ResponseWriter, r *http.Request, out *reply) error {
 	out.form = chatForm{id: out.id}
-	c.serve(w, r, out, func(plan *bundle.Plan, org *bundle.Organisation, body []byte) (*job, error) {
+	return c.serve(w, r, out, func(plan *bundle.Plan, org *bundle.Organisation, body []byte) (*job, error) {
 		return c.intake.chatJob(r, plan, org, body, out)
 	})
 }
@@ -49,27 +48,24 @@
 type jobOf func(*bundle.Plan, *bundle.Organisation, []byte) (*job, error)
 
 // serve authenticates a call, reads its body and answers with the run of its job.
-func (c *callers) serve(w http.ResponseWriter, r *http.Request, out *reply, build jobOf) {
+func (c *callers) serve(w http.ResponseWriter, r *http.Request, out *reply, build jobOf) error {
 	plan, org, err := c.intake.authenticate(r)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	body, err := readBody(w, r)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	j, err := build(plan, org, body)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	if err := useKey(r, j); err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	c.answerer.answer(r.Context(), j, out)
+	return nil
 }
 
 // modelList is the pipelines as OpenAI's clients see them.
--- a/internal/native/node/forward.go
+++ b/internal/native/node/forward.go
@@ -27,21 +27,20 @@
 }
 
 // forward sends a call to the home of its ticket and the answer back. When the
-// home gives none, nobody can say whether the ticket was spent.
-func (f *forwarder) forward(r *http.Request, out *reply, tk ticket.Ticket, method, path string, body []byte) {
+// home gives none, nobody can say whether the ticket was spent; the error says so.
+func (f *forwarder) forward(r *http.Request, out *reply, tk ticket.Ticket, method, path string, body []byte) error {
 	resp, err := f.send(r, out.id, tk, method, path, body)
 	if err != nil {
 		f.log.Info().Str("request", out.id).Str("peer", tk.Home).Err(err).Msg("request: the home of the ticket did not answer")
-		out.refuse(homeSilent().WithCause(err))
-		return
+		return homeSilent().WithCause(err)
 	}
 	defer func() { _ = resp.Body.Close() }() // the answer has been read or given up
 	if resp.Header.Get(wire.HeaderIdentity) != out.id {
 		f.log.Warn().Str("request", out.id).Str("peer", tk.Home).Msg("request: the home of the ticket answered another request")
-		out.refuse(homeSilent())
-		return
+		return homeSilent()
 	}
 	copyAnswer(out.w, resp)
+	return nil
 }
 
 func (f *forwarder) send(r *http.Request, id string, tk ticket.Ticket, method, path string, body []byte) (*http.Response, error) {
--- a/internal/native/node/tickethome.go
+++ b/internal/native/node/tickethome.go
@@ -75,31 +75,30 @@
 }
 
 // serveForwarded runs a call that another node forwarded.
-func (h *ticketHome) serveForwarded(w http.ResponseWriter, r *http.Request, out *reply) {
+func (h *ticketHome) serveForwarded(w http.ResponseWriter, r *http.Request, out *reply) error {
 	out.undecided = true
 	org, tk, err := h.open(r, r.Header.Get(wire.HeaderTicket))
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	body, err := readBody(w, r)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	h.run(r, out, org, tk, body)
+	return nil
 }
 
 // serveForwardedLook answers a look that another node forwarded.
-func (h *ticketHome) serveForwardedLook(_ http.ResponseWriter, r *http.Request, out *reply) {
+func (h *ticketHome) serveForwardedLook(_ http.ResponseWriter, r *http.Request, out *reply) error {
 	out.undecided = true
 	token := r.PathValue("ticket")
 	_, tk, err := h.open(r, token)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	h.look(out, token, tk)
+	return nil
 }
 
 // open opens a forwarded ticket and checks that this incarnation is its home. A
--- a/internal/native/node/ticketserver.go
+++ b/internal/native/node/ticketserver.go
@@ -25,75 +25,68 @@
 }
 
 // serveMint mints a ticket whose home is this incarnation.
-func (s *ticketServer) serveMint(w http.ResponseWriter, r *http.Request, out *reply) {
+func (s *ticketServer) serveMint(w http.ResponseWriter, r *http.Request, out *reply) error {
 	plan, org, err := s.intake.authenticate(r)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	var req message.TicketRequest
 	if err := readJSON(w, r, &req); err != nil || plan.Pipeline(req.Pipeline) == nil {
-		out.refuse(verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the body must name a pipeline of the bundle"))
-		return
+		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the body must name a pipeline of the bundle")
 	}
 	token, err := s.tickets.mint(org.Name, req.Pipeline, req.BodyDigest)
 	if err != nil {
 		s.log.Error().Str("request", out.id).Err(err).Msg("request: no ticket was minted")
-		out.refuse(verdict.New(verdict.NotRun, verdict.ReasonInternal, "no ticket could be made").WithCause(err))
-		return
+		return verdict.New(verdict.NotRun, verdict.ReasonInternal, "no ticket could be made").WithCause(err)
 	}
 	writeJSON(w, http.StatusOK, message.TicketAnswer{
 		Ticket: token, State: message.TicketAnswerStateUnspent, ExpiresInMs: int(ticketLife.Milliseconds()),
 	})
+	return nil
 }
 
 // serveUse takes a call with a ticket to the ticket's home.
-func (s *ticketServer) serveUse(w http.ResponseWriter, r *http.Request, out *reply, token string) {
+func (s *ticketServer) serveUse(w http.ResponseWriter, r *http.Request, out *reply, token string) error {
 	out.undecided = true
 	org, err := s.authenticate(r)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	tk, err := s.tickets.open(token, org.Name)
 	if err == nil && tk.Pipeline != r.PathValue("pipeline") {
 		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTicketInvalid, "the ticket is for pipeline %q", tk.Pipeline)
 	}
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	body, err := readBody(w, r)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	if s.tickets.isHome(tk) {
 		s.home.run(r, out, org, tk, body)
-		return
+		return nil
 	}
-	s.forwarder.forward(r, out, tk, http.MethodPost, wire.PathForward+tk.Pipeline, body)
+	return s.forwarder.forward(r, out, tk, http.MethodPost, wire.PathForward+tk.Pipeline, body)
 }
 
 // serveLook answers what became of a ticket.
-func (s *ticketServer) serveLook(_ http.ResponseWriter, r *http.Request, out *reply) {
+func (s *ticketServer) serveLook(_ http.ResponseWriter, r *http.Request, out *reply) error {
 	out.undecided = true
 	org, err := s.authenticate(r)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	token := r.PathValue("ticket")
 	tk, err := s.tickets.open(token, org.Name)
 	if err != nil {
-		out.refuse(err)
-		return
+		return err
 	}
 	if !s.tickets.isHome(tk) {
-		s.forwarder.forward(r, out, tk, http.MethodGet, wire.PathForward+"tickets/"+token, nil)
-		return
+		return s.forwarder.forward(r, out, tk, http.MethodGet, wire.PathForward+"tickets/"+token, nil)
 	}
 	s.home.look(out, token, tk)
+	return nil
 }
 
 // authenticate returns the organisation of a call about a ticket, which is
