--- a/internal/native/node/execution.go
+++ b/internal/native/node/execution.go
@@ -5,12 +5,49 @@
 	"slices"
 	"time"
 
+	"github.com/honeydyke/honeydyke/internal/delivery"
 	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/internal/native/request"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
+// runner runs jobs: admission gives their attempts targets, delivery calls those.
+type runner struct {
+	gate     *gate
+	delivery *delivery.Client
+	metrics  *metrics
+	now      func() time.Time
+	// permit is checked just before the first byte of every call to a target.
+	permit func() error
+}
+
+// run takes the job through its stages and passes the output to emit, in order.
+// The error is a *verdict.Error whose verdict is about the whole request.
+func (r *runner) run(ctx context.Context, j *job, emit func(text string) error) (*result, error) {
+	closeRequest, err := r.gate.open(j)
+	if err != nil {
+		return nil, err
+	}
+	defer closeRequest()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	e := &execution{
+		runner: r, job: j, state: request.New(j.pipeline, j.deadline),
+		emit: emit, cancel: cancel, events: make(chan request.Event),
+	}
+	return e.loop(ctx)
+}
+
+// result is a whole answer, without its text.
+type result struct {
+	// finish says why the engine of the last stage ended; "" for other targets.
+	finish string
+	stages []message.StageUse
+	// tokens are those of the last stage.
+	tokens int
+}
+
 // execution carries out the effects of the package request for one job. Its loop
 // is the only goroutine that touches the state; attempts send it events.
 type execution struct {
