--- a/internal/native/node/forward.go
+++ b/internal/native/node/forward.go
@@ -4,8 +4,6 @@
 	"io"
 	"net/http"
 
-	"github.com/rs/zerolog"
-
 	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
@@ -20,31 +18,25 @@
 	"Content-Type", "Content-Length", "Retry-After", headerShouldRetry, wire.HeaderVerdict, wire.HeaderBundle,
 }
 
-// forwarder forwards calls to the homes of their tickets.
-type forwarder struct {
-	client *peerClient
-	log    zerolog.Logger
-}
-
 // forward sends a call to the home of its ticket and the answer back. When the
 // home gives none, nobody can say whether the ticket was spent; the error says so.
-func (f *forwarder) forward(r *http.Request, out *reply, tk ticket.Ticket, method, path string, body []byte) error {
-	resp, err := f.send(r, out.id, tk, method, path, body)
+func (s *ticketServer) forward(r *http.Request, out *reply, tk ticket.Ticket, method, path string, body []byte) error {
+	resp, err := s.send(r, out.id, tk, method, path, body)
 	if err != nil {
-		f.log.Info().Str("request", out.id).Str("peer", tk.Home).Err(err).Msg("request: the home of the ticket did not answer")
+		s.log.Info().Str("request", out.id).Str("peer", tk.Home).Err(err).Msg("request: the home of the ticket did not answer")
 		return homeSilent().WithCause(err)
 	}
 	defer func() { _ = resp.Body.Close() }() // the answer has been read or given up
 	if resp.Header.Get(wire.HeaderIdentity) != out.id {
-		f.log.Warn().Str("request", out.id).Str("peer", tk.Home).Msg("request: the home of the ticket answered another request")
+		s.log.Warn().Str("request", out.id).Str("peer", tk.Home).Msg("request: the home of the ticket answered another request")
 		return homeSilent()
 	}
 	copyAnswer(out.w, resp)
 	return nil
 }
 
-func (f *forwarder) send(r *http.Request, id string, tk ticket.Ticket, method, path string, body []byte) (*http.Response, error) {
-	req, err := f.client.request(method, tk.Home, path, body)
+func (s *ticketServer) send(r *http.Request, id string, tk ticket.Ticket, method, path string, body []byte) (*http.Response, error) {
+	req, err := s.peers.request(method, tk.Home, path, body)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +47,7 @@
 	if d := r.Header.Get(wire.HeaderDeadline); d != "" {
 		req.Header.Set(wire.HeaderDeadline, d)
 	}
-	return f.client.http.Do(req.WithContext(r.Context()))
+	return s.peers.http.Do(req.WithContext(r.Context()))
 }
 
 func homeSilent() *verdict.Error {
--- a/internal/native/node/ticketserver.go
+++ b/internal/native/node/ticketserver.go
@@ -20,7 +20,7 @@
 	intake      *intake
 	tickets     *tickets
 	home        *ticketHome
-	forwarder   *forwarder
+	peers       *peerClient
 	log         zerolog.Logger
 }
 
@@ -67,7 +67,7 @@
 		s.home.run(r, out, org, tk, body)
 		return nil
 	}
-	return s.forwarder.forward(r, out, tk, http.MethodPost, wire.PathForward+tk.Pipeline, body)
+	return s.forward(r, out, tk, http.MethodPost, wire.PathForward+tk.Pipeline, body)
 }
 
 // serveLook answers what became of a ticket.
@@ -83,7 +83,7 @@
 		return err
 	}
 	if !s.tickets.isHome(tk) {
-		return s.forwarder.forward(r, out, tk, http.MethodGet, wire.PathForward+"tickets/"+token, nil)
+		return s.forward(r, out, tk, http.MethodGet, wire.PathForward+"tickets/"+token, nil)
 	}
 	s.home.look(out, token, tk)
 	return nil
--- a/internal/native/node/wiring.go
+++ b/internal/native/node/wiring.go
@@ -96,8 +96,7 @@
 	ans := &answerer{ids: w.ids, runner: r, metrics: w.metrics, now: w.now, log: w.log}
 	home := &ticketHome{incarnation: w.incarnation, intake: in, answerer: ans, tickets: w.tickets}
 	ts := &ticketServer{
-		incarnation: w.incarnation, intake: in, tickets: w.tickets, home: home,
-		forwarder: &forwarder{client: w.peers, log: w.log}, log: w.log,
+		incarnation: w.incarnation, intake: in, tickets: w.tickets, home: home, peers: w.peers, log: w.log,
 	}
 	c := &callers{intake: in, answerer: ans, tickets: ts}
 	p := &peerServer{
