--- a/internal/native/node/gossip.go
+++ b/internal/native/node/gossip.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"math/rand/v2"
+	"net/http"
 
 	"github.com/rs/zerolog"
 
@@ -13,7 +14,8 @@
 
 // gossip exchanges updates with other nodes: who lives, which targets are
 // leaving, who reads the configuration service, and the number of the newest
-// bundle. A node that learns of a newer bundle fetches it from the peer.
+// bundle. A node that learns of a newer bundle fetches it from the peer. gossip
+// starts exchanges and answers those that peers start.
 type gossip struct {
 	// address and dataCentre are this node's.
 	address     string
@@ -99,3 +101,40 @@
 	}
 	return g.bundles.offer(address, signed)
 }
+
+// serveExchange answers a peer's update with this node's, which it takes before
+// the peer's is accepted.
+func (g *gossip) serveExchange(w http.ResponseWriter, r *http.Request) {
+	var update message.Exchange
+	if err := readJSON(w, r, &update); err != nil {
+		http.Error(w, "bad exchange", http.StatusBadRequest)
+		return
+	}
+	view, err := g.members.view()
+	if err != nil {
+		g.log.Warn().Err(err).Str("peer", update.Node).Msg("members: no answer to an exchange")
+		http.Error(w, "busy", http.StatusServiceUnavailable)
+		return
+	}
+	own := g.update(view, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	go func() {
+		ctx, cancel := context.WithTimeout(g.calls, peerTimeout)
+		defer cancel()
+		g.accept(ctx, update)
+	}()
+	writeJSON(w, http.StatusOK, own)
+}
+
+// serveBundle answers with what leads to the newest verified bundle: a step
+// from the one whose digest the query "from" names, or the whole.
+func (g *gossip) serveBundle(w http.ResponseWriter, r *http.Request) {
+	b, err := g.bundles.describe()
+	if err != nil {
+		g.log.Warn().Err(err).Msg("bundle: not passed to a peer")
+	}
+	if err != nil || b.state.Newest() == nil {
+		http.Error(w, "no bundle", http.StatusNotFound)
+		return
+	}
+	writeJSON(w, http.StatusOK, b.history.Transfer(r.URL.Query().Get("from")))
+}
--- a/internal/native/node/wiring.go
+++ b/internal/native/node/wiring.go
@@ -99,10 +99,7 @@
 		incarnation: w.incarnation, intake: in, tickets: w.tickets, home: home, peers: w.peers, log: w.log,
 	}
 	c := &callers{intake: in, answerer: ans, tickets: ts}
-	p := &peerServer{
-		key: w.cfg.Keys.Peer, gossip: g, bundles: w.bundles, members: w.members,
-		answerer: ans, tickets: home, log: w.log,
-	}
+	p := &peerServer{key: w.cfg.Keys.Peer, gossip: g, answerer: ans, tickets: home}
 	w.servers.handle(c.handler(), p.handler(), a.handler())
 }
 
