--- a/internal/native/node/admin.go
+++ b/internal/native/node/admin.go
@@ -16,9 +16,6 @@
 // admin answers operators and the balancer. It only reads: nothing on a live
 // instance can be changed by hand.
 type admin struct {
-	// address and dataCentre are this node's.
-	address     string
-	dataCentre  string
 	incarnation *incarnation
 	gate        *gate
 	tickets     *tickets
@@ -52,7 +49,7 @@
 func (a *admin) state() message.StateDump {
 	running, spent := a.tickets.counts()
 	dump := message.StateDump{
-		Node: a.address, Incarnation: a.incarnation.id, DataCentre: a.dataCentre,
+		Node: a.incarnation.address, Incarnation: a.incarnation.id, DataCentre: a.incarnation.dataCentre,
 		Phase:        message.StateDumpPhase(a.incarnation.currentPhase().String()),
 		ControlBytes: int(a.traffic.bytes.Load()), Tickets: message.TicketState{Running: running, Spent: spent},
 	}
--- a/internal/native/node/control.go
+++ b/internal/native/node/control.go
@@ -62,12 +62,12 @@
 	c.bundles.spawn(c.system, func() actor.Actor {
 		return &bundleActor{
 			incarnation: c.incarnation, gate: c.gate, members: c.members, log: c.log,
-			state: rollout.New(c.gossip.dataCentre), start: c.start,
+			state: rollout.New(c.incarnation.dataCentre), start: c.start,
 		}
 	})
 	c.members.spawn(c.system, func() actor.Actor {
 		seed := uint64(c.incarnation.started.UnixNano())
-		view := membership.New(c.gossip.address, c.gossip.dataCentre).WithAddresses(c.incarnation.now(), c.peers)
+		view := membership.New(c.incarnation.address, c.incarnation.dataCentre).WithAddresses(c.incarnation.now(), c.peers)
 		return &memberActor{
 			incarnation: c.incarnation, gate: c.gate, gossip: c.gossip, bundles: c.bundles, log: c.log,
 			view: view, rng: rand.New(rand.NewPCG(seed, seed)),
--- a/internal/native/node/gossip.go
+++ b/internal/native/node/gossip.go
@@ -17,9 +17,6 @@
 // bundle. A node that learns of a newer bundle fetches it from the peer. gossip
 // starts exchanges and answers those that peers start.
 type gossip struct {
-	// address and dataCentre are this node's.
-	address     string
-	dataCentre  string
 	incarnation *incarnation
 	// calls ends when the node cuts its calls.
 	calls   context.Context
@@ -34,7 +31,7 @@
 func (g *gossip) update(view membership.View, rng *rand.Rand) message.Exchange {
 	now := g.incarnation.now()
 	update := message.Exchange{
-		Node: g.address, Incarnation: g.incarnation.id, DataCentre: g.dataCentre,
+		Node: g.incarnation.address, Incarnation: g.incarnation.id, DataCentre: g.incarnation.dataCentre,
 		Leaving: g.incarnation.currentPhase() == Leaving,
 		Peers:   view.NamedPeers(now, rng), Marks: view.FreshMarks(now), Readers: view.Readers(now),
 	}
--- a/internal/native/node/incarnation.go
+++ b/internal/native/node/incarnation.go
@@ -28,21 +28,27 @@
 // not measured.
 const notReadyRetryAfter = time.Second
 
-// incarnation is one life of the node: its identity, its clock, its phase and
-// the plan in force. All parts read it. bundleActor puts plans in force and ends
+// incarnation is one life of the node: its identity, its address, its clock, its
+// phase and the plan in force. All parts read it. bundleActor puts plans in force and ends
 // the phase Starting; Node begins the phase Leaving.
 type incarnation struct {
-	id      string
-	started time.Time
-	now     func() time.Time
+	id string
+	// address is the one for other nodes.
+	address    string
+	dataCentre string
+	started    time.Time
+	now        func() time.Time
 
 	phase   atomic.Int32
 	serving chan struct{}
 	plan    atomic.Pointer[bundle.Plan]
 }
 
-func newIncarnation(now func() time.Time) *incarnation {
-	return &incarnation{id: ticket.NewSerial(), started: now(), now: now, serving: make(chan struct{})}
+func newIncarnation(address, dataCentre string, now func() time.Time) *incarnation {
+	return &incarnation{
+		id: ticket.NewSerial(), address: address, dataCentre: dataCentre,
+		started: now(), now: now, serving: make(chan struct{}),
+	}
 }
 
 // age returns the time since the start by the monotonic clock.
--- a/internal/native/node/tickets.go
+++ b/internal/native/node/tickets.go
@@ -22,29 +22,27 @@
 // a lock.
 type tickets struct {
 	sealer      *ticket.Sealer
-	age         func() time.Duration
-	home        string
-	incarnation string
+	incarnation *incarnation
 
 	mu   sync.Mutex
 	book *ticket.Book
 }
 
-func newTickets(key []byte, home, incarnation string, age func() time.Duration) (*tickets, error) {
+func newTickets(key []byte, inc *incarnation) (*tickets, error) {
 	sealer, err := ticket.NewSealer(key)
 	if err != nil {
 		return nil, err
 	}
-	book := ticket.NewBook(home, incarnation, bookCapacity)
-	return &tickets{sealer: sealer, age: age, home: home, incarnation: incarnation, book: book}, nil
+	book := ticket.NewBook(inc.address, inc.id, bookCapacity)
+	return &tickets{sealer: sealer, incarnation: inc, book: book}, nil
 }
 
 // mint returns the token of a new ticket.
 func (t *tickets) mint(organisation, pipeline, bodyDigest string) (string, error) {
 	return t.sealer.Seal(ticket.Ticket{
-		Home: t.home, Incarnation: t.incarnation, Serial: ticket.NewSerial(),
+		Home: t.incarnation.address, Incarnation: t.incarnation.id, Serial: ticket.NewSerial(),
 		Organisation: organisation, Pipeline: pipeline, BodyDigest: bodyDigest,
-		ExpiresMs: (t.age() + ticketLife).Milliseconds(),
+		ExpiresMs: (t.incarnation.age() + ticketLife).Milliseconds(),
 	})
 }
 
@@ -69,7 +67,7 @@
 func (t *tickets) spend(tk ticket.Ticket, bodyDigest string) *verdict.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.book.Spend(t.age(), tk, bodyDigest)
+	return t.book.Spend(t.incarnation.age(), tk, bodyDigest)
 }
 
 // settle records how the ticket's one run ended.
@@ -83,7 +81,7 @@
 func (t *tickets) look(tk ticket.Ticket) (ticket.State, ticket.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.book.State(t.age(), tk)
+	return t.book.State(t.incarnation.age(), tk)
 }
 
 // counts returns how many tickets run and how many are spent.
--- a/internal/native/node/wiring.go
+++ b/internal/native/node/wiring.go
@@ -31,7 +31,7 @@
 }
 
 func newWiring(cfg *settings.Settings, o options, s *servers, traffic *controlTraffic) *wiring {
-	inc := newIncarnation(o.now)
+	inc := newIncarnation(s.peers.address(), cfg.DataCentre, o.now)
 	return &wiring{
 		options:     o,
 		cfg:         cfg,
@@ -59,7 +59,7 @@
 	w.servers.secure(w.tls)
 	w.peers = &peerClient{key: w.cfg.Keys.Peer, scheme: scheme(w.tls.toPeers), http: newControlClient(w.traffic, w.tls.toPeers)}
 	w.delivery = delivery.New(w.deliveryOptions()...)
-	if w.tickets, err = newTickets(w.cfg.TicketKey(), w.servers.peers.address(), w.incarnation.id, w.incarnation.age); err != nil {
+	if w.tickets, err = newTickets(w.cfg.TicketKey(), w.incarnation); err != nil {
 		return nil, err
 	}
 	g := w.newGossip()
@@ -105,15 +105,14 @@
 
 func (w *wiring) newGossip() *gossip {
 	return &gossip{
-		address: w.servers.peers.address(), dataCentre: w.cfg.DataCentre, incarnation: w.incarnation,
-		calls: w.servers.calls, client: w.peers, bundles: w.bundles, members: w.members, pause: w.pause, log: w.log,
+		incarnation: w.incarnation, calls: w.servers.calls, client: w.peers,
+		bundles: w.bundles, members: w.members, pause: w.pause, log: w.log,
 	}
 }
 
 func (w *wiring) newAdmin() *admin {
 	return &admin{
-		address: w.servers.peers.address(), dataCentre: w.cfg.DataCentre, incarnation: w.incarnation,
-		gate: w.gate, tickets: w.tickets, bundles: w.bundles, members: w.members,
+		incarnation: w.incarnation, gate: w.gate, tickets: w.tickets, bundles: w.bundles, members: w.members,
 		traffic: w.traffic, metrics: w.metrics, log: w.log,
 	}
 }
