--- a/internal/native/node/control.go
+++ b/internal/native/node/control.go
@@ -94,11 +94,10 @@
 
 // every calls f at each interval until ctx ends.
 func every(ctx context.Context, interval time.Duration, f func()) {
-	ticker := time.NewTicker(interval)
-	defer ticker.Stop()
+	tick := time.Tick(interval)
 	for {
 		select {
-		case <-ticker.C:
+		case <-tick:
 			f()
 		case <-ctx.Done():
 			return
--- a/internal/native/node/drain.go
+++ b/internal/native/node/drain.go
@@ -36,23 +36,20 @@
 // drainQuiet. The error says how many calls are cut when limit or cut came
 // first.
 func (d *drain) wait() error {
-	limit := time.NewTimer(d.limit)
-	defer limit.Stop()
-	announced := time.NewTimer(d.announce)
-	defer announced.Stop()
-	poll := time.NewTicker(drainPoll)
-	defer poll.Stop()
+	limit := time.After(d.limit)
+	announced := time.After(d.announce)
+	poll := time.Tick(drainPoll)
 	announcementOver := false
 	quietSince := time.Time{}
 	for {
 		select {
-		case <-announced.C:
+		case <-announced:
 			announcementOver = true
-		case <-limit.C:
+		case <-limit:
 			return d.cutWork("the limit of the settings has passed")
 		case <-d.cut:
 			return d.cutWork("a second signal came")
-		case <-poll.C:
+		case <-poll:
 			switch {
 			case d.inFlight() > 0:
 				quietSince = time.Time{}
