--- a/internal/native/node/answerer.go
+++ b/internal/native/node/answerer.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net/http"
-	"time"
 
 	"github.com/rs/zerolog"
 
@@ -17,7 +16,6 @@
 	ids     *identities
 	runner  *runner
 	metrics *metrics
-	now     func() time.Time
 	log     zerolog.Logger
 }
 
@@ -39,10 +37,10 @@
 
 // answer runs the job and writes its answer.
 func (a *answerer) answer(ctx context.Context, j *job, out *reply) {
-	start := a.now()
+	start := a.runner.now()
 	res, err := a.runner.run(ctx, j, out.text)
 	refusal := verdict.From(err)
-	a.metrics.answered(j.pipeline.Name, refusal, a.now().Sub(start))
+	a.metrics.answered(j.pipeline.Name, refusal, a.runner.now().Sub(start))
 	if refusal != nil {
 		a.log.Info().Str("request", out.id).Str("job", j.id).Str("pipeline", j.pipeline.Name).Err(refusal).Msg("request: refused")
 		out.refuse(refusal)
--- a/internal/native/node/control.go
+++ b/internal/native/node/control.go
@@ -74,7 +74,7 @@
 		}
 	})
 	c.loads.spawn(c.system, func() actor.Actor {
-		return &loadActor{gate: c.gate, reports: c.reports, self: c.loads}
+		return &loadActor{reports: c.reports, self: c.loads}
 	})
 }
 
--- a/internal/native/node/loads.go
+++ b/internal/native/node/loads.go
@@ -20,7 +20,6 @@
 
 // loadActor reads the load reports of the targets, one at a time.
 type loadActor struct {
-	gate    *gate
 	reports *reportReader
 	self    *actorRef
 
@@ -39,7 +38,7 @@
 
 // read reads the report that is worth most, unless one is being read.
 func (a *loadActor) read() {
-	target, ok := a.gate.nextReport()
+	target, ok := a.reports.gate.nextReport()
 	if a.reading || !ok {
 		return
 	}
--- a/internal/native/node/members.go
+++ b/internal/native/node/members.go
@@ -84,9 +84,7 @@
 }
 
 func (a *memberActor) receive(update message.Exchange) {
-	view, fresh := a.view.WithExchange(a.incarnation.now(), update)
-	a.view = view
-	a.apply(fresh)
+	a.apply(a.view.WithExchange(a.incarnation.now(), update))
 	a.bundles.send(peerAnswered{})
 	a.bundles.send(confirmed{digest: update.Digest})
 }
@@ -94,15 +92,15 @@
 // mark takes leaving marks and passes on those that are new at once.
 func (a *memberActor) mark(marks []message.LeavingMark) {
 	view, fresh := a.view.WithMarks(a.incarnation.now(), marks)
-	a.view = view
-	a.apply(fresh)
+	a.apply(view, fresh)
 	if len(fresh) > 0 {
 		a.exchange(updateFanOut)
 	}
 }
 
-// apply passes new leaving marks to admission.
-func (a *memberActor) apply(fresh []message.LeavingMark) {
+// apply takes the next view and passes its new leaving marks to admission.
+func (a *memberActor) apply(next membership.View, fresh []message.LeavingMark) {
+	a.view = next
 	for _, m := range fresh {
 		a.gate.apply(admission.Mark{Target: m.Target, Incarnation: m.Incarnation})
 		a.log.Info().Str("target", m.Target).Str("incarnation", m.Incarnation).Msg("members: target is leaving")
--- a/internal/native/node/wiring.go
+++ b/internal/native/node/wiring.go
@@ -93,7 +93,7 @@
 func (w *wiring) handle(g *gossip, a *admin) {
 	in := &intake{incarnation: w.incarnation, ids: w.ids}
 	r := &runner{gate: w.gate, delivery: w.delivery, metrics: w.metrics, now: w.now, permit: w.pause.check}
-	ans := &answerer{ids: w.ids, runner: r, metrics: w.metrics, now: w.now, log: w.log}
+	ans := &answerer{ids: w.ids, runner: r, metrics: w.metrics, log: w.log}
 	home := &ticketHome{incarnation: w.incarnation, intake: in, answerer: ans, tickets: w.tickets}
 	ts := &ticketServer{
 		incarnation: w.incarnation, intake: in, tickets: w.tickets, home: home, peers: w.peers, log: w.log,
