--- a/internal/native/node/wiring.go
+++ b/internal/native/node/wiring.go
@@ -1,8 +1,6 @@
 package node
 
 import (
-	"net/http"
-
 	"github.com/honeydyke/honeydyke/internal/delivery"
 	"github.com/honeydyke/honeydyke/internal/native/admission"
 	"github.com/honeydyke/honeydyke/internal/native/routing"
@@ -124,8 +122,11 @@
 	plain := newControlClient(w.traffic, nil)
 	return &control{
 		incarnation: w.incarnation, gate: w.gate, pause: w.pause, gossip: g,
-		service: w.newServiceWatcher(plain),
-		list:    &instanceList{address: w.cfg.InstanceList, client: plain, members: w.members, log: w.log},
+		service: &serviceWatcher{
+			address: w.cfg.ConfigurationService, client: plain, bundles: w.bundles, members: w.members,
+			pause: w.pause, metrics: w.metrics, log: w.log,
+		},
+		list: &instanceList{address: w.cfg.InstanceList, client: plain, members: w.members, log: w.log},
 		reports: &reportReader{
 			calls: w.servers.calls, client: plain, scheme: scheme(w.tls.toTargets),
 			gate: w.gate, members: w.members, log: w.log,
@@ -135,10 +136,3 @@
 		bundles: w.bundles, members: w.members, loads: &actorRef{}, log: w.log,
 	}
 }
-
-func (w *wiring) newServiceWatcher(client *http.Client) *serviceWatcher {
-	return &serviceWatcher{
-		address: w.cfg.ConfigurationService, client: client, bundles: w.bundles, members: w.members,
-		pause: w.pause, metrics: w.metrics, log: w.log,
-	}
-}
