--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -93,16 +93,12 @@
 	if ev.Service != nil && ev.Service.Batch != nil {
 		c.spec = ev.Service.Batch
 	}
-	listed := make(map[string]bool, len(ev.Targets))
+	for _, t := range c.targets {
+		t.usable = false
+	}
 	for _, t := range ev.Targets {
-		listed[t.ID] = true
 		c.list(t)
 	}
-	for _, t := range c.targets {
-		if !listed[t.ID] {
-			t.usable = false
-		}
-	}
 	c.targets = slices.DeleteFunc(c.targets, func(t *target) bool {
 		if !t.forgettable() {
 			return false
@@ -229,12 +225,5 @@
 	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: timeout(expected), TargetIdle: t.answered})
 }
 
-// Usable says whether an item may be sent to a target now; a shell asks once
-// more just before it writes.
-func (c *Core) Usable(id string) bool {
-	t := c.byID[id]
-	return t != nil && t.usable
-}
-
 // Idle says whether nothing waits and nothing runs.
 func (c *Core) Idle() bool { return len(c.queue) == 0 && len(c.running) == 0 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -88,24 +88,23 @@
 }
 
 func (s *sender) startTimer(cancel context.CancelCauseFunc, sends int) attemptTimer {
-	decision := rules.AttemptTimeout(rules.Attempt{
+	limit, limited := rules.AttemptTimeout(rules.Attempt{
 		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
 		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
 	})
-	timeout, limited := decision.(rules.Timeout)
 	if !limited {
 		return attemptTimer{}
 	}
-	return attemptTimer{limit: timeout.Limit, timer: time.AfterFunc(timeout.Limit, func() { cancel(errTimeout) })}
+	return attemptTimer{limit: limit, timer: time.AfterFunc(limit, func() { cancel(errTimeout) })}
 }
 
 func (s *sender) call(target directory.Target) Call {
 	c := Call{
 		Target: target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.Answer,
-		Organisation: s.organisation(), Priority: noPriority, LastEvent: s.answer.lastEvent,
+		Organisation: s.org.Name, Priority: noPriority, LastEvent: s.answer.lastEvent,
 		Permit: func() error { return s.permit(target.ID) },
 	}
-	if s.service.Engine != nil {
+	if s.service.Engine {
 		c.Priority = s.priority()
 		c.Inputs = s.work.results.inputs()
 	}
@@ -129,7 +128,7 @@
 // the given time: the engine has read the prompt and the inputs.
 func (s *sender) answerBegan(reply *Reply, sent time.Time) {
 	s.prefilled(true)
-	if s.service.Engine != nil && reply.Succeeded {
+	if s.service.Engine && reply.Succeeded {
 		s.prefills.note(s.service.Name, s.req.Tokens, s.now().Sub(sent))
 	}
 	s.work.results.consumed()
@@ -138,7 +137,7 @@
 // prefilled reports to the placer that the prompt no longer loads its engine:
 // whole says whether it was read.
 func (s *sender) prefilled(whole bool) {
-	if s.service.Engine != nil {
+	if s.service.Engine {
 		s.placer.Prefilled(s.service.Name, s.req.ID, whole)
 	}
 }
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -61,9 +61,7 @@
 	}
 	var all sync.WaitGroup
 	for i := range stages {
-		all.Add(1)
-		go func() {
-			defer all.Done()
+		all.Go(func() {
 			defer close(ended[i])
 			for _, a := range stages[i].After {
 				<-ended[a]
@@ -75,7 +73,7 @@
 			if errs[i] = r.runStage(ctx, i); errs[i] != nil {
 				cancel()
 			}
-		}()
+		})
 	}
 	all.Wait()
 	return firstError(errs)
@@ -208,7 +206,7 @@
 // first stage's results; empty when they are few or read by a later stage.
 func (r *stageResults) nearEngine(i int) string {
 	w := r.work
-	if !slices.Contains(w.route.LastStages(), i) || w.service.Engine == nil {
+	if !slices.Contains(w.route.LastStages(), i) || !w.service.Engine {
 		return ""
 	}
 	if !rules.WorthNearness(w.route.Stages[i].ResultBytes * int64(w.stages[i].Items)) {
