--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -63,9 +63,9 @@
 	Identity string
 	// Deadline ends the call; it is checked again just before the first write.
 	Deadline time.Time
-	// Patience is the timeout after which the call counts as stalled; zero for as
+	// Timeout is how long the call may take before it counts as stalled; zero for as
 	// long as the deadline allows.
-	Patience time.Duration
+	Timeout time.Duration
 	// Key is an idempotency key for targets that check them; empty for none.
 	Key string
 	// Priority is lower for work that is served first.
@@ -86,7 +86,10 @@
 	shared *http.Client
 	once   *http.Client
 	scheme string
-	now    func() time.Time
+	tls    *tls.Config
+	// dial bounds the time to connect to a target.
+	dial time.Duration
+	now  func() time.Time
 	// stall is the longest silence of a stream.
 	stall time.Duration
 }
@@ -102,45 +105,37 @@
 
 // WithDialTimeout bounds the time to connect to a target.
 func WithDialTimeout(d time.Duration) Option {
-	return func(c *Client) {
-		c.shared = newHTTPClient(nil, false, d)
-		c.once = newHTTPClient(nil, true, d)
-	}
+	return func(c *Client) { c.dial = d }
 }
 
 // WithTLS calls targets over TLS.
 func WithTLS(cfg *tls.Config) Option {
 	return func(c *Client) {
 		c.scheme = "https"
-		c.shared = newHTTPClient(cfg, false, dialTimeout)
-		c.once = newHTTPClient(cfg, true, dialTimeout)
+		c.tls = cfg
 	}
 }
 
 // New returns a client of targets over plain HTTP.
 func New(opts ...Option) *Client {
-	c := &Client{
-		shared: newHTTPClient(nil, false, dialTimeout),
-		once:   newHTTPClient(nil, true, dialTimeout),
-		scheme: "http",
-		now:    time.Now,
-		stall:  defaultStall,
-	}
+	c := &Client{scheme: "http", dial: dialTimeout, now: time.Now, stall: defaultStall}
 	for _, opt := range opts {
 		opt(c)
 	}
+	c.shared = c.newHTTPClient(false)
+	c.once = c.newHTTPClient(true)
 	return c
 }
 
 // newHTTPClient returns a client that sends a request once: it follows no
 // redirect and speaks no HTTP/2, whose transport re-sends refused requests.
-func newHTTPClient(cfg *tls.Config, fresh bool, dial time.Duration) *http.Client {
+func (c *Client) newHTTPClient(fresh bool) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
-	dialer := &net.Dialer{Timeout: dial, KeepAlive: keepAlivePeriod}
+	dialer := &net.Dialer{Timeout: c.dial, KeepAlive: keepAlivePeriod}
 	transport := &http.Transport{
 		DialContext:         dialGuarded(dialer),
-		TLSClientConfig:     cfg,
+		TLSClientConfig:     c.tls,
 		Protocols:           protocols,
 		DisableCompression:  true,
 		DisableKeepAlives:   fresh,
@@ -163,9 +158,9 @@
 func (c *Client) Do(ctx context.Context, call Call) (*message.StageAnswer, error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	if call.Patience > 0 {
+	if call.Timeout > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeoutCause(ctx, call.Patience, errStalled)
+		ctx, stop = context.WithTimeoutCause(ctx, call.Timeout, errStalled)
 		defer stop()
 	}
 	ex, err := c.send(ctx, call)
@@ -200,7 +195,7 @@
 	ctx := httptrace.WithClientTrace(req.Context(), trace)
 	resp, err := c.shared.Do(req.WithContext(ctx))
 	if err != nil {
-		return nil, nil, sent.failure(ctx, err)
+		return nil, nil, sent.failure(req, err)
 	}
 	conn := sent.conn.Load()
 	return resp, func() {
@@ -227,7 +222,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, sent.failure(ctx, err)
+		return nil, sent.failure(req, err)
 	}
 	ex := &exchange{call: call, conn: sent.conn.Load(), resp: resp}
 	if err := ex.checkHeader(); err != nil {
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -30,11 +30,13 @@
 // state. When a member does not answer, this node does without the plan, releases
 // the results itself, and hands the group to the next member.
 type batches struct {
+	now     func() time.Time
 	log     zerolog.Logger
 	members *members
 	peers   *peerClient
-	runner  *memberRunner
 	local   *coordinators
+	// exchange gossips with a member and says whether it answered.
+	exchange func(ctx context.Context, member string) bool
 }
 
 // Run implements relay.Batcher.
@@ -44,7 +46,7 @@
 		if member == "" {
 			break
 		}
-		results, err := b.runner.run(ctx, member, service, group, inputsRead)
+		results, err := b.runAt(ctx, member, service, group, inputsRead)
 		if err == nil || !tryElsewhere(err) || ctx.Err() != nil {
 			return results, err
 		}
@@ -62,7 +64,7 @@
 // member: when the member cannot be reached, is leaving, or no longer coordinates
 // the service. Any other error is about the group, so another member would give it
 // too. A wrong yes runs items twice; a wrong no fails a request that could have been
-// answered. See docs/decisions/0012-batches.md.
+// answered. See docs/decisions/0012-batches.md, "Failure".
 func tryElsewhere(err *verdict.Error) bool {
 	switch err.Reason() {
 	case verdict.ReasonConnection, verdict.ReasonLeaving, verdict.ReasonMoved:
@@ -100,11 +102,7 @@
 	var remote sync.WaitGroup
 	for member, numbers := range b.byCoordinator(stages) {
 		if member != "" {
-			remote.Add(1)
-			go func() {
-				defer remote.Done()
-				b.planAt(ctx, member, request, stages, numbers, backlogs)
-			}()
+			remote.Go(func() { b.planAt(ctx, member, request, stages, numbers, backlogs) })
 			continue
 		}
 		for _, i := range numbers {
--- a/internal/native/admission/admission.go
+++ b/internal/native/admission/admission.go
@@ -27,6 +27,7 @@
 package admission
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -40,7 +41,7 @@
 type Config struct {
 	// DataCentre is the node's own.
 	DataCentre string
-	// Policy chooses targets; Balanced when nil.
+	// Policy chooses targets; nil for that of the product, routing.Balanced.
 	Policy routing.Policy
 	// Seed makes the random choices repeatable and fixes which targets of a large
 	// pool the node prefers.
@@ -60,7 +61,7 @@
 	organisations map[string]*organisation
 	open          map[uint64]openRequest
 	items         map[uint64]*item
-	times         *estimator
+	times         estimator
 	shedder       *shedder
 }
 
@@ -73,9 +74,6 @@
 
 // New returns a core with no bundle in force; it refuses all work until Install.
 func New(cfg Config) *Core {
-	if cfg.Policy == nil {
-		cfg.Policy = routing.Balanced{}
-	}
 	return &Core{
 		cfg:           cfg,
 		rng:           rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
@@ -84,8 +82,8 @@
 		organisations: make(map[string]*organisation),
 		open:          make(map[uint64]openRequest),
 		items:         make(map[uint64]*item),
-		times:         newEstimator(),
-		shedder:       newShedder(),
+		times:         make(estimator),
+		shedder:       &shedder{classes: make(map[classKey]*class), nodes: 1},
 	}
 }
 
@@ -159,7 +157,7 @@
 		return refuse(e.ID, verdict.New(verdict.NotRun, verdict.ReasonRetryExhausted, "the pool's budget of retries is spent"))
 	}
 	it := c.newItem(now, p, e)
-	if err := c.refusalFor(now, p, c.judge(now, p, it)); err != nil {
+	if err := c.refusalFor(now, p, it); err != nil {
 		return refuse(e.ID, err)
 	}
 	c.items[e.ID] = it
@@ -183,7 +181,7 @@
 	it.target = t
 	t.granted = now
 	t.inFlight++
-	return Grant{ID: it.ID, Target: t.spec, Pool: it.pool.spec, Patience: attemptTimeout(it.expected)}
+	return Grant{ID: it.ID, Target: t.spec, Pool: it.pool.spec, Timeout: attemptTimeout(it.expected)}
 }
 
 // withdraw drops held work, or releases the slot of a grant that was not used.
@@ -279,11 +277,4 @@
 
 func refuse(id uint64, err *verdict.Error) []Effect { return []Effect{Refuse{ID: id, Err: err}} }
 
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/openai/openai.go
+++ b/internal/openai/openai.go
@@ -23,19 +23,15 @@
 	DoneMark = "[DONE]"
 	// FinishStop is the finish reason of an answer that came to its own end.
 	FinishStop = "stop"
-	// FinishLength is the finish reason of an answer that reached its ceiling.
-	FinishLength = "length"
 
 	// Roles of messages.
 	RoleSystem    = "system"
 	RoleUser      = "user"
 	RoleAssistant = "assistant"
-
-	idPrefix = "chatcmpl-"
 )
 
 // CompletionID returns the identity of the completion of request id.
-func CompletionID(id string) string { return idPrefix + id }
+func CompletionID(id string) string { return "chatcmpl-" + id }
 
 // ChatRequest is the body of a call.
 type ChatRequest struct {
