--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -27,7 +27,13 @@
 type Gateway = gateway.Gateway
 
 // Option changes a Gateway under construction.
-type Option = gateway.Option
+type Option func(*options)
+
+// options are those of the gateway's two parts.
+type options struct {
+	gateway []gateway.Option
+	adapter []platform.Option
+}
 
 // New returns a gateway that listens on its addresses but serves nothing until
 // Run. A port 0 in the settings takes a free port. It fails with
@@ -36,11 +42,22 @@
 	if cfg.Gateway == nil {
 		return nil, ErrNoGateway
 	}
-	return gateway.New(cfg, platform.NewPorts(cfg.Gateway.Store), opts...)
+	var o options
+	for _, opt := range opts {
+		opt(&o)
+	}
+	return gateway.New(cfg, platform.NewPorts(cfg.Gateway.Store, o.adapter...), o.gateway...)
 }
 
 // WithLogger sets the log; it is silent by default.
-func WithLogger(log zerolog.Logger) Option { return gateway.WithLogger(log) }
+func WithLogger(log zerolog.Logger) Option {
+	return func(o *options) {
+		o.gateway = append(o.gateway, gateway.WithLogger(log))
+		o.adapter = append(o.adapter, platform.WithLogger(log))
+	}
+}
 
 // WithClock sets the clock, which must be monotonic; time.Now by default.
-func WithClock(now func() time.Time) Option { return gateway.WithClock(now) }
+func WithClock(now func() time.Time) Option {
+	return func(o *options) { o.gateway = append(o.gateway, gateway.WithClock(now)) }
+}
