--- a/internal/native/request/request.go
+++ b/internal/native/request/request.go
@@ -83,9 +83,6 @@
 	return State{pipeline: p, deadline: deadline, stages: stages}
 }
 
-// Pipeline returns the pipeline that governs the request.
-func (s State) Pipeline() *bundle.PipelinePlan { return s.pipeline }
-
 // Deadline returns the time by which the answer must be whole.
 func (s State) Deadline() time.Time { return s.deadline }
 
--- a/pkg/cmd/node/node.go
+++ b/pkg/cmd/node/node.go
@@ -32,8 +32,9 @@
 			"planned stop, which cuts no work in flight; a second one cuts what is left and\n" +
 			"the log says what. The node writes nothing but its log on standard error.\n\n" +
 			"With the settings' gateway, the node relays requests by the configuration that a\n" +
-			"trusted store publishes. It then logs to standard output, and SIGHUP reads the\n" +
-			"settings again.",
+			"trusted store publishes. It then logs to standard output, a planned stop ends\n" +
+			"within the grace time of the settings and a second signal changes nothing, and\n" +
+			"SIGHUP reads the settings again.",
 		Example: "  honeydyke node --settings node.hujson\n  honeydyke node --settings node.hujson --check",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
