--- a/pkg/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -9,10 +9,10 @@
 
 	"github.com/asynkron/protoactor-go/actor"
 
-	"github.com/honeydyke/honeydyke/internal/batching"
-	"github.com/honeydyke/honeydyke/internal/placement"
-	"github.com/honeydyke/honeydyke/internal/relay"
-	"github.com/honeydyke/honeydyke/internal/view"
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/internal/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/catalog"
-	"github.com/honeydyke/honeydyke/internal/directory"
-	"github.com/honeydyke/honeydyke/internal/retrybudget"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/internal/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -10,8 +10,8 @@
 import (
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/catalog"
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/internal/batching/target.go
+++ b/internal/gateway/batching/target.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/catalog"
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
 const (
--- a/pkg/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -8,7 +8,7 @@
 
 	"github.com/pkg/errors"
 
-	"github.com/honeydyke/honeydyke/internal/view"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
 const (
--- a/pkg/gateway/former.go
+++ b/internal/gateway/former.go
@@ -6,9 +6,9 @@
 
 	"github.com/asynkron/protoactor-go/actor"
 
-	"github.com/honeydyke/honeydyke/internal/batching"
-	"github.com/honeydyke/honeydyke/internal/directory"
-	"github.com/honeydyke/honeydyke/internal/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/pkg/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/membership"
+	"github.com/honeydyke/honeydyke/internal/gateway/membership"
 	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
--- a/internal/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -1,3 +1,8 @@
+// Package membership holds what a gateway knows of its members by gossip: who
+// is alive, what each knows of the store, and which of them take on work that
+// one member does for all. It owns the roster and does no input or output; the
+// gateway exchanges the messages and guards the roster with a lock. A member
+// that falls silent counts as lost until it is heard directly or by others.
 package membership
 
 import (
--- a/pkg/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,7 +7,7 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/honeydyke/honeydyke/internal/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/telemetry"
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
--- a/pkg/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -12,9 +12,9 @@
 
 	"github.com/pkg/errors"
 
-	"github.com/honeydyke/honeydyke/internal/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/relay"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
--- a/internal/placement/placement.go
+++ b/internal/gateway/placement/placement.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
 const (
--- a/internal/placement/prompts.go
+++ b/internal/gateway/placement/prompts.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
 const (
--- a/pkg/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/placement"
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
--- a/internal/relay/deliver.go
+++ b/internal/gateway/relay/deliver.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
 
-	"github.com/honeydyke/honeydyke/internal/catalog"
-	"github.com/honeydyke/honeydyke/internal/directory"
-	"github.com/honeydyke/honeydyke/internal/placement"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/internal/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -16,12 +16,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/honeydyke/honeydyke/internal/batching"
-	"github.com/honeydyke/honeydyke/internal/catalog"
-	"github.com/honeydyke/honeydyke/internal/directory"
-	"github.com/honeydyke/honeydyke/internal/placement"
-	"github.com/honeydyke/honeydyke/internal/retrybudget"
-	"github.com/honeydyke/honeydyke/internal/view"
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
+	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/internal/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/batching"
-	"github.com/honeydyke/honeydyke/internal/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/pkg/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/rs/zerolog"
 
-	"github.com/honeydyke/honeydyke/internal/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/pkg/gateway/state.go
+++ b/internal/gateway/state.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
--- a/internal/view/history.go
+++ b/internal/gateway/view/history.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
 // maxHistory bounds the changes that a History remembers.
--- a/internal/view/view.go
+++ b/internal/gateway/view/view.go
@@ -8,8 +8,8 @@
 import (
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/catalog"
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
 // LapseGrace is how long after the source's last trouble a target that vanished
--- a/pkg/gateway/views.go
+++ b/internal/gateway/views.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/view"
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
--- a/internal/demo/demo.go
+++ b/internal/harness/demo/demo.go
@@ -11,9 +11,9 @@
 	"github.com/rs/zerolog"
 
 	"github.com/honeydyke/honeydyke/examples"
-	"github.com/honeydyke/honeydyke/internal/lab"
-	"github.com/honeydyke/honeydyke/internal/load"
-	"github.com/honeydyke/honeydyke/internal/standin"
+	"github.com/honeydyke/honeydyke/internal/harness/lab"
+	"github.com/honeydyke/honeydyke/internal/harness/load"
+	"github.com/honeydyke/honeydyke/internal/harness/standin"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/client"
 	"github.com/honeydyke/honeydyke/pkg/node"
--- a/internal/experiment/capacity.go
+++ b/internal/harness/experiment/capacity.go
@@ -16,10 +16,10 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"github.com/honeydyke/honeydyke/internal/admission"
-	"github.com/honeydyke/honeydyke/internal/membership"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/ticket"
+	"github.com/honeydyke/honeydyke/internal/native/admission"
+	"github.com/honeydyke/honeydyke/internal/native/membership"
+	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
 
--- a/internal/experiment/fleet.go
+++ b/internal/harness/experiment/fleet.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 
 	"github.com/honeydyke/honeydyke/examples"
-	"github.com/honeydyke/honeydyke/internal/lab"
-	"github.com/honeydyke/honeydyke/internal/load"
+	"github.com/honeydyke/honeydyke/internal/harness/lab"
+	"github.com/honeydyke/honeydyke/internal/harness/load"
 	"github.com/honeydyke/honeydyke/internal/wait"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
--- a/internal/experiment/policy.go
+++ b/internal/harness/experiment/policy.go
@@ -12,14 +12,14 @@
 	"github.com/pkg/errors"
 
 	"github.com/honeydyke/honeydyke/examples"
-	"github.com/honeydyke/honeydyke/internal/lab"
-	"github.com/honeydyke/honeydyke/internal/load"
-	"github.com/honeydyke/honeydyke/internal/plot"
-	"github.com/honeydyke/honeydyke/internal/routing"
-	"github.com/honeydyke/honeydyke/internal/standin"
+	"github.com/honeydyke/honeydyke/internal/harness/lab"
+	"github.com/honeydyke/honeydyke/internal/harness/load"
+	"github.com/honeydyke/honeydyke/internal/harness/plot"
+	"github.com/honeydyke/honeydyke/internal/harness/standin"
+	"github.com/honeydyke/honeydyke/internal/native/node"
+	"github.com/honeydyke/honeydyke/internal/native/routing"
 	"github.com/honeydyke/honeydyke/internal/wait"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
-	"github.com/honeydyke/honeydyke/pkg/node"
 )
 
 // Policies that are compared. All but the first are baselines: they hold work
--- a/internal/experiment/storm.go
+++ b/internal/harness/experiment/storm.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/examples"
-	"github.com/honeydyke/honeydyke/internal/lab"
-	"github.com/honeydyke/honeydyke/internal/load"
+	"github.com/honeydyke/honeydyke/internal/harness/lab"
+	"github.com/honeydyke/honeydyke/internal/harness/load"
 	"github.com/honeydyke/honeydyke/internal/wait"
 )
 
--- a/internal/experiment/streams.go
+++ b/internal/harness/experiment/streams.go
@@ -6,8 +6,8 @@
 	"io"
 
 	"github.com/honeydyke/honeydyke/examples"
-	"github.com/honeydyke/honeydyke/internal/lab"
-	"github.com/honeydyke/honeydyke/internal/standin"
+	"github.com/honeydyke/honeydyke/internal/harness/lab"
+	"github.com/honeydyke/honeydyke/internal/harness/standin"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/client"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
--- a/internal/experiment/work.go
+++ b/internal/harness/experiment/work.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/examples"
-	"github.com/honeydyke/honeydyke/internal/lab"
-	"github.com/honeydyke/honeydyke/internal/load"
-	"github.com/honeydyke/honeydyke/internal/standin"
+	"github.com/honeydyke/honeydyke/internal/harness/lab"
+	"github.com/honeydyke/honeydyke/internal/harness/load"
+	"github.com/honeydyke/honeydyke/internal/harness/standin"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
 
--- a/internal/lab/lab.go
+++ b/internal/harness/lab/lab.go
@@ -19,7 +19,7 @@
 	"github.com/pkg/errors"
 	"github.com/rs/zerolog"
 
-	"github.com/honeydyke/honeydyke/internal/standin"
+	"github.com/honeydyke/honeydyke/internal/harness/standin"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/node"
--- a/internal/lab/oracle.go
+++ b/internal/harness/lab/oracle.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strings"
 
+	"github.com/honeydyke/honeydyke/internal/harness/standin"
 	"github.com/honeydyke/honeydyke/internal/openai"
-	"github.com/honeydyke/honeydyke/internal/standin"
 
 	"github.com/honeydyke/honeydyke/internal/message"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
--- a/internal/load/chart.go
+++ b/internal/harness/load/chart.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"github.com/honeydyke/honeydyke/internal/plot"
+	"github.com/honeydyke/honeydyke/internal/harness/plot"
 )
 
 // Chart draws, for each pipeline, the share of requests that were answered whole
--- a/internal/standin/target.go
+++ b/internal/harness/standin/target.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/ticket"
+	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/internal/wait"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
--- a/internal/admission/core.go
+++ b/internal/native/admission/core.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/routing"
+	"github.com/honeydyke/honeydyke/internal/native/routing"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
--- a/internal/admission/pool.go
+++ b/internal/native/admission/pool.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/routing"
+	"github.com/honeydyke/honeydyke/internal/native/routing"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
 
--- a/internal/admission/target.go
+++ b/internal/native/admission/target.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/routing"
+	"github.com/honeydyke/honeydyke/internal/native/routing"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
--- a/internal/membership/readers.go
+++ b/internal/native/membership/readers.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/routing"
+	"github.com/honeydyke/honeydyke/internal/native/routing"
 )
 
 const (
--- a/pkg/node/actors.go
+++ b/internal/native/node/actors.go
@@ -7,10 +7,10 @@
 
 	"github.com/asynkron/protoactor-go/actor"
 
-	"github.com/honeydyke/honeydyke/internal/admission"
-	"github.com/honeydyke/honeydyke/internal/membership"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/rollout"
+	"github.com/honeydyke/honeydyke/internal/native/admission"
+	"github.com/honeydyke/honeydyke/internal/native/membership"
+	"github.com/honeydyke/honeydyke/internal/native/rollout"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
 
--- a/pkg/node/callers.go
+++ b/internal/native/node/callers.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/internal/openai"
-	"github.com/honeydyke/honeydyke/internal/ticket"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
--- a/pkg/node/forward.go
+++ b/internal/native/node/forward.go
@@ -4,7 +4,7 @@
 	"io"
 	"net/http"
 
-	"github.com/honeydyke/honeydyke/internal/ticket"
+	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
--- a/pkg/node/gate.go
+++ b/internal/native/node/gate.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/admission"
 	"github.com/honeydyke/honeydyke/internal/message"
-	"github.com/honeydyke/honeydyke/internal/request"
+	"github.com/honeydyke/honeydyke/internal/native/admission"
+	"github.com/honeydyke/honeydyke/internal/native/request"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
--- a/pkg/node/reply.go
+++ b/internal/native/node/reply.go
@@ -9,8 +9,8 @@
 	"github.com/tmaxmax/go-sse"
 
 	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/internal/openai"
-	"github.com/honeydyke/honeydyke/internal/ticket"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
--- a/pkg/node/sources.go
+++ b/internal/native/node/sources.go
@@ -15,8 +15,8 @@
 	"github.com/asynkron/protoactor-go/actor"
 	"github.com/pkg/errors"
 
-	"github.com/honeydyke/honeydyke/internal/admission"
 	"github.com/honeydyke/honeydyke/internal/message"
+	"github.com/honeydyke/honeydyke/internal/native/admission"
 	"github.com/honeydyke/honeydyke/internal/wait"
 	"github.com/honeydyke/honeydyke/internal/wire"
 	"github.com/honeydyke/honeydyke/pkg/bundle"
--- a/pkg/node/tickets.go
+++ b/internal/native/node/tickets.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/honeydyke/honeydyke/internal/ticket"
+	"github.com/honeydyke/honeydyke/internal/native/ticket"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
--- a/pkg/cmd/demo/demo.go
+++ b/pkg/cmd/demo/demo.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"github.com/honeydyke/honeydyke/internal/demo"
+	"github.com/honeydyke/honeydyke/internal/harness/demo"
 	"github.com/honeydyke/honeydyke/pkg/cmd/factory"
 )
 
--- a/pkg/cmd/experiment/streams/streams.go
+++ b/pkg/cmd/experiment/streams/streams.go
@@ -4,7 +4,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"github.com/honeydyke/honeydyke/internal/experiment"
+	"github.com/honeydyke/honeydyke/internal/harness/experiment"
 	"github.com/honeydyke/honeydyke/pkg/cmd/experiment/runner"
 )
 
--- a/pkg/cmd/load/load.go
+++ b/pkg/cmd/load/load.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/honeydyke/honeydyke/internal/load"
+	"github.com/honeydyke/honeydyke/internal/harness/load"
 	"github.com/honeydyke/honeydyke/pkg/cmd/factory"
 )
 
--- a/pkg/cmd/node/gateway.go
+++ b/pkg/cmd/node/gateway.go
@@ -12,7 +12,6 @@
 
 	"github.com/honeydyke/honeydyke/pkg/gateway"
 	"github.com/honeydyke/honeydyke/pkg/settings"
-	"github.com/honeydyke/honeydyke/platform"
 )
 
 const (
@@ -33,7 +32,7 @@
 	if mb := cfg.Gateway.MemoryMb; mb > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(mb) * (1 << 20)))
 	}
-	g, err := gateway.New(cfg, platform.NewPorts(cfg.Gateway.Store), gateway.WithLogger(log))
+	g, err := gateway.New(cfg, gateway.WithLogger(log))
 	if err != nil {
 		return err
 	}
--- a/pkg/cmd/standin/standin.go
+++ b/pkg/cmd/standin/standin.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/honeydyke/honeydyke/internal/standin"
+	"github.com/honeydyke/honeydyke/internal/harness/standin"
 	"github.com/honeydyke/honeydyke/pkg/cmd/factory"
 )
 
