--- a/internal/harness/experiment/capacity.go
+++ b/internal/harness/experiment/capacity.go
@@ -23,8 +23,13 @@
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 )
 
-// repeats is how often each point is measured; the median counts.
-const repeats = 5
+const (
+	// repeats is how often each point is measured; the median counts.
+	repeats = 5
+	// plenty is a limit of an organisation, in calls and requests a second, that
+	// no measurement reaches: their clocks hardly move.
+	plenty = 100_000
+)
 
 // Slope is one cost measured at several sizes, and the line through it.
 type Slope struct {
--- a/internal/harness/lab/lab.go
+++ b/internal/harness/lab/lab.go
@@ -29,6 +29,9 @@
 const (
 	loopback = "127.0.0.1:0"
 	approver = "lab"
+	// plenty is a limit of an organisation, in calls and requests a second, that
+	// no load of the harnesses reaches: they send some hundreds.
+	plenty = 100_000
 	// readyPoll is how often Start looks whether all nodes serve.
 	readyPoll = 5 * time.Millisecond
 )
@@ -94,6 +97,8 @@
 	slots       int
 	lateBy      time.Duration
 	change      func(*settings.Settings)
+	edit        func(*bundle.Bundle)
+	unlimited   bool
 	targetTLS   *tls.Config
 }
 
@@ -122,6 +127,12 @@
 // WithLateBy sets the delay of targets that answer late.
 func WithLateBy(d time.Duration) Option { return func(c *config) { c.lateBy = d } }
 
+// WithBundle edits the bundle before it is published.
+func WithBundle(edit func(*bundle.Bundle)) Option { return func(c *config) { c.edit = edit } }
+
+// WithoutLimits lifts the limits of every organisation out of the way of a load.
+func WithoutLimits() Option { return func(c *config) { c.unlimited = true } }
+
 // WithSettings changes the settings of every node.
 func WithSettings(change func(*settings.Settings)) Option {
 	return func(c *config) { c.change = change }
@@ -165,6 +176,7 @@
 }
 
 func (l *Lab) start(ctx context.Context, b bundle.Bundle) error {
+	l.cfg.editBundle(&b)
 	if err := l.startTargets(&b); err != nil {
 		return err
 	}
@@ -181,6 +193,17 @@
 	return l.waitReady(ctx)
 }
 
+func (c *config) editBundle(b *bundle.Bundle) {
+	if c.unlimited {
+		for i := range b.Organisations {
+			b.Organisations[i].Limits = bundle.Limits{Concurrency: plenty, RequestsPerSecond: plenty, TokensPerSecond: 100 * plenty}
+		}
+	}
+	if c.edit != nil {
+		c.edit(b)
+	}
+}
+
 // startTargets starts a stand-in for each target and puts its address into b.
 func (l *Lab) startTargets(b *bundle.Bundle) error {
 	for i := range b.Pools {
