--- a/pkg/cmd/bundle/diff/diff.go
+++ b/pkg/cmd/bundle/diff/diff.go
@@ -3,6 +3,7 @@
 
 import (
 	"fmt"
+	"strings"
 
 	"github.com/spf13/cobra"
 
@@ -36,7 +37,7 @@
 			return run(opts)
 		},
 	}
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
+	factory.AddJSONFlag(cmd, &opts.JSON)
 	return cmd
 }
 
@@ -53,13 +54,9 @@
 	if err != nil {
 		return err
 	}
-	if opts.JSON {
-		return opts.Factory.PrintJSON(changes)
-	}
+	var text strings.Builder
 	for _, c := range changes {
-		if _, err := fmt.Fprintln(opts.Factory.Out, c); err != nil {
-			return err
-		}
+		fmt.Fprintln(&text, c)
 	}
-	return nil
+	return opts.Factory.Print(opts.JSON, changes, factory.Text(text.String()))
 }
--- a/pkg/cmd/bundle/show/show.go
+++ b/pkg/cmd/bundle/show/show.go
@@ -35,7 +35,7 @@
 			return run(opts)
 		},
 	}
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
+	factory.AddJSONFlag(cmd, &opts.JSON)
 	return cmd
 }
 
@@ -44,11 +44,7 @@
 	if err != nil {
 		return err
 	}
-	if opts.JSON {
-		return opts.Factory.PrintJSON(plan.Bundle())
-	}
-	_, err = fmt.Fprint(opts.Factory.Out, summary(plan))
-	return err
+	return opts.Factory.Print(opts.JSON, plan.Bundle(), factory.Text(summary(plan)))
 }
 
 func summary(plan *bundle.Plan) string {
--- a/pkg/cmd/bundle/sign/sign.go
+++ b/pkg/cmd/bundle/sign/sign.go
@@ -4,7 +4,6 @@
 import (
 	"crypto/ed25519"
 	"encoding/hex"
-	"encoding/json"
 	"strings"
 
 	"github.com/pkg/errors"
@@ -68,15 +67,11 @@
 }
 
 func read(opts *Options) (bundle.Signed, error) {
-	text, err := opts.Factory.Read(opts.File)
-	if err != nil {
-		return bundle.Signed{}, err
+	if opts.Signed {
+		return opts.Factory.ReadSigned(opts.File)
 	}
-	if !opts.Signed {
-		return bundle.Signed{Text: string(text)}, nil
-	}
-	var s bundle.Signed
-	return s, errors.Wrap(json.Unmarshal(text, &s), opts.File)
+	text, err := opts.Factory.Read(opts.File)
+	return bundle.Signed{Text: string(text)}, err
 }
 
 func readKey(opts *Options) (ed25519.PrivateKey, error) {
--- a/pkg/cmd/demo/demo.go
+++ b/pkg/cmd/demo/demo.go
@@ -39,7 +39,7 @@
 			return run(cmd.Context(), opts)
 		},
 	}
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
+	factory.AddJSONFlag(cmd, &opts.JSON)
 	cmd.Flags().BoolVarP(&opts.Verbose, "verbose", "v", false, "print the nodes' log")
 	return cmd
 }
@@ -60,13 +60,11 @@
 	if err != nil {
 		return err
 	}
-	if opts.JSON {
-		err = opts.Factory.PrintJSON(report)
-	} else {
-		err = report.Print(opts.Factory.Out)
+	if err := opts.Factory.Print(opts.JSON, report, report.Print); err != nil {
+		return err
 	}
-	if err == nil && !report.Held {
-		err = errors.New("a promise was broken")
+	if !report.Held {
+		return errors.New("a promise was broken")
 	}
-	return err
+	return nil
 }
--- a/pkg/cmd/explain/explain.go
+++ b/pkg/cmd/explain/explain.go
@@ -7,11 +7,11 @@
 import (
 	"bufio"
 	"bytes"
-	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -93,15 +93,11 @@
 		return fmt.Errorf("no line names request %q", opts.Request)
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return a.at().Compare(b.at()) })
-	if opts.JSON {
-		return opts.Factory.PrintJSON(lines)
-	}
+	var text strings.Builder
 	for _, l := range lines {
-		if _, err := fmt.Fprintln(opts.Factory.Out, l.text(lines[0].at())); err != nil {
-			return err
-		}
+		fmt.Fprintln(&text, l.text(lines[0].at()))
 	}
-	return nil
+	return opts.Factory.Print(opts.JSON, lines, factory.Text(text.String()))
 }
 
 // read returns the lines that name the request; what is no JSON is passed over.
@@ -138,12 +134,7 @@
 	if c, ok := comparisonOf(l.Fields); ok {
 		fmt.Fprintf(&b, "\n         %s", c.text())
 	}
-	keys := make([]string, 0, len(l.Fields))
-	for k := range l.Fields {
-		keys = append(keys, k)
-	}
-	slices.SortFunc(keys, func(a, b string) int { return cmp.Compare(a, b) })
-	for _, k := range keys {
+	for _, k := range slices.Sorted(maps.Keys(l.Fields)) {
 		switch k {
 		case "message", "time", "request", "level":
 		default:
--- a/pkg/cmd/factory/factory.go
+++ b/pkg/cmd/factory/factory.go
@@ -15,6 +15,7 @@
 
 	"github.com/honeydyke/honeydyke/pkg/bundle"
 	"github.com/honeydyke/honeydyke/pkg/client"
+	"github.com/honeydyke/honeydyke/pkg/settings"
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
@@ -73,6 +74,28 @@
 	return bundle.Parse(file, text)
 }
 
+// ReadSigned reads a signed bundle and checks no signature.
+func (f *Factory) ReadSigned(file string) (bundle.Signed, error) {
+	text, err := f.Read(file)
+	if err != nil {
+		return bundle.Signed{}, err
+	}
+	var s bundle.Signed
+	if err := json.Unmarshal(text, &s); err != nil {
+		return bundle.Signed{}, errors.Wrap(err, file)
+	}
+	return s, nil
+}
+
+// ReadSettings reads and checks the settings of a node.
+func (f *Factory) ReadSettings(file string) (*settings.Settings, error) {
+	text, err := f.Read(file)
+	if err != nil {
+		return nil, err
+	}
+	return settings.Parse(file, text)
+}
+
 // Logger returns a log on standard error.
 func (f *Factory) Logger(level string, text bool) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
@@ -90,6 +113,22 @@
 	return log, nil
 }
 
+// Print writes v to standard output as JSON, or as text for people.
+func (f *Factory) Print(asJSON bool, v any, text func(io.Writer) error) error {
+	if asJSON {
+		return f.PrintJSON(v)
+	}
+	return text(f.Out)
+}
+
+// Text returns what writes s, for Print.
+func Text(s string) func(io.Writer) error {
+	return func(w io.Writer) error {
+		_, err := io.WriteString(w, s)
+		return err
+	}
+}
+
 // PrintJSON writes v to standard output as indented JSON.
 func (f *Factory) PrintJSON(v any) error {
 	raw, err := json.MarshalIndent(v, "", "  ")
--- a/pkg/cmd/key/new/new.go
+++ b/pkg/cmd/key/new/new.go
@@ -63,7 +63,7 @@
 			return run(opts)
 		},
 	}
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
+	factory.AddJSONFlag(cmd, &opts.JSON)
 	return cmd
 }
 
@@ -80,15 +80,9 @@
 	case kindOrganisation:
 		key.Public = bundle.Digest([]byte(key.Secret))
 	}
-	if opts.JSON {
-		return opts.Factory.PrintJSON(key)
+	text := fmt.Sprintf("secret %s\n", key.Secret)
+	if key.Public != "" {
+		text += fmt.Sprintf("public %s\n", key.Public)
 	}
-	if _, err := fmt.Fprintf(opts.Factory.Out, "secret %s\n", key.Secret); err != nil {
-		return err
-	}
-	if key.Public == "" {
-		return nil
-	}
-	_, err := fmt.Fprintf(opts.Factory.Out, "public %s\n", key.Public)
-	return err
+	return opts.Factory.Print(opts.JSON, key, factory.Text(text))
 }
--- a/pkg/cmd/load/load.go
+++ b/pkg/cmd/load/load.go
@@ -3,7 +3,6 @@
 
 import (
 	"context"
-	"os"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -12,8 +11,6 @@
 	"github.com/honeydyke/honeydyke/pkg/cmd/factory"
 )
 
-const keyVariable = "HONEYDYKE_KEY"
-
 // Formats of the report.
 const (
 	formatText = "text"
@@ -23,17 +20,14 @@
 
 // Options are the parts and flags of the verb.
 type Options struct {
+	factory.CallFlags
 	Factory  *factory.Factory
-	Nodes    []string
-	Key      string
-	Pipeline string
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
 	Bytes    int
 	Stream   bool
 	Once     bool
-	Deadline time.Duration
 	Format   string
 }
 
@@ -59,24 +53,21 @@
 			return run(cmd.Context(), opts)
 		},
 	}
+	opts.Add(cmd)
 	flags := cmd.Flags()
-	flags.StringArrayVar(&opts.Nodes, "node", nil, "URL of a node; may be given again")
-	flags.StringVar(&opts.Key, "key", "", "bearer key of the organisation; else from "+keyVariable)
-	flags.StringVar(&opts.Pipeline, "pipeline", "", "pipeline to run")
 	flags.Float64Var(&opts.Rate, "rate", 10, "requests a second")
 	flags.DurationVar(&opts.Duration, "duration", 10*time.Second, "how long requests arrive")
 	flags.Uint64Var(&opts.Seed, "seed", 1, "seed of the arrivals")
 	flags.IntVar(&opts.Bytes, "bytes", 200, "size of the input")
 	flags.BoolVar(&opts.Stream, "stream", false, "ask for streams")
 	flags.BoolVar(&opts.Once, "once", false, "take a ticket for each request")
-	flags.DurationVar(&opts.Deadline, "deadline", 0, "longest wait; the pipeline's when 0")
 	flags.StringVar(&opts.Format, "format", formatText, "text, json or svg")
 	return cmd
 }
 
 func (o *Options) check() error {
-	if len(o.Nodes) == 0 || o.Pipeline == "" {
-		return factory.Usagef("--node and --pipeline are required")
+	if err := o.Complete(); err != nil {
+		return err
 	}
 	switch o.Format {
 	case formatText, formatJSON, formatSVG:
@@ -86,12 +77,8 @@
 }
 
 func run(ctx context.Context, opts *Options) error {
-	key := opts.Key
-	if key == "" {
-		key = os.Getenv(keyVariable)
-	}
 	report, err := load.Run(ctx, load.Plan{
-		Nodes: opts.Nodes, Key: func(string) string { return key },
+		Nodes: opts.Nodes, Key: func(string) string { return opts.Key },
 		Rate: opts.Rate, Duration: opts.Duration, Seed: opts.Seed,
 		Mix: []load.Share{{
 			Pipeline: opts.Pipeline, Weight: 1, InputBytes: opts.Bytes, Stream: opts.Stream, Once: opts.Once, Deadline: opts.Deadline,
--- a/pkg/cmd/node/node.go
+++ b/pkg/cmd/node/node.go
@@ -11,7 +11,6 @@
 
 	"github.com/honeydyke/honeydyke/pkg/cmd/factory"
 	"github.com/honeydyke/honeydyke/pkg/node"
-	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
 // Options are the parts and flags of the verb.
@@ -67,11 +66,7 @@
 }
 
 func run(ctx context.Context, opts *Options) error {
-	text, err := opts.Factory.Read(opts.Settings)
-	if err != nil {
-		return err
-	}
-	cfg, err := settings.Parse(opts.Settings, text)
+	cfg, err := opts.Factory.ReadSettings(opts.Settings)
 	if err != nil || opts.Check {
 		return err
 	}
@@ -86,8 +81,8 @@
 	if err != nil {
 		return err
 	}
-	// The program's own context ends at the first signal; the node needs to
-	// tell the first from the second.
+	// The program's own context ends at the first signal; the node must
+	// distinguish the first from the second.
 	ctx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	go func() {
--- a/pkg/cmd/root/root_test.go
+++ b/pkg/cmd/root/root_test.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"syscall"
 	"testing"
@@ -63,6 +64,47 @@
 	visit(NewCmdRoot(factory.New("test")))
 }
 
+func TestEveryExampleParses(t *testing.T) {
+	var visit func(*cobra.Command)
+	visit = func(cmd *cobra.Command) {
+		for example := range strings.Lines(cmd.Example) {
+			t.Run(strings.TrimSpace(example), func(t *testing.T) {
+				convey.Convey("The example names this verb, with flags and arguments that it takes", t, func() {
+					named, rest, err := NewCmdRoot(factory.New("test")).Find(exampleArgs(example))
+					convey.So(err, convey.ShouldBeNil)
+					convey.So(named.CommandPath(), convey.ShouldEqual, cmd.CommandPath())
+					convey.So(named.ParseFlags(rest), convey.ShouldBeNil)
+					convey.So(named.ValidateArgs(named.Flags().Args()), convey.ShouldBeNil)
+				})
+			})
+		}
+		for _, child := range cmd.Commands() {
+			visit(child)
+		}
+	}
+	visit(NewCmdRoot(factory.New("test")))
+}
+
+// shellWord is one word of an example: quoted or without blanks.
+var shellWord = regexp.MustCompile(`"[^"]*"|\S+`)
+
+// exampleArgs returns the arguments that the shell gives to honeydyke in one line
+// of an example, which may stand in a pipe and redirect its output.
+func exampleArgs(line string) []string {
+	var args []string
+	for _, word := range shellWord.FindAllString(line, -1) {
+		switch word {
+		case "honeydyke":
+			args = nil
+		case ">":
+			return args
+		default:
+			args = append(args, strings.Trim(word, `"`))
+		}
+	}
+	return args
+}
+
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join("..", "..", "bundle", "testdata", "bad", "cycle.hujson")
 	good := filepath.Join("..", "..", "..", "examples", "kowhai", "bundle.hujson")
--- a/pkg/cmd/send/send.go
+++ b/pkg/cmd/send/send.go
@@ -4,7 +4,6 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -16,21 +15,20 @@
 )
 
 const (
-	keyVariable = "HONEYDYKE_KEY"
+	// maxAttempts is how often one request is sent at most; not measured.
 	maxAttempts = 5
+	// minPause passes at least between two attempts; not measured.
+	minPause = 100 * time.Millisecond
 )
 
 // Options are the parts and flags of the verb.
 type Options struct {
-	Factory  *factory.Factory
-	Nodes    []string
-	Key      string
-	Pipeline string
-	Input    string
-	Deadline time.Duration
-	Stream   bool
-	Once     bool
-	JSON     bool
+	factory.CallFlags
+	Factory *factory.Factory
+	Input   string
+	Stream  bool
+	Once    bool
+	JSON    bool
 	// Pause waits between attempts.
 	Pause func(ctx context.Context, d time.Duration) error
 }
@@ -51,11 +49,8 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			opts.Input = args[0]
-			if len(opts.Nodes) == 0 || opts.Pipeline == "" {
-				return factory.Usagef("--node and --pipeline are required")
-			}
-			if opts.Key == "" {
-				opts.Key = os.Getenv(keyVariable)
+			if err := opts.Complete(); err != nil {
+				return err
 			}
 			if runF != nil {
 				return runF(cmd.Context(), opts)
@@ -63,13 +58,10 @@
 			return run(cmd.Context(), opts)
 		},
 	}
-	cmd.Flags().StringArrayVar(&opts.Nodes, "node", nil, "URL of a node; may be given again")
-	cmd.Flags().StringVar(&opts.Key, "key", "", "bearer key of the organisation; else from "+keyVariable)
-	cmd.Flags().StringVar(&opts.Pipeline, "pipeline", "", "pipeline to run")
-	cmd.Flags().DurationVar(&opts.Deadline, "deadline", 0, "longest wait; the pipeline's when 0")
+	opts.Add(cmd)
 	cmd.Flags().BoolVar(&opts.Stream, "stream", false, "print the answer piece by piece")
 	cmd.Flags().BoolVar(&opts.Once, "once", false, "run at most once, by a ticket")
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
+	factory.AddJSONFlag(cmd, &opts.JSON)
 	return cmd
 }
 
@@ -92,7 +84,11 @@
 	if err != nil {
 		return err
 	}
-	return print(opts, answer)
+	text := answer.Output + "\n"
+	if opts.Stream {
+		text = "\n"
+	}
+	return opts.Factory.Print(opts.JSON, answer, factory.Text(text))
 }
 
 func takeTicket(ctx context.Context, c *client.Client, req *client.Request) error {
@@ -131,7 +127,7 @@
 				return nil, err
 			}
 		}
-		if perr := opts.Pause(ctx, max(e.RetryAfter(), 100*time.Millisecond)); perr != nil {
+		if perr := opts.Pause(ctx, max(e.RetryAfter(), minPause)); perr != nil {
 			return nil, err
 		}
 	}
@@ -147,15 +143,3 @@
 	}
 	return true
 }
-
-func print(opts *Options, answer *client.Answer) error {
-	if opts.JSON {
-		return opts.Factory.PrintJSON(answer)
-	}
-	text := answer.Output
-	if opts.Stream {
-		text = ""
-	}
-	_, err := fmt.Fprintln(opts.Factory.Out, text)
-	return err
-}
--- a/pkg/cmd/state/state.go
+++ b/pkg/cmd/state/state.go
@@ -4,6 +4,7 @@
 import (
 	"context"
 	"fmt"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -41,7 +42,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&opts.Admin, "admin", "", "URL of the node's admin address")
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
+	factory.AddJSONFlag(cmd, &opts.JSON)
 	return cmd
 }
 
@@ -52,14 +53,10 @@
 	if err != nil {
 		return err
 	}
-	if opts.JSON {
-		return opts.Factory.PrintJSON(s)
-	}
-	return print(opts, s)
+	return opts.Factory.Print(opts.JSON, s, factory.Text(summary(s)))
 }
 
-func print(opts *Options, s *client.State) error {
-	w := opts.Factory.Out
+func summary(s *client.State) string {
 	lines := []string{
 		fmt.Sprintf("node %s in %s, incarnation %s, %s", s.Node, s.DataCentre, s.Incarnation, s.Phase),
 		fmt.Sprintf("bundle %d, confirmed %d ms ago, %s", s.Bundle, s.BundleAgeMs, s.Digest),
@@ -78,12 +75,7 @@
 	for _, o := range s.Organisations {
 		lines = append(lines, fmt.Sprintf("%-20s %d/%d", o.Organisation, o.InFlight, o.Concurrency))
 	}
-	for _, line := range lines {
-		if _, err := fmt.Fprintln(w, line); err != nil {
-			return err
-		}
-	}
-	return nil
+	return strings.Join(lines, "\n") + "\n"
 }
 
 func condition(leaving, ejected bool) string {
--- a/pkg/cmd/version/version.go
+++ b/pkg/cmd/version/version.go
@@ -32,17 +32,15 @@
 			return run(opts)
 		},
 	}
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
+	factory.AddJSONFlag(cmd, &opts.JSON)
 	return cmd
 }
 
 func run(opts *Options) error {
-	if opts.JSON {
-		return opts.Factory.PrintJSON(struct {
-			Version string `json:"version"`
-			Go      string `json:"go"`
-		}{opts.Factory.Version, runtime.Version()})
-	}
-	_, err := fmt.Fprintf(opts.Factory.Out, "honeydyke %s (%s)\n", opts.Factory.Version, runtime.Version())
-	return err
+	versions := struct {
+		Version string `json:"version"`
+		Go      string `json:"go"`
+	}{opts.Factory.Version, runtime.Version()}
+	text := fmt.Sprintf("honeydyke %s (%s)\n", versions.Version, versions.Go)
+	return opts.Factory.Print(opts.JSON, versions, factory.Text(text))
 }
