--- a/internal/harness/demo/steps.go
+++ b/internal/harness/demo/steps.go
@@ -127,7 +127,7 @@
 			}
 		})
 	if killed == "" {
-		return "", errors.New("no engine was at work when one was to be killed")
+		return "", errors.New("no engine was busy when one was to be killed")
 	}
 	account, err := s.endOfStream(answer, err, input)
 	if err != nil {
--- a/internal/harness/experiment/costs.go
+++ b/internal/harness/experiment/costs.go
@@ -158,33 +158,33 @@
 func viewOf(n int) (membership.View, message.Exchange, time.Time) {
 	now := time.Now()
 	v := membership.New("10.0.0.1:8081", "d0")
-	var word message.Exchange
+	var exchange message.Exchange
 	for i := range n {
-		word = message.Exchange{
+		exchange = message.Exchange{
 			Node: fmt.Sprintf("10.1.%d.%d:8081", i>>8, i&255), Incarnation: ticket.NewSerial(), DataCentre: fmt.Sprint("d", i%12),
 			Bundle: 123456, Digest: bundle.Digest(nil),
 		}
-		v, _ = v.WithWord(now, word)
+		v, _ = v.WithWord(now, exchange)
 	}
-	return v, word, now
+	return v, exchange, now
 }
 
 // exchangeCost measures taking in one exchange, in microseconds.
 func exchangeCost(peers int) func() float64 {
-	v, word, now := viewOf(peers)
+	v, exchange, now := viewOf(peers)
 	return func() float64 {
-		return microseconds(200, func(int) { v, _ = v.WithWord(now, word) })
+		return microseconds(200, func(int) { v, _ = v.WithWord(now, exchange) })
 	}
 }
 
 // exchangeBytes measures one exchange, in bytes of JSON.
 func exchangeBytes(peers int) func() float64 {
-	v, word, now := viewOf(peers)
+	v, exchange, now := viewOf(peers)
 	rng := rand.New(rand.NewPCG(1, 1))
 	return func() float64 {
-		word.Peers = v.Told(now, rng)
-		word.Readers = []message.Reader{{Node: "10.1.0.1:8081", AgeMs: 1200}, {Node: "10.1.0.2:8081", AgeMs: 800}}
-		return jsonSize(word)
+		exchange.Peers = v.Told(now, rng)
+		exchange.Readers = []message.Reader{{Node: "10.1.0.1:8081", AgeMs: 1200}, {Node: "10.1.0.2:8081", AgeMs: 800}}
+		return jsonSize(exchange)
 	}
 }
 
--- a/pkg/cmd/root/storm_test.go
+++ b/pkg/cmd/root/storm_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// broken lists the promises that do not hold between what callers were told and
+// broken lists the promises that do not hold between what callers were answered and
 // what the stand-ins saw.
 func (f *fleet) broken(report *load.Report) []string {
 	var list []string
