--- a/internal/harness/lab/node.go
+++ b/internal/harness/lab/node.go
@@ -53,7 +53,11 @@
 
 // AddNode starts one more node, which knows the others as its peers.
 func (l *Lab) AddNode(more ...node.Option) (*Member, error) {
-	cfg := l.settings()
+	var peers []string
+	for _, m := range l.Nodes {
+		peers = append(peers, m.PeerAddress())
+	}
+	cfg := l.Settings(len(l.Nodes), peers)
 	if l.cfg.change != nil {
 		l.cfg.change(cfg)
 	}
@@ -82,15 +86,12 @@
 	l.Nodes = slices.DeleteFunc(l.Nodes, func(other *Member) bool { return other == m })
 }
 
-// settings returns the settings of the next node.
-func (l *Lab) settings() *settings.Settings {
-	var peers []string
-	for _, m := range l.Nodes {
-		peers = append(peers, m.PeerAddress())
-	}
+// Settings returns the settings of a node of the deployment; its number decides its
+// data centre.
+func (l *Lab) Settings(number int, peers []string) *settings.Settings {
 	public := l.key.Public().(ed25519.PublicKey)
 	return &settings.Settings{
-		DataCentre: l.dataCentre(len(l.Nodes)),
+		DataCentre: l.dataCentre(number),
 		Listen:     settings.Listen{Callers: loopback, Peers: loopback, Admin: loopback},
 		Trust: &settings.Trust{
 			Deployment: l.Plan.Name(), Required: 1,
