--- a/internal/gateway/view/departures.go
+++ b/internal/gateway/view/departures.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// departedFor is how long a target that has gone is remembered. It is far above the age
-	// of a copy that a source comes back from, which is seconds.
+	// departedFor is how long a removed target is remembered. It is far longer than the age
+	// of the copy that a source is restored from, which is seconds.
 	departedFor = time.Minute
-	// returnGrace is how long a target that had gone and is listed again by a restored source
-	// takes no new work. An entry that nobody writes goes within three heartbeats, 3.6 s.
+	// returnGrace is how long a removed target that a restored source lists again takes no new
+	// work. An entry that is not refreshed expires within three heartbeats, 3.6 s.
 	returnGrace = 4 * time.Second
 )
 
-// departures remembers the targets that went lately, by their lives. It is immutable; the
-// zero value knows of none.
+// departures records recently removed targets by life. It is immutable; the zero value is
+// empty.
 type departures struct{ byLife map[directory.Life]departure }
 
-// departure is one target that went.
+// departure is one removed target.
 type departure struct {
 	at time.Time
-	// announced says that the target was draining before.
+	// announced reports whether the target was draining when it was removed.
 	announced bool
 }
 
-// with returns the departures with targets that have just gone.
+// with returns the departures with targets added that have just been removed.
 func (d departures) with(now time.Time, gone []directory.Target) departures {
 	if len(gone) == 0 {
 		return d
@@ -41,12 +41,11 @@
 	return departures{byLife: next}
 }
 
-// returning decides what is taken in of a target that a source lists after it came back
-// from an older copy. The inputs are whether that life of the target had gone, and what the
-// directory knows of its identity. A life that had gone drains if it drained before, and has
-// Returned otherwise; one after which the target began another is passed over: the present
-// life has lapsed until it is listed. Wrongly taken for ready, a target gets work that it no
-// longer takes; wrongly held, it is missed for returnGrace.
+// returning returns the target to store when a restored source lists t in a life that is not
+// in the directory. If that life was removed recently, it is draining if it was draining
+// before, and Returned otherwise. If the target has started another life since, the listed one
+// is ignored and the present one lapses until it is listed. A target wrongly treated as ready
+// gets work that it no longer takes; one wrongly held back is unused for returnGrace.
 func (d departures) returning(now time.Time, t directory.Target, present *directory.Directory) directory.Target {
 	known, is := d.byLife[t.Life()]
 	is = is && now.Sub(known.at) <= departedFor
@@ -63,7 +62,7 @@
 	return t
 }
 
-// lapsing returns a target that a restored source does not list in its present life.
+// lapsing returns a target whose present life a restored source does not list.
 func lapsing(now time.Time, t directory.Target) directory.Target {
 	if t.State == directory.Ready {
 		t.State, t.StateUntil = directory.Lapsed, now.Add(LapseGrace)
--- a/internal/gateway/view/dispute.go
+++ b/internal/gateway/view/dispute.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// evacuationHold is how long an evacuation holds that a restored source lacks. It is
-// written again within seconds, unless it was lifted while this node did not hear of it.
+// evacuationHold is how long an evacuation stays active that a restored source does not list.
+// The evacuation is written again within seconds, unless it was lifted without this node
+// learning of it.
 const evacuationHold = 30 * time.Second
 
-// followedBy decides what is known after a report that is newer by its position. A restored
-// source lists an order that was lifted after its copy: then the end of that holds for
-// returnGrace, within which it is written again. Another order is known by its number, or by
-// coming as a change: listed says that the report comes from a list, of the source or a member.
+// followedBy returns what is known after a report n with a newer revision. A restored source
+// may list an order that was lifted after its copy was made. The evacuation then stays lifted
+// for returnGrace, within which the lift is written again. A different order is recognised by
+// its number, or by arriving as a change: listed reports whether n comes from a listing, of
+// the source or of a member.
 func (e Evacuation) followedBy(n Evacuation, listed bool) Evacuation {
 	isOldOrder := listed && n.Active && n.Revision.IsRestoredSince(e.Revision) && n.Revision.Number() == e.OrderedAt.Number()
 	switch {
@@ -21,7 +23,8 @@
 	return n
 }
 
-// disputed returns the evacuation with the contrary said of it, which holds from a time on.
+// disputed returns the evacuation with a contradicting report recorded, which takes effect at
+// until. An evacuation that is disputed already is returned unchanged.
 func (e Evacuation) disputed(at Revision, until time.Time) Evacuation {
 	if !e.HoldsUntil.IsZero() {
 		return e
@@ -30,13 +33,14 @@
 	return e
 }
 
-// settled returns what holds when the time of a dispute is over.
+// settled returns the evacuation after the deadline of its dispute: the contradicting report
+// takes effect.
 func (e Evacuation) settled(now time.Time) Evacuation {
 	settled := Evacuation{DataCentre: e.DataCentre, Active: !e.Active, Revision: e.DisputedAt, OrderedAt: e.OrderedAt, Since: now}
 	return settled.withOrder()
 }
 
-// withTime returns the evacuations at a time, with the disputes settled whose time is over.
+// withTime returns the evacuations as of a time, with disputes past their deadline resolved.
 func (e Evacuations) withTime(now time.Time) Evacuations {
 	for _, known := range e.byDataCentre {
 		if !known.HoldsUntil.IsZero() && !now.Before(known.HoldsUntil) {
--- a/internal/gateway/view/disputed_test.go
+++ b/internal/gateway/view/disputed_test.go
@@ -9,8 +9,9 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
-// TestDisputedEvacuations guards against evacuations that a restored source brings back or
-// ends by itself, and against ones that outlast a source that never writes them again.
+// TestDisputedEvacuations guards against a restored source that brings back lifted evacuations
+// or ends active ones, and against evacuations that stay active although the source never
+// writes them again.
 func TestDisputedEvacuations(t *testing.T) {
 	long := now.Add(time.Hour)
 	soon := now.Add(time.Second)
@@ -19,25 +20,25 @@
 	list := func(v *view.View, at time.Time, revision view.Revision, list ...view.Change) *view.View {
 		return v.WithSnapshot(at, view.Changes{Revision: revision, List: append(list, targetIn("a", "d1"))}, never)
 	}
-	convey.Convey("Given an evacuation that was lifted after the copy", t, func() {
+	convey.Convey("Given an evacuation that was lifted after the copy was made", t, func() {
 		v := after(twoDataCentres(), 7, evacuation("d1", true, 6), evacuation("d1", false, 7))
 		v = list(v, now, epoch(6), evacuation("d1", true, epoch(6)))
 		convey.So(evacuated(v), convey.ShouldBeFalse)
 		shouldUse(v, "a")
-		convey.Convey("the source's word counts when it is not lifted again", func() {
+		convey.Convey("it is active after the grace period when it is not lifted again", func() {
 			convey.So(evacuated(v.WithTime(soon)), convey.ShouldBeFalse)
 			convey.So(evacuated(v.WithTime(long)), convey.ShouldBeTrue)
 			shouldNotUse(v.WithTime(long), "a")
 		})
-		convey.Convey("it stays lifted when it is lifted again, by a change or a list", func() {
+		convey.Convey("it stays lifted when it is lifted again, in a change or a listing", func() {
 			convey.So(evacuated(after(v, epoch(7), evacuation("d1", false, epoch(7))).WithTime(long)), convey.ShouldBeFalse)
 			convey.So(evacuated(list(v, soon, epoch(8)).WithTime(long)), convey.ShouldBeFalse)
 		})
-		convey.Convey("another order counts at once", func() {
+		convey.Convey("a different order takes effect at once", func() {
 			convey.So(evacuated(after(v, epoch(7), evacuation("d1", true, epoch(7)))), convey.ShouldBeTrue)
 			convey.So(evacuated(list(v, now, epoch(8), evacuation("d1", true, epoch(8)))), convey.ShouldBeTrue)
 		})
-		convey.Convey("a member hears of the dispute with what changed", func() {
+		convey.Convey("a delta passes the dispute on to a member", func() {
 			other := list(twoDataCentres(), now, epoch(6))
 			d := view.Delta{Since: epoch(6), Revision: epoch(7), Evacuations: v.Evacuations.All()}
 			other = other.WithDelta(now, d)
@@ -45,14 +46,14 @@
 			convey.So(evacuated(other.WithTime(long)), convey.ShouldBeTrue)
 		})
 	})
-	convey.Convey("Given an evacuation that was ordered after the copy", t, func() {
+	convey.Convey("Given an evacuation that was ordered after the copy was made", t, func() {
 		v := list(after(twoDataCentres(), 6, evacuation("d1", true, 6)), now, epoch(5))
 		convey.So(evacuated(v), convey.ShouldBeTrue)
 		convey.Convey("it ends when it is not ordered again", func() {
 			convey.So(evacuated(list(v, soon, epoch(8)).WithTime(soon)), convey.ShouldBeTrue)
 			convey.So(evacuated(v.WithTime(long)), convey.ShouldBeFalse)
 		})
-		convey.Convey("it goes on when it is ordered again", func() {
+		convey.Convey("it stays active when it is ordered again", func() {
 			convey.So(evacuated(after(v, epoch(6), evacuation("d1", true, epoch(6))).WithTime(long)), convey.ShouldBeTrue)
 		})
 		convey.Convey("it ends when it is lifted", func() {
--- a/internal/gateway/view/evacuation.go
+++ b/internal/gateway/view/evacuation.go
@@ -9,27 +9,28 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// Evacuation is what is known of one data centre: whether its targets take new work.
+// Evacuation is the evacuation state of one data centre: whether its targets take new work.
 type Evacuation struct {
 	DataCentre string
-	// Active says that its targets take no new work; false after it was taken back.
+	// Active reports whether its targets take no new work; false after the evacuation was
+	// lifted.
 	Active bool
-	// Revision is the source's when that was set or lifted.
+	// Revision is the revision at which Active was set or cleared.
 	Revision Revision
-	// OrderedAt is the position of the last order to evacuate it; 0 for unknown.
+	// OrderedAt is the revision of the last evacuation order; 0 if unknown.
 	OrderedAt Revision
-	// DisputedAt is the position at which a restored source said the contrary of Active, and
-	// HoldsUntil is until when Active holds all the same; zero for undisputed.
+	// DisputedAt is the revision at which a restored source contradicted Active; 0 if
+	// undisputed.
 	DisputedAt Revision
-	// HoldsUntil: see DisputedAt.
+	// HoldsUntil is until when Active stays in effect despite the dispute; zero if undisputed.
 	HoldsUntil time.Time
-	// From is the member that said so; empty for the source itself.
+	// From is the member that reported it; empty for the source itself.
 	From string
-	// Since is when this node heard it, by this node's clock.
+	// Since is when this node learned of it, by its own clock.
 	Since time.Time
 }
 
-// withOrder returns the evacuation with the position of its order, if it is one.
+// withOrder returns the evacuation with OrderedAt set if it is active.
 func (e Evacuation) withOrder() Evacuation {
 	if e.Active {
 		e.OrderedAt = e.Revision
@@ -37,23 +38,23 @@
 	return e
 }
 
-// EvacuationChange says that a data centre is evacuated, or taken back.
+// EvacuationChange starts or lifts the evacuation of a data centre.
 type EvacuationChange struct{ Evacuation }
 
 func (EvacuationChange) isChange() {}
 
-// Evacuations are what is known of the data centres that are, or were, evacuated. It
-// is immutable; the zero value knows of none.
+// Evacuations holds the data centres that are, or were, evacuated. It is immutable; the zero
+// value is empty.
 //
-// A data centre that was taken back stays known with the revision of that, so that an
-// older report, which may come later over another member, does not evacuate it again:
-// in whatever order reports arrive, all nodes end with the newest. There are as many
-// entries as data centres were ever evacuated.
+// A lifted evacuation is kept with the revision of the lift, so that an older report that
+// arrives later, through another member, does not evacuate the data centre again: in whatever
+// order reports arrive, all nodes converge on the newest. There is one entry for each data
+// centre that was ever evacuated.
 type Evacuations struct{ byDataCentre map[string]Evacuation }
 
-// With returns the evacuations with one more taken in, unless it is older than what is
-// known of its data centre; listed is as for Evacuation.followedBy. Of a report that is known
-// the dispute is taken in, if that is new.
+// With returns the evacuations with a report applied, unless it is older than what is known of
+// its data centre; listed is as for Evacuation.followedBy. From a report that is already
+// known, only a new dispute is taken.
 func (e Evacuations) With(n Evacuation, listed bool) Evacuations {
 	known, is := e.byDataCentre[n.DataCentre]
 	switch {
@@ -67,7 +68,7 @@
 	return e.with(known.followedBy(n.withOrder(), listed))
 }
 
-// with returns the evacuations with what is known of one data centre replaced.
+// with returns the evacuations with the entry of one data centre replaced.
 func (e Evacuations) with(n Evacuation) Evacuations {
 	next := maps.Clone(e.byDataCentre)
 	if next == nil {
@@ -77,10 +78,10 @@
 	return Evacuations{byDataCentre: next}
 }
 
-// Of returns what is known of a data centre; the zero value for nothing.
+// Of returns the entry of a data centre; the zero value if there is none.
 func (e Evacuations) Of(dataCentre string) Evacuation { return e.byDataCentre[dataCentre] }
 
-// All returns what is known, in the order of the data centres' names.
+// All returns all entries, sorted by data centre.
 func (e Evacuations) All() []Evacuation {
 	return slices.SortedFunc(maps.Values(e.byDataCentre), func(a, b Evacuation) int { return cmp.Compare(a.DataCentre, b.DataCentre) })
 }
@@ -88,7 +89,7 @@
 // ActiveCount returns how many data centres are evacuated.
 func (e Evacuations) ActiveCount() int { return len(e.active()) }
 
-// active returns the data centres whose targets take no new work.
+// active returns the set of evacuated data centres.
 func (e Evacuations) active() map[string]bool {
 	list := make(map[string]bool)
 	for dataCentre, known := range e.byDataCentre {
@@ -99,9 +100,9 @@
 	return list
 }
 
-// withListed returns the evacuations after a whole list of the source's keys at a
-// revision: a data centre that is not listed was taken back. What is known from a later
-// revision stays, and an evacuation that a restored source lacks holds for evacuationHold.
+// withListed returns the evacuations after a complete listing of the source at a revision: an
+// evacuation that is not listed was lifted. What is known from a later revision stays, and an
+// evacuation that a restored source does not list stays active for evacuationHold.
 func (e Evacuations) withListed(now time.Time, ch Changes) Evacuations {
 	listed := make(map[string]bool)
 	for _, c := range ch.List {
@@ -121,11 +122,11 @@
 	return e
 }
 
-// withEvacuations returns the view with its evacuations replaced, and notes in an edit
-// which targets take new work from now on. The targets of a data centre that is taken
-// back may have turned cold without having said so yet: until their warm-up would be
-// over they count as cold. Without that presumption a node that hears of the end first,
-// as through a member while the source is slow, would send them what warm targets take.
+// withEvacuations replaces the evacuations of v, which must not be shared yet, and records in
+// the edit which targets take new work. Targets of a data centre whose evacuation was lifted
+// may have become cold without having reported it yet, so they count as cold for their
+// warm-up time. Otherwise a node that learns of the lift first, for example from a member
+// while the source is slow, would send them the load of warm targets.
 func (v *View) withEvacuations(targets *directory.Edit, now time.Time, next Evacuations) {
 	before := v.Evacuations
 	v.Evacuations = next
@@ -137,5 +138,5 @@
 	}
 }
 
-// warmUpTime returns how long a target may stay cold; 0 for one that is never cold.
+// warmUpTime returns how long a target may stay cold; 0 if it is never cold.
 func (v *View) warmUpTime(t directory.Target) time.Duration { return v.Service(t.Service).WarmUp.Time }
--- a/internal/gateway/view/evacuation_test.go
+++ b/internal/gateway/view/evacuation_test.go
@@ -16,7 +16,7 @@
 // never is the last outage of a source that never failed.
 var never time.Time
 
-// warmUp is how long the targets of the service of these tests stay cold.
+// warmUp is the warm-up time of the targets in these tests.
 const warmUp = 3 * time.Second
 
 func evacuation(dataCentre string, active bool, revision view.Revision) view.EvacuationChange {
@@ -27,7 +27,7 @@
 	return view.TargetChange{Target: directory.Target{ID: id, Service: "s", DataCentre: dataCentre}}
 }
 
-// coldCatalog is a configuration whose targets turn cold.
+// coldCatalog returns a catalog with a service whose targets need a warm-up.
 func coldCatalog() view.CatalogChange {
 	s := &catalog.Service{Name: "s", WarmUp: catalog.WarmUp{Time: warmUp, PerSecond: 10}}
 	c, err := catalog.New(1, nil, []*catalog.Service{s}, nil, catalog.Limits{})
@@ -37,7 +37,7 @@
 	return view.CatalogChange{Catalog: c}
 }
 
-// twoDataCentres is a view of a target in each of two data centres.
+// twoDataCentres returns a view with one target in each of two data centres.
 func twoDataCentres() *view.View {
 	return view.New().WithSnapshot(now, view.Changes{Revision: 5, List: []view.Change{
 		coldCatalog(), targetIn("a", "d1"), targetIn("b", "d2"),
@@ -65,49 +65,49 @@
 			shouldNotUse(after(v, 7, targetIn("c", "d1")), "c")
 			shouldNotUse(after(v, 7, targetIn("a", "d1")), "a")
 		})
-		convey.Convey("until it is taken back", func() {
+		convey.Convey("until the evacuation is lifted", func() {
 			shouldUse(after(v, 7, evacuation("d1", false, 7)), "a")
 		})
-		convey.Convey("when it is taken back and evacuated again at once", func() {
+		convey.Convey("when one report lifts the evacuation and orders it again", func() {
 			shouldNotUse(after(v, 8, evacuation("d1", false, 7), evacuation("d1", true, 8)), "a")
 			shouldUse(after(v, 9, evacuation("d1", false, 7), evacuation("d1", true, 8), evacuation("d1", false, 9)), "a")
 		})
-		convey.Convey("nor those that lapsed during an outage of the source", func() {
+		convey.Convey("nor do those that lapsed during an outage of the source", func() {
 			v = v.WithChanges(now, view.Changes{Revision: 7, List: []view.Change{view.TargetGone{ID: "a"}}}, now)
 			shouldNotUse(v, "a")
 		})
 	})
-	convey.Convey("Older news than what is known changes nothing", t, func() {
+	convey.Convey("A report older than what is known changes nothing", t, func() {
 		v := after(twoDataCentres(), 9, evacuation("d1", true, 6), evacuation("d1", false, 9))
 		shouldUse(after(v, 9, evacuation("d1", true, 6)), "a")
 		v = after(v, 10, evacuation("d1", true, 10))
 		shouldNotUse(after(v, 10, evacuation("d1", false, 9)), "a")
 	})
-	convey.Convey("A whole list takes back what it does not name", t, func() {
+	convey.Convey("A complete listing lifts the evacuations that it lacks", t, func() {
 		v := after(twoDataCentres(), 6, evacuation("d1", true, 6), evacuation("d2", true, 6))
 		v = v.WithSnapshot(now, view.Changes{Revision: 8, List: []view.Change{
 			targetIn("a", "d1"), targetIn("b", "d2"), evacuation("d2", true, 6),
 		}}, never)
 		shouldUse(v, "a")
 		shouldNotUse(v, "b")
-		convey.Convey("but not what was set after the list was read", func() {
+		convey.Convey("but not one that was ordered after the listing was read", func() {
 			v = after(v, 12, evacuation("d1", true, 12))
 			shouldNotUse(v.WithSnapshot(now, view.Changes{Revision: 11}, never), "a")
 		})
 	})
-	convey.Convey("A node that starts knows an evacuation with its first list", t, func() {
+	convey.Convey("A starting node learns of evacuations from its first listing", t, func() {
 		v := view.New().WithSnapshot(now, view.Changes{Revision: 5, List: []view.Change{
 			coldCatalog(), evacuation("d1", true, 3), targetIn("a", "d1"),
 		}}, never)
 		shouldNotUse(v, "a")
 	})
-	convey.Convey("A member hands evacuations on with what changed, also when no target did", t, func() {
+	convey.Convey("A delta contains evacuations even if no target changed", t, func() {
 		ahead := after(twoDataCentres(), 6, evacuation("d1", true, 6))
 		d, known := ahead.DeltaSince(5)
 		convey.So(known, convey.ShouldBeTrue)
 		shouldNotUse(twoDataCentres().WithDelta(now, d), "a")
 	})
-	convey.Convey("All data centres of a service are evacuated only when no target takes work", t, func() {
+	convey.Convey("A service counts as evacuated only when none of its targets takes new work", t, func() {
 		v := after(twoDataCentres(), 6, evacuation("d1", true, 6))
 		convey.So(v.Directory.AllEvacuated("s"), convey.ShouldBeFalse)
 		v = after(v, 7, evacuation("d2", true, 7))
@@ -116,8 +116,8 @@
 	})
 }
 
-// TestEvacuationsInAnyOrder holds that nodes which hear the same news in any order, any
-// number of times, end with the newest for each data centre.
+// TestEvacuationsInAnyOrder checks that nodes that receive the same reports in any order, any
+// number of times, converge on the newest report for each data centre.
 func TestEvacuationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		centres := []string{"d1", "d2"}
@@ -135,7 +135,7 @@
 		}
 		for target, dc := range map[string]string{"a": "d1", "b": "d2"} {
 			if v.Directory.Usable(target, now) == newest[dc] {
-				t.Fatalf("%s: evacuated %v is wrong after %v", dc, !newest[dc], heard)
+				t.Fatalf("%s: evacuated = %v, want %v, after %v", dc, !newest[dc], newest[dc], heard)
 			}
 		}
 	})
@@ -146,7 +146,7 @@
 		target, _ := v.Directory.Target(id)
 		return target.ColdUntil
 	}
-	convey.Convey("A target is cold for as long as it says", t, func() {
+	convey.Convey("A target is cold for as long as it reports", t, func() {
 		c := targetIn("a", "d1")
 		c.ColdFor = time.Second
 		v := after(twoDataCentres(), 6, c)
@@ -155,13 +155,13 @@
 			convey.So(coldUntil(after(v, 7, targetIn("a", "d1")), "a"), convey.ShouldEqual, now.Add(time.Second))
 		})
 	})
-	convey.Convey("A data centre that is taken back counts as cold for the warm-up of its targets", t, func() {
+	convey.Convey("After an evacuation is lifted, its targets count as cold for their warm-up time", t, func() {
 		v := after(twoDataCentres(), 6, evacuation("d1", true, 6))
 		convey.So(coldUntil(v, "a"), convey.ShouldBeZeroValue)
 		v = after(v, 7, evacuation("d1", false, 7))
 		convey.So(coldUntil(v, "a"), convey.ShouldEqual, now.Add(warmUp))
 		convey.So(coldUntil(v, "b"), convey.ShouldBeZeroValue)
-		convey.Convey("also when a whole list shows it", func() {
+		convey.Convey("also when a complete listing shows the lift", func() {
 			v := after(twoDataCentres(), 6, evacuation("d1", true, 6)).WithSnapshot(now, view.Changes{Revision: 8, List: []view.Change{targetIn("a", "d1")}}, never)
 			convey.So(coldUntil(v, "a"), convey.ShouldEqual, now.Add(warmUp))
 		})
--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -7,32 +7,32 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// maxHistory bounds the reports of changes that a History remembers. A member that is
-// further behind gets the whole view. Changes come four times a second at most, so that
-// it covers two minutes.
+// maxHistory bounds the reports of changes that a History keeps. A member that is further
+// behind gets the whole view. At four reports a second, the maximum rate, the history covers
+// two minutes.
 const maxHistory = 512
 
-// changed is the identities of the targets that changed up to a revision, as they
-// were reported together.
+// changed holds the IDs of the targets that changed in one report, and the revision of the
+// report.
 type changed struct {
 	revision Revision
 	ids      []string
 }
 
-// History remembers which targets changed at which revision, so that a member that is
-// behind can be sent only those. It is immutable; the zero value remembers nothing.
+// History records which targets changed at which revision, so that a member that is behind can
+// be sent only those. It is immutable; the zero value is empty.
 type History struct {
-	// from and until are the revisions between which all changes are remembered; 0
-	// for none.
+	// from and until are the revisions between which all changes are recorded; 0 if none
+	// are.
 	from, until Revision
 	reports     []changed
 }
 
-// newHistory returns a history that remembers what comes after a revision.
+// newHistory returns a history of the changes after a revision.
 func newHistory(revision Revision) History { return History{from: revision, until: revision} }
 
-// With returns the history with changes that were reported. Older ones than it knows
-// are dropped.
+// With returns the history with reported changes added. Changes that are not newer than the
+// history are dropped.
 func (h History) With(ch Changes) History {
 	if ch.Revision <= h.until {
 		return h
@@ -63,8 +63,8 @@
 	return h
 }
 
-// Since returns the targets that changed after a revision, each once; false when
-// that is not remembered.
+// Since returns the IDs of the targets that changed after a revision, sorted and without
+// duplicates; false if the history does not reach back that far.
 func (h History) Since(revision Revision) ([]string, bool) {
 	if h.from == 0 || revision < h.from {
 		return nil, false
@@ -79,24 +79,24 @@
 	return slices.Compact(ids), true
 }
 
-// Delta is what changed between two revisions, as it stands at the later one.
+// Delta holds what changed between two revisions, as of the later one.
 type Delta struct {
-	// Since is the revision of the views that the delta can be added to, Revision
-	// the one that they have afterwards.
+	// Since is the revision of the views to which the delta applies, Revision the one that
+	// they have afterwards.
 	Since, Revision Revision
-	// Targets are those that were added or changed; Gone the identities of those that
-	// vanished.
+	// Targets are the targets that were added or updated, Gone the IDs of those that were
+	// removed.
 	Targets []directory.Target
 	Gone    []string
-	// Catalog is a configuration that came between them; nil for none.
+	// Catalog is a new catalog that came into force between the revisions; nil if none did.
 	Catalog *CatalogChange
-	// Evacuations are all that the member knows, whatever changed: they are few, and who
-	// knows them already drops them.
+	// Evacuations are all entries that the sender knows, changed or not: they are few, and a
+	// receiver drops those that it knows already.
 	Evacuations []Evacuation
 }
 
-// DeltaSince returns what changed after a revision; false when that is not
-// remembered.
+// DeltaSince returns what changed after a revision; false if the history does not reach back
+// that far.
 func (v *View) DeltaSince(revision Revision) (Delta, bool) {
 	ids, known := v.history.Since(revision)
 	if !known {
@@ -113,18 +113,18 @@
 	return d, true
 }
 
-// WithDelta returns the view with a member's delta taken in. A view that has another
-// revision than the delta is for takes its catalog alone, if that is newer.
+// WithDelta returns the view with a member's delta applied. If the delta starts at another
+// revision than the view's, or ends at none newer, only a newer catalog is taken from it.
 func (v *View) WithDelta(now time.Time, d Delta) *View {
 	ch := d.Changes()
 	if d.Since != v.Revision || d.Revision <= v.Revision {
 		return v.withCatalogOf(ch)
 	}
-	// The member has decided which targets lapse, so that the others have gone here too.
+	// The member has already decided which targets lapse; the others are removed here too.
 	return v.WithChanges(now, ch, time.Time{})
 }
 
-// Changes lists what changed, for the log.
+// Changes returns the delta as a list of changes, to apply or to log.
 func (d Delta) Changes() Changes {
 	ch := Changes{Revision: d.Revision}
 	if d.Catalog != nil {
--- a/internal/gateway/view/rejected_test.go
+++ b/internal/gateway/view/rejected_test.go
@@ -9,10 +9,10 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// TestRejectedTarget holds that an entry of another writer takes its target out of use, at
-// this node and at members that are told what changed.
+// TestRejectedTarget checks that a target whose entry another writer overwrote is taken out of
+// use, at this node and at members that receive a delta.
 func TestRejectedTarget(t *testing.T) {
-	convey.Convey("Given a view with two targets, the entry of one of which does not read any more", t, func() {
+	convey.Convey("Given a view with two targets, one of whose entries has become invalid", t, func() {
 		now := time.Unix(1000, 0)
 		v := New().WithSnapshot(now, Changes{Revision: 1, List: []Change{
 			TargetChange{Target: directory.Target{ID: "a", Service: "s"}}, TargetChange{Target: directory.Target{ID: "b", Service: "s"}},
@@ -26,7 +26,7 @@
 			convey.So(known, convey.ShouldBeTrue)
 			convey.So(d.Gone, convey.ShouldResemble, []string{"a"})
 		}
-		convey.Convey("also when it is found in a whole list", func() {
+		convey.Convey("also when the entry is in a complete listing", func() {
 			list := Changes{Revision: 3, List: []Change{ch.List[0], TargetChange{Target: directory.Target{ID: "b", Service: "s"}}}}
 			next := v.WithSnapshot(now, list, now)
 			convey.So(next.Directory.Usable("a", now), convey.ShouldBeFalse)
--- a/internal/gateway/view/restored_test.go
+++ b/internal/gateway/view/restored_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
-// afterRestore is the first list of a source that came back from an older copy.
+// afterRestore returns the first listing of a source restored from an older copy.
 func afterRestore(list ...view.Change) view.Changes {
 	return view.Changes{Revision: view.NewRevision(1, 3), List: list}
 }
@@ -23,7 +23,7 @@
 	convey.So(got.State, convey.ShouldEqual, state)
 }
 
-// TestDepartedTargets guards against targets that had gone and are used again at once when a
+// TestDepartedTargets guards against removed targets that are used again at once when a
 // restored source lists them.
 func TestDepartedTargets(t *testing.T) {
 	convey.Convey("Given a view that knows two targets", t, func() {
@@ -35,7 +35,7 @@
 			return v.WithChanges(now, ch, never)
 		}
 		listed := afterRestore(target("a", directory.Ready), target("b", directory.Ready))
-		convey.Convey("one that went returns after a while, one that drained does not", func() {
+		convey.Convey("a removed one is ready after a while, one that was draining keeps draining", func() {
 			v = gone(v).WithSnapshot(now, listed, never)
 			shouldBeIn(directory.Returned, v, "a")
 			shouldBeIn(directory.Draining, v, "b")
@@ -43,7 +43,7 @@
 			shouldBeIn(directory.Ready, v, "a")
 			shouldBeIn(directory.Draining, v, "b")
 		})
-		convey.Convey("one that came back before is used on", func() {
+		convey.Convey("one that registered again before the restore stays in use", func() {
 			v = gone(v).WithChanges(now, view.Changes{Revision: 7, List: []view.Change{target("a", directory.Ready)}}, never)
 			shouldBeIn(directory.Ready, v.WithSnapshot(now, listed, never), "a")
 		})
@@ -51,7 +51,7 @@
 			v = gone(v).WithSnapshot(now, view.Changes{Revision: 8, List: listed.List}, never)
 			shouldBeIn(directory.Ready, v, "a")
 		})
-		convey.Convey("one that went long before is ready", func() {
+		convey.Convey("one that was removed long before is ready", func() {
 			later := now.Add(time.Hour)
 			v = gone(v).WithChanges(later, view.Changes{Revision: 7, List: []view.Change{target("c", directory.Ready)}}, never)
 			v = v.WithChanges(later, view.Changes{Revision: 8, List: []view.Change{view.TargetGone{ID: "c"}}}, never)
@@ -60,10 +60,10 @@
 	})
 }
 
-// TestTargetsNewerThanTheCopy guards against targets that are dropped at once because a
+// TestTargetsNewerThanTheCopy guards against targets that are removed at once because a
 // restored source does not list them yet.
 func TestTargetsNewerThanTheCopy(t *testing.T) {
-	convey.Convey("A target that the first list of a restored source lacks lapses, one that drains is gone", t, func() {
+	convey.Convey("A target that the first listing of a restored source lacks lapses, or is removed if it was draining", t, func() {
 		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{
 			target("a", directory.Ready), target("b", directory.Draining),
 		}}, never).WithSnapshot(now, afterRestore(), never)
@@ -73,32 +73,32 @@
 	})
 }
 
-// TestNewerCatalogOfAnOlderView guards against members that keep an older configuration
-// because the member that knows a newer one has not heard that the source came back.
+// TestNewerCatalogOfAnOlderView guards against members that keep an older catalog because the
+// member that knows a newer one has not learned of the restore of the source.
 func TestNewerCatalogOfAnOlderView(t *testing.T) {
 	known := func(v *view.View) {
 		convey.So(v.Version(), convey.ShouldEqual, 7)
 		convey.So(v.Revision, convey.ShouldEqual, view.NewRevision(1, 3))
 		shouldBeIn(directory.Ready, v, "a")
 	}
-	convey.Convey("Given a view of a restored source with an older configuration", t, func() {
+	convey.Convey("Given a view of a restored source with an older catalog", t, func() {
 		v := view.New().WithSnapshot(now, afterRestore(version(6), target("a", directory.Ready)), never)
-		convey.Convey("an older list gives its configuration alone", func() {
+		convey.Convey("only the catalog is taken from an older listing", func() {
 			older := view.Changes{Revision: 9, List: []view.Change{version(7), target("b", directory.Ready)}}
 			known(v.WithSnapshot(now, older, never))
-			convey.Convey("and none that is older still", func() {
+			convey.Convey("unless it is older than the one in force", func() {
 				known(v.WithSnapshot(now, older, never).WithSnapshot(now, view.Changes{Revision: 9, List: []view.Change{version(5)}}, never))
 			})
 		})
-		convey.Convey("so does an older delta", func() {
+		convey.Convey("only the catalog is taken from an older delta", func() {
 			c := version(7)
 			known(v.WithDelta(now, view.Delta{Since: v.Revision, Revision: 9, Catalog: &c, Gone: []string{"a"}}))
 		})
 	})
 }
 
-// TestEarlierLifeOfATarget guards against targets that are called as they were before they
-// started again, because a restored source lists their earlier life.
+// TestEarlierLifeOfATarget guards against calls to a restarted target at the address of its
+// earlier life, which a restored source still lists.
 func TestEarlierLifeOfATarget(t *testing.T) {
 	in := func(born int64) view.TargetChange {
 		return view.TargetChange{Target: directory.Target{ID: "a", Born: born, Service: "s", Address: fmt.Sprint("host:", born)}}
@@ -108,7 +108,7 @@
 		convey.So(known, convey.ShouldBeTrue)
 		convey.So(got.Born, convey.ShouldEqual, born)
 	}
-	convey.Convey("Given a target that started again after the copy", t, func() {
+	convey.Convey("Given a target that restarted after the copy was made", t, func() {
 		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{in(1)}}, never)
 		v = v.WithChanges(now, view.Changes{Revision: 6, List: []view.Change{in(2)}}, never)
 		v = v.WithSnapshot(now, afterRestore(in(1)), never)
@@ -117,12 +117,12 @@
 			shouldBeIn(directory.Lapsed, v, "a")
 			convey.So(v.WithTime(now.Add(view.LapseGrace)).Directory.All(), convey.ShouldBeEmpty)
 		})
-		convey.Convey("and is ready when it has", func() {
+		convey.Convey("and is ready when it has registered", func() {
 			v = v.WithChanges(now, view.Changes{Revision: view.NewRevision(1, 4), List: []view.Change{in(2)}}, never)
 			lives(v, 2)
 			shouldBeIn(directory.Ready, v, "a")
 		})
-		convey.Convey("as is a life that nobody knew", func() {
+		convey.Convey("as is a life that was not known before", func() {
 			v = v.WithChanges(now, view.Changes{Revision: view.NewRevision(1, 4), List: []view.Change{in(3)}}, never)
 			lives(v, 3)
 		})
--- a/internal/gateway/view/revision_test.go
+++ b/internal/gateway/view/revision_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRevision(t *testing.T) {
-	convey.Convey("A position orders by its epoch before its number", t, func() {
+	convey.Convey("Revisions order by epoch before number", t, func() {
 		before, after := view.NewRevision(1, 900), view.NewRevision(2, 3)
 		convey.So(after, convey.ShouldBeGreaterThan, before)
 		convey.So(after.Epoch(), convey.ShouldEqual, 2)
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -1,15 +1,17 @@
-// Package view holds what a node knows of the deployment: the catalog in force, the
-// directory of targets and the evacuated data centres, up to a revision of the source. It
-// decides what a change means and what changed since a revision. It does no input or
-// output and reads no clock; views are immutable and need no lock.
+// Package view holds a node's view of the deployment: the catalog in force, the directory of
+// targets and the evacuated data centres, up to a revision of the source. It defines how
+// changes are applied and reports what changed since a revision. It performs no I/O and reads
+// no clock; a View is immutable and needs no lock.
 //
-// The package owns the view of one node. It relies on the source, or on a member
-// that has read it, for the changes; while neither can be reached the view stays as it
-// is, and is used as it is. Within a node's life the catalog's version and the revision
-// never go back: an older list or delta is dropped. A target that vanishes while the
-// source is failing is used for LapseGrace more, since the source itself may have
-// lost it. A source may come back from an older copy; what it lists then goes before what
-// was known, but for an older catalog, targets that had left, and for a while evacuations.
+// Changes come from the source, or from a member that has read it. While neither can be
+// reached, the node keeps using the last view. The catalog version and the revision never
+// decrease while the node runs: older snapshots and deltas are dropped. A target that
+// disappears while the source is failing stays in use for LapseGrace, since the source itself
+// may have lost the entry.
+//
+// A source may be restored from an older copy of its data. What it lists then replaces what
+// the node knew, except for an older catalog, for targets that had already been removed and,
+// for a limited time, for evacuations.
 //
 // See docs/decisions/0011.
 package view
@@ -23,32 +25,33 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// LapseGrace is how long after the source's last outage a target that vanished is
-// still used. Targets register themselves again within two of their heartbeats, about
-// 2 s; a node that can read the source again learns soon afterwards who drains, so the
-// time counts from the outage and not from the change.
+// LapseGrace is how long after the source's last outage a target that disappeared stays in
+// use. Targets register again within two heartbeats, about 2 s. The time counts from the
+// outage and not from the change, since a node that can read the source again soon learns
+// which targets are draining.
 const LapseGrace = 2600 * time.Millisecond
 
-// Change is one change that the source reports.
+// Change is one change reported by the source.
 type Change interface{ isChange() }
 
-// CatalogChange is a new configuration.
+// CatalogChange is a new catalog.
 type CatalogChange struct {
 	Catalog *catalog.Catalog
-	// Document is the source's own text, in bytes as read, to pass on to members.
+	// Document is the configuration as read from the source, byte for byte. It is passed on
+	// to members.
 	Document []byte
 }
 
-// TargetChange is a target that was added or changed.
+// TargetChange adds or updates a target.
 type TargetChange struct {
 	Target directory.Target
-	// ColdFor is how much longer the target says that it stays cold; 0 for not cold. It
-	// counts from when the change is taken in, which is later than the target said it: the
-	// target is warm by then at the latest.
+	// ColdFor is how much longer the target stays cold by its own report; 0 if it is warm. It
+	// counts from when the change is applied. That is later than the report, so the target
+	// is warm by the end of it at the latest.
 	ColdFor time.Duration
 }
 
-// target returns the target as of now.
+// target returns the target with ColdUntil set from ColdFor.
 func (c TargetChange) target(now time.Time) directory.Target {
 	t := c.Target
 	if c.ColdFor > 0 {
@@ -57,16 +60,16 @@
 	return t
 }
 
-// TargetGone is a target that vanished.
+// TargetGone removes a target.
 type TargetGone struct{ ID string }
 
-// Rejected is an entry of the source that does not read; it is logged. A configuration
-// that does not read leaves the last one in force. A target's entry that does not read is
-// another writer's and names no target, so that the one which stood there is not used any
-// more.
+// Rejected is an entry of the source that cannot be decoded; it is logged. After an invalid
+// configuration the last valid one stays in force. An invalid target entry was written by
+// something other than a target and describes none, so the target that the entry described
+// before is removed.
 type Rejected struct {
 	Key, Reason string
-	// Target is the identity of the target whose entry it replaces; empty for other keys.
+	// Target is the ID of the target whose entry was overwritten; empty for other keys.
 	Target string
 }
 
@@ -75,34 +78,34 @@
 func (TargetGone) isChange()    {}
 func (Rejected) isChange()      {}
 
-// Changes are what the source reports up to a revision, in order.
+// Changes are the changes that the source reports up to a revision, in order.
 type Changes struct {
 	Revision Revision
 	List     []Change
 }
 
-// View is what is known. It is immutable.
+// View is a node's view of the deployment. It is immutable.
 type View struct {
-	// Revision is the position up to which changes are taken in; 0 for none.
+	// Revision is the revision up to which changes have been applied; 0 if none have.
 	Revision Revision
-	// Catalog is the configuration in force; nil for none.
+	// Catalog is the catalog in force; nil if there is none.
 	Catalog *catalog.Catalog
-	// Document is the source's own text of the catalog, to pass on to members.
+	// Document is the catalog as read from the source. It is passed on to members.
 	Document []byte
-	// Directory is the targets; never nil.
+	// Directory holds the targets; never nil.
 	Directory *directory.Directory
-	// Evacuations are the data centres that are, or were, evacuated.
+	// Evacuations holds the data centres that are, or were, evacuated.
 	Evacuations Evacuations
-	// history is what changed lately, up to Revision.
+	// history records the recent changes up to Revision.
 	history History
-	// departed are the targets that went lately.
+	// departed records the recently removed targets.
 	departed departures
 }
 
-// New returns the view of a node that knows nothing.
+// New returns an empty view.
 func New() *View { return &View{Directory: directory.New()} }
 
-// Version returns the version of the catalog in force; 0 for none.
+// Version returns the version of the catalog in force; 0 if there is none.
 func (v *View) Version() int64 {
 	if v.Catalog == nil {
 		return 0
@@ -110,8 +113,8 @@
 	return v.Catalog.Version
 }
 
-// Service returns what the catalog says of a service; one of which it says nothing has
-// its name alone.
+// Service returns a service from the catalog. A service that the catalog does not list has
+// only its name set.
 func (v *View) Service(name string) *catalog.Service {
 	if v.Catalog != nil {
 		if s := v.Catalog.Service(name); s != nil {
@@ -121,24 +124,24 @@
 	return &catalog.Service{Name: name}
 }
 
-// WithChanges returns the view with changes taken in. An older catalog than the one
-// in force is dropped. lastOutage is when the source last failed; zero for never. A
-// target that vanishes within LapseGrace of it counts as lapsed.
+// WithChanges returns the view with changes applied. A catalog that is not newer than the one
+// in force is dropped. lastOutage is when the source last failed; zero if it never did. A
+// target that disappears within LapseGrace of it lapses.
 func (v *View) WithChanges(now time.Time, ch Changes, lastOutage time.Time) *View {
 	targets := v.Directory.Edit()
 	return v.withChanges(targets, now, ch, lastOutage, false).withTargets(now, targets)
 }
 
-// withTargets returns a new view, which is the caller's own, with the directory that an edit
-// gives.
+// withTargets commits an edit of the directory to v and returns v, which must not be shared
+// yet.
 func (v *View) withTargets(now time.Time, targets *directory.Edit) *View {
 	v.Directory = targets.Directory()
 	v.departed = v.departed.with(now, targets.Removed())
 	return v
 }
 
-// withChanges returns the view with changes taken in; those of targets are only noted
-// in an edit. whole says that they are a list of all that the source holds.
+// withChanges returns the view with changes applied; changes to targets are only recorded in
+// the edit. whole reports whether the changes are a complete listing of the source.
 func (v *View) withChanges(targets *directory.Edit, now time.Time, ch Changes, lastOutage time.Time, whole bool) *View {
 	next := *v
 	evacuations := v.Evacuations
@@ -168,8 +171,8 @@
 	return &next
 }
 
-// withCatalog returns the view with a catalog, unless that is no newer than the one in
-// force: a restored source may list an older one.
+// withCatalog returns the view with a catalog, or v itself if the catalog is not newer than
+// the one in force: a restored source may list an older one.
 func (v *View) withCatalog(c CatalogChange) *View {
 	if v.Catalog != nil && c.Catalog.Version <= v.Catalog.Version {
 		return v
@@ -179,8 +182,8 @@
 	return &next
 }
 
-// withCatalogOf returns the view with the catalog alone of changes that do not follow on
-// it: a member that has not heard that the source came back may know a newer one.
+// withCatalogOf returns the view with only the catalog from changes that do not apply to its
+// revision: a member that has not learned of a restore of the source may know a newer catalog.
 func (v *View) withCatalogOf(ch Changes) *View {
 	for _, c := range ch.List {
 		if c, is := c.(CatalogChange); is {
@@ -190,10 +193,10 @@
 	return v
 }
 
-// WithSnapshot returns the view with the directory replaced by a whole list of the
-// source; targets that are not listed have vanished. A list that is older than the
-// view is dropped, but for a newer catalog. The first list of a restored source lacks
-// what is newer than its copy, as after an outage that ends now.
+// WithSnapshot returns the view with the directory replaced by a complete listing of the
+// source; targets that are not listed have disappeared. A listing older than the view is
+// dropped except for a newer catalog. The first listing of a restored source lacks whatever is
+// newer than its copy, so it counts as an outage that ends now.
 func (v *View) WithSnapshot(now time.Time, ch Changes, lastOutage time.Time) *View {
 	if ch.Revision < v.Revision {
 		return v.withCatalogOf(ch)
@@ -219,9 +222,9 @@
 	return next.withTargets(now, targets)
 }
 
-// WithTime returns the view at a time: without the lapsed targets whose grace is over, with
-// the returned ones ready whose time is over, and with disputed evacuations settled; the same
-// view when there are none.
+// WithTime returns the view as of a time: lapsed targets past their deadline are removed,
+// returned targets past theirs become ready, and disputed evacuations past theirs are
+// resolved. It returns v itself if nothing changed.
 func (v *View) WithTime(now time.Time) *View {
 	targets := v.Directory.Edit()
 	targets.Expire(now)
@@ -233,9 +236,9 @@
 	return &next
 }
 
-// removeTarget decides what becomes of a target that vanished: it has lapsed within
-// LapseGrace of an outage, and is gone otherwise. A wrong lapse sends calls to a
-// target that has left; a wrong removal leaves a service without targets that work.
+// removeTarget handles a target that disappeared: it lapses within LapseGrace of an outage,
+// and is removed otherwise. A wrong lapse sends calls to a target that has left; a wrong
+// removal takes working targets from a service.
 func removeTarget(targets *directory.Edit, now time.Time, id string, lastOutage time.Time) {
 	if until := lastOutage.Add(LapseGrace); !lastOutage.IsZero() && now.Before(until) {
 		targets.Lapse(id, until)
--- a/internal/gateway/view/view_test.go
+++ b/internal/gateway/view/view_test.go
@@ -26,32 +26,32 @@
 }
 
 func TestView(t *testing.T) {
-	convey.Convey("A configuration never goes back", t, func() {
+	convey.Convey("The catalog version never decreases", t, func() {
 		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{version(7)}}, time.Time{})
 		v = v.WithChanges(now, view.Changes{Revision: 6, List: []view.Change{version(6)}}, time.Time{})
 		convey.So(v.Version(), convey.ShouldEqual, 7)
 		convey.So(v.Revision, convey.ShouldEqual, 6)
 	})
-	convey.Convey("A whole list that is older than what is known is not taken", t, func() {
+	convey.Convey("A listing older than the view is dropped", t, func() {
 		v := view.New().WithChanges(now, view.Changes{Revision: 9, List: []view.Change{target("a", directory.Ready)}}, time.Time{})
 		v = v.WithSnapshot(now, view.Changes{Revision: 8}, time.Time{})
 		convey.So(v.Directory.Usable("a", now), convey.ShouldBeTrue)
 	})
-	convey.Convey("A target that vanishes long after the last outage is gone at once", t, func() {
+	convey.Convey("A target that disappears long after the last outage is removed at once", t, func() {
 		v := view.New().WithChanges(now, view.Changes{List: []view.Change{target("a", directory.Ready)}}, time.Time{})
 		v = v.WithChanges(now, view.Changes{List: []view.Change{view.TargetGone{ID: "a"}}}, now.Add(-time.Minute))
 		convey.So(v.Directory.Usable("a", now), convey.ShouldBeFalse)
 	})
-	convey.Convey("A target that vanishes soon after an outage of the source", t, func() {
+	convey.Convey("A target that disappears soon after an outage of the source", t, func() {
 		outage := now.Add(-time.Second)
 		v := view.New().WithChanges(now, view.Changes{List: []view.Change{target("a", directory.Ready), target("b", directory.Draining)}}, time.Time{})
 		v = v.WithSnapshot(now, view.Changes{Revision: 1}, outage)
-		convey.Convey("is used until it has had time to register again, counted from the outage", func() {
+		convey.Convey("stays in use until it has had time to register again, counted from the outage", func() {
 			convey.So(v.Directory.Usable("a", now), convey.ShouldBeTrue)
 			convey.So(v.Directory.Usable("a", outage.Add(view.LapseGrace)), convey.ShouldBeFalse)
 			convey.So(v.WithTime(outage.Add(view.LapseGrace)).Directory.Service("s"), convey.ShouldBeEmpty)
 		})
-		convey.Convey("is gone when it was draining", func() {
+		convey.Convey("is removed if it was draining", func() {
 			convey.So(v.Directory.Usable("b", now), convey.ShouldBeFalse)
 		})
 		convey.Convey("is ready again when it is listed again", func() {
@@ -69,7 +69,7 @@
 	}
 	leaving := view.Changes{Revision: 7, List: []view.Change{target("a", directory.Draining), target("c", directory.Ready)}}
 	gone := view.Changes{Revision: 9, List: []view.Change{view.TargetGone{ID: "a"}}}
-	convey.Convey("A member that is behind gets what changed, as it stands now", t, func() {
+	convey.Convey("A delta brings a member that is behind up to date", t, func() {
 		behind, ahead := known(), known().WithChanges(now, leaving, time.Time{}).WithChanges(now, gone, time.Time{})
 		d, ok := ahead.DeltaSince(behind.Revision)
 		convey.So(ok, convey.ShouldBeTrue)
@@ -78,25 +78,25 @@
 		caughtUp := behind.WithDelta(now, d)
 		convey.So(caughtUp.Revision, convey.ShouldEqual, 9)
 		convey.So(caughtUp.Directory.All(), convey.ShouldResemble, ahead.Directory.All())
-		convey.Convey("and can send it to others in turn", func() {
+		convey.Convey("and the member can send a delta in turn", func() {
 			again, ok := caughtUp.DeltaSince(5)
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(known().WithDelta(now, again).Directory.All(), convey.ShouldResemble, ahead.Directory.All())
 		})
 	})
-	convey.Convey("A delta for another revision than the view's is not taken", t, func() {
+	convey.Convey("A delta for another revision than the view's is dropped", t, func() {
 		d, _ := known().WithChanges(now, leaving, time.Time{}).DeltaSince(5)
 		later := known().WithChanges(now, view.Changes{Revision: 6, List: []view.Change{view.TargetGone{ID: "b"}}}, time.Time{})
 		convey.So(later.WithDelta(now, d), convey.ShouldEqual, later)
 	})
-	convey.Convey("Changes without targets leave nothing out", t, func() {
+	convey.Convey("Changes without targets keep the history complete", t, func() {
 		v := known().WithChanges(now, leaving, time.Time{}).WithChanges(now, view.Changes{Revision: 8}, time.Time{})
 		d, ok := v.DeltaSince(5)
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(d.Revision, convey.ShouldEqual, 8)
 		convey.So(d.Targets, convey.ShouldHaveLength, 2)
 	})
-	convey.Convey("What is not remembered is not sent", t, func() {
+	convey.Convey("There is no delta for a revision that the history does not cover", t, func() {
 		_, ok := known().DeltaSince(4)
 		convey.So(ok, convey.ShouldBeFalse)
 		v := known()
