--- a/internal/gateway/view/evacuation.go
+++ b/internal/gateway/view/evacuation.go
@@ -30,8 +30,8 @@
 	Since time.Time
 }
 
-// withOrder returns the evacuation with OrderedAt set if it is active.
-func (e Evacuation) withOrder() Evacuation {
+// withOrderedAt returns the evacuation with OrderedAt set if it is active.
+func (e Evacuation) withOrderedAt() Evacuation {
 	if e.Active {
 		e.OrderedAt = e.Revision
 	}
@@ -53,19 +53,19 @@
 type Evacuations struct{ byDataCentre map[string]Evacuation }
 
 // With returns the evacuations with a report applied, unless it is older than what is known of
-// its data centre; listed is as for Evacuation.followedBy. From a report that is already
+// its data centre; listed is as for Evacuation.supersededBy. From a report that is already
 // known, only a new dispute is taken.
 func (e Evacuations) With(n Evacuation, listed bool) Evacuations {
-	known, is := e.byDataCentre[n.DataCentre]
+	known, exists := e.byDataCentre[n.DataCentre]
 	switch {
-	case !is:
-		return e.with(n.withOrder())
+	case !exists:
+		return e.with(n.withOrderedAt())
 	case n.Revision == known.Revision && n.DisputedAt > known.DisputedAt:
-		return e.with(known.disputed(n.DisputedAt, n.HoldsUntil))
+		return e.with(known.withDispute(n.DisputedAt, n.HoldsUntil))
 	case n.Revision <= max(known.Revision, known.DisputedAt):
 		return e
 	}
-	return e.with(known.followedBy(n.withOrder(), listed))
+	return e.with(known.supersededBy(n.withOrderedAt(), listed))
 }
 
 // with returns the evacuations with the entry of one data centre replaced.
@@ -87,26 +87,26 @@
 }
 
 // ActiveCount returns how many data centres are evacuated.
-func (e Evacuations) ActiveCount() int { return len(e.active()) }
+func (e Evacuations) ActiveCount() int { return len(e.activeDataCentres()) }
 
-// active returns the set of evacuated data centres.
-func (e Evacuations) active() map[string]bool {
-	list := make(map[string]bool)
+// activeDataCentres returns the set of evacuated data centres.
+func (e Evacuations) activeDataCentres() map[string]bool {
+	set := make(map[string]bool)
 	for dataCentre, known := range e.byDataCentre {
 		if known.Active {
-			list[dataCentre] = true
+			set[dataCentre] = true
 		}
 	}
-	return list
+	return set
 }
 
-// withListed returns the evacuations after a complete listing of the source at a revision: an
-// evacuation that is not listed was lifted. What is known from a later revision stays, and an
-// evacuation that a restored source does not list stays active for evacuationHold.
-func (e Evacuations) withListed(now time.Time, ch Changes) Evacuations {
+// withSnapshot returns the evacuations after a complete listing of the source at a revision:
+// an evacuation that is not listed was lifted. What is known from a later revision stays, and
+// an evacuation that a restored source does not list stays active for evacuationGrace.
+func (e Evacuations) withSnapshot(now time.Time, ch Changes) Evacuations {
 	listed := make(map[string]bool)
 	for _, c := range ch.List {
-		if c, is := c.(EvacuationChange); is {
+		if c, ok := c.(EvacuationChange); ok {
 			listed[c.DataCentre] = true
 		}
 	}
@@ -114,7 +114,7 @@
 		switch {
 		case listed[dataCentre]:
 		case known.Active && ch.Revision.IsRestoredSince(known.Revision):
-			e = e.with(known.disputed(ch.Revision, now.Add(evacuationHold)))
+			e = e.with(known.withDispute(ch.Revision, now.Add(evacuationGrace)))
 		case known.Active || !known.HoldsUntil.IsZero():
 			e = e.With(Evacuation{DataCentre: dataCentre, Revision: ch.Revision, Since: now}, true)
 		}
@@ -122,15 +122,15 @@
 	return e
 }
 
-// withEvacuations replaces the evacuations of v, which must not be shared yet, and records in
+// setEvacuations replaces the evacuations of v, which must not be shared yet, and records in
 // the edit which targets take new work. Targets of a data centre whose evacuation was lifted
 // may have become cold without having reported it yet, so they count as cold for their
 // warm-up time. Otherwise a node that learns of the lift first, for example from a member
 // while the source is slow, would send them the load of warm targets.
-func (v *View) withEvacuations(targets *directory.Edit, now time.Time, next Evacuations) {
+func (v *View) setEvacuations(targets *directory.Edit, now time.Time, next Evacuations) {
 	before := v.Evacuations
 	v.Evacuations = next
-	targets.Evacuate(next.active())
+	targets.Evacuate(next.activeDataCentres())
 	for dataCentre, known := range next.byDataCentre {
 		if before.Of(dataCentre).Active && !known.Active {
 			targets.WarmUp(now, dataCentre, v.warmUpTime)
--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -7,14 +7,14 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// maxHistory bounds the reports of changes that a History keeps. A member that is further
-// behind gets the whole view. At four reports a second, the maximum rate, the history covers
-// two minutes.
-const maxHistory = 512
+// maxHistoryReports bounds the reports of changes that a History keeps. A member that is
+// further behind gets the whole view. At four reports a second, the maximum rate, the history
+// covers two minutes.
+const maxHistoryReports = 512
 
-// changed holds the IDs of the targets that changed in one report, and the revision of the
-// report.
-type changed struct {
+// changeReport holds the IDs of the targets that changed in one report, and the revision of
+// the report.
+type changeReport struct {
 	revision Revision
 	ids      []string
 }
@@ -25,7 +25,7 @@
 	// from and until are the revisions between which all changes are recorded; 0 if none
 	// are.
 	from, until Revision
-	reports     []changed
+	reports     []changeReport
 }
 
 // newHistory returns a history of the changes after a revision.
@@ -38,7 +38,7 @@
 		return h
 	}
 	h.until = ch.Revision
-	report := changed{revision: ch.Revision}
+	report := changeReport{revision: ch.Revision}
 	for _, c := range ch.List {
 		switch c := c.(type) {
 		case TargetChange:
@@ -56,7 +56,7 @@
 		return h
 	}
 	h.reports = append(slices.Clip(h.reports), report)
-	if n := len(h.reports) - maxHistory; n > 0 {
+	if n := len(h.reports) - maxHistoryReports; n > 0 {
 		h.from = h.reports[n-1].revision
 		h.reports = h.reports[n:]
 	}
@@ -118,7 +118,7 @@
 func (v *View) WithDelta(now time.Time, d Delta) *View {
 	ch := d.Changes()
 	if d.Since != v.Revision || d.Revision <= v.Revision {
-		return v.withCatalogOf(ch)
+		return v.withCatalogFrom(ch)
 	}
 	// The member has already decided which targets lapse; the others are removed here too.
 	return v.WithChanges(now, ch, time.Time{})
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -98,8 +98,8 @@
 	Evacuations Evacuations
 	// history records the recent changes up to Revision.
 	history History
-	// departed records the recently removed targets.
-	departed departures
+	// tombstones records the recently removed targets.
+	tombstones tombstones
 }
 
 // New returns an empty view.
@@ -129,20 +129,20 @@
 // target that disappears within LapseGrace of it lapses.
 func (v *View) WithChanges(now time.Time, ch Changes, lastOutage time.Time) *View {
 	targets := v.Directory.Edit()
-	return v.withChanges(targets, now, ch, lastOutage, false).withTargets(now, targets)
+	return v.applyChanges(targets, now, ch, lastOutage, false).commitTargets(now, targets)
 }
 
-// withTargets commits an edit of the directory to v and returns v, which must not be shared
+// commitTargets commits an edit of the directory to v and returns v, which must not be shared
 // yet.
-func (v *View) withTargets(now time.Time, targets *directory.Edit) *View {
+func (v *View) commitTargets(now time.Time, targets *directory.Edit) *View {
 	v.Directory = targets.Directory()
-	v.departed = v.departed.with(now, targets.Removed())
+	v.tombstones = v.tombstones.with(now, targets.Removed())
 	return v
 }
 
-// withChanges returns the view with changes applied; changes to targets are only recorded in
-// the edit. whole reports whether the changes are a complete listing of the source.
-func (v *View) withChanges(targets *directory.Edit, now time.Time, ch Changes, lastOutage time.Time, whole bool) *View {
+// applyChanges returns the view with changes applied; changes to targets are only recorded in
+// the edit. isSnapshot reports whether the changes are a complete listing of the source.
+func (v *View) applyChanges(targets *directory.Edit, now time.Time, ch Changes, lastOutage time.Time, isSnapshot bool) *View {
 	next := *v
 	evacuations := v.Evacuations
 	restored := ch.Revision.IsRestoredSince(v.Revision)
@@ -153,19 +153,19 @@
 		case TargetChange:
 			t := c.target(now)
 			if restored && !v.Directory.Lives(t.Life()) {
-				t = v.departed.returning(now, t, v.Directory)
+				t = v.tombstones.relisted(now, t, v.Directory)
 			}
 			targets.Put(t)
 		case TargetGone:
 			removeTarget(targets, now, c.ID, lastOutage)
 		case EvacuationChange:
 			c.Since = now
-			evacuations = evacuations.With(c.Evacuation, whole || c.From != "")
+			evacuations = evacuations.With(c.Evacuation, isSnapshot || c.From != "")
 		case Rejected:
 			targets.Remove(c.Target)
 		}
 	}
-	next.withEvacuations(targets, now, evacuations)
+	next.setEvacuations(targets, now, evacuations)
 	next.Revision = max(next.Revision, ch.Revision)
 	next.history = next.history.With(ch)
 	return &next
@@ -182,11 +182,11 @@
 	return &next
 }
 
-// withCatalogOf returns the view with only the catalog from changes that do not apply to its
+// withCatalogFrom returns the view with only the catalog from changes that do not apply to its
 // revision: a member that has not learned of a restore of the source may know a newer catalog.
-func (v *View) withCatalogOf(ch Changes) *View {
+func (v *View) withCatalogFrom(ch Changes) *View {
 	for _, c := range ch.List {
-		if c, is := c.(CatalogChange); is {
+		if c, ok := c.(CatalogChange); ok {
 			v = v.withCatalog(c)
 		}
 	}
@@ -199,7 +199,7 @@
 // newer than its copy, so it counts as an outage that ends now.
 func (v *View) WithSnapshot(now time.Time, ch Changes, lastOutage time.Time) *View {
 	if ch.Revision < v.Revision {
-		return v.withCatalogOf(ch)
+		return v.withCatalogFrom(ch)
 	}
 	if ch.Revision.IsRestoredSince(v.Revision) {
 		lastOutage = now
@@ -211,15 +211,15 @@
 		}
 	}
 	targets := v.Directory.Edit()
-	next := v.withChanges(targets, now, ch, lastOutage, true)
-	next.withEvacuations(targets, now, next.Evacuations.withListed(now, ch))
+	next := v.applyChanges(targets, now, ch, lastOutage, true)
+	next.setEvacuations(targets, now, next.Evacuations.withSnapshot(now, ch))
 	for _, id := range slices.Collect(maps.Keys(targets.All())) {
 		if !listed[id] {
 			removeTarget(targets, now, id, lastOutage)
 		}
 	}
 	next.history = newHistory(next.Revision)
-	return next.withTargets(now, targets)
+	return next.commitTargets(now, targets)
 }
 
 // WithTime returns the view as of a time: lapsed targets past their deadline are removed,
@@ -229,8 +229,8 @@
 	targets := v.Directory.Edit()
 	targets.Expire(now)
 	next := *v
-	next.withEvacuations(targets, now, v.Evacuations.withTime(now))
-	if next.withTargets(now, targets); next.Directory == v.Directory {
+	next.setEvacuations(targets, now, v.Evacuations.withTime(now))
+	if next.commitTargets(now, targets); next.Directory == v.Directory {
 		return v
 	}
 	return &next
