--- a/internal/gateway/view/evacuation_test.go
+++ b/internal/gateway/view/evacuation_test.go
@@ -13,8 +13,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
-// never is the last outage of a source that never failed.
-var never time.Time
+// noOutage is the time of the last outage of a source that never failed.
+var noOutage time.Time
 
 // warmUp is the warm-up time of the targets in these tests.
 const warmUp = 3 * time.Second
@@ -41,11 +41,11 @@
 func twoDataCentres() *view.View {
 	return view.New().WithSnapshot(now, view.Changes{Revision: 5, List: []view.Change{
 		coldCatalog(), targetIn("a", "d1"), targetIn("b", "d2"),
-	}}, never)
+	}}, noOutage)
 }
 
-func after(v *view.View, revision view.Revision, list ...view.Change) *view.View {
-	return v.WithChanges(now, view.Changes{Revision: revision, List: list}, never)
+func withChanges(v *view.View, revision view.Revision, list ...view.Change) *view.View {
+	return v.WithChanges(now, view.Changes{Revision: revision, List: list}, noOutage)
 }
 
 func shouldUse(v *view.View, target string) {
@@ -58,19 +58,19 @@
 
 func TestEvacuation(t *testing.T) {
 	convey.Convey("The targets of an evacuated data centre take no new work, others do", t, func() {
-		v := after(twoDataCentres(), 6, evacuation("d1", true, 6))
+		v := withChanges(twoDataCentres(), 6, evacuation("d1", true, 6))
 		shouldNotUse(v, "a")
 		shouldUse(v, "b")
 		convey.Convey("nor do those that are listed there later", func() {
-			shouldNotUse(after(v, 7, targetIn("c", "d1")), "c")
-			shouldNotUse(after(v, 7, targetIn("a", "d1")), "a")
+			shouldNotUse(withChanges(v, 7, targetIn("c", "d1")), "c")
+			shouldNotUse(withChanges(v, 7, targetIn("a", "d1")), "a")
 		})
 		convey.Convey("until the evacuation is lifted", func() {
-			shouldUse(after(v, 7, evacuation("d1", false, 7)), "a")
+			shouldUse(withChanges(v, 7, evacuation("d1", false, 7)), "a")
 		})
 		convey.Convey("when one report lifts the evacuation and orders it again", func() {
-			shouldNotUse(after(v, 8, evacuation("d1", false, 7), evacuation("d1", true, 8)), "a")
-			shouldUse(after(v, 9, evacuation("d1", false, 7), evacuation("d1", true, 8), evacuation("d1", false, 9)), "a")
+			shouldNotUse(withChanges(v, 8, evacuation("d1", false, 7), evacuation("d1", true, 8)), "a")
+			shouldUse(withChanges(v, 9, evacuation("d1", false, 7), evacuation("d1", true, 8), evacuation("d1", false, 9)), "a")
 		})
 		convey.Convey("nor do those that lapsed during an outage of the source", func() {
 			v = v.WithChanges(now, view.Changes{Revision: 7, List: []view.Change{view.TargetGone{ID: "a"}}}, now)
@@ -78,39 +78,39 @@
 		})
 	})
 	convey.Convey("A report older than what is known changes nothing", t, func() {
-		v := after(twoDataCentres(), 9, evacuation("d1", true, 6), evacuation("d1", false, 9))
-		shouldUse(after(v, 9, evacuation("d1", true, 6)), "a")
-		v = after(v, 10, evacuation("d1", true, 10))
-		shouldNotUse(after(v, 10, evacuation("d1", false, 9)), "a")
+		v := withChanges(twoDataCentres(), 9, evacuation("d1", true, 6), evacuation("d1", false, 9))
+		shouldUse(withChanges(v, 9, evacuation("d1", true, 6)), "a")
+		v = withChanges(v, 10, evacuation("d1", true, 10))
+		shouldNotUse(withChanges(v, 10, evacuation("d1", false, 9)), "a")
 	})
 	convey.Convey("A complete listing lifts the evacuations that it lacks", t, func() {
-		v := after(twoDataCentres(), 6, evacuation("d1", true, 6), evacuation("d2", true, 6))
+		v := withChanges(twoDataCentres(), 6, evacuation("d1", true, 6), evacuation("d2", true, 6))
 		v = v.WithSnapshot(now, view.Changes{Revision: 8, List: []view.Change{
 			targetIn("a", "d1"), targetIn("b", "d2"), evacuation("d2", true, 6),
-		}}, never)
+		}}, noOutage)
 		shouldUse(v, "a")
 		shouldNotUse(v, "b")
 		convey.Convey("but not one that was ordered after the listing was read", func() {
-			v = after(v, 12, evacuation("d1", true, 12))
-			shouldNotUse(v.WithSnapshot(now, view.Changes{Revision: 11}, never), "a")
+			v = withChanges(v, 12, evacuation("d1", true, 12))
+			shouldNotUse(v.WithSnapshot(now, view.Changes{Revision: 11}, noOutage), "a")
 		})
 	})
 	convey.Convey("A starting node learns of evacuations from its first listing", t, func() {
 		v := view.New().WithSnapshot(now, view.Changes{Revision: 5, List: []view.Change{
 			coldCatalog(), evacuation("d1", true, 3), targetIn("a", "d1"),
-		}}, never)
+		}}, noOutage)
 		shouldNotUse(v, "a")
 	})
 	convey.Convey("A delta contains evacuations even if no target changed", t, func() {
-		ahead := after(twoDataCentres(), 6, evacuation("d1", true, 6))
+		ahead := withChanges(twoDataCentres(), 6, evacuation("d1", true, 6))
 		d, known := ahead.DeltaSince(5)
 		convey.So(known, convey.ShouldBeTrue)
 		shouldNotUse(twoDataCentres().WithDelta(now, d), "a")
 	})
 	convey.Convey("A service counts as evacuated only when none of its targets takes new work", t, func() {
-		v := after(twoDataCentres(), 6, evacuation("d1", true, 6))
+		v := withChanges(twoDataCentres(), 6, evacuation("d1", true, 6))
 		convey.So(v.Directory.AllEvacuated("s"), convey.ShouldBeFalse)
-		v = after(v, 7, evacuation("d2", true, 7))
+		v = withChanges(v, 7, evacuation("d2", true, 7))
 		convey.So(v.Directory.AllEvacuated("s"), convey.ShouldBeTrue)
 		convey.So(v.Directory.AllEvacuated("unknown"), convey.ShouldBeFalse)
 	})
@@ -121,21 +121,21 @@
 func TestEvacuationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		centres := []string{"d1", "d2"}
-		var news []view.EvacuationChange
+		var reports []view.EvacuationChange
 		newest := map[string]bool{}
 		for i := range rapid.IntRange(1, 8).Draw(t, "changes") {
 			dc := rapid.SampledFrom(centres).Draw(t, "data centre")
 			newest[dc] = rapid.Bool().Draw(t, "active")
-			news = append(news, evacuation(dc, newest[dc], view.Revision(6+i)))
+			reports = append(reports, evacuation(dc, newest[dc], view.Revision(6+i)))
 		}
-		heard := rapid.Permutation(append(news, news...)).Draw(t, "heard")
+		delivered := rapid.Permutation(append(reports, reports...)).Draw(t, "delivered")
 		v := twoDataCentres()
-		for _, n := range heard {
-			v = after(v, n.Revision, n)
+		for _, r := range delivered {
+			v = withChanges(v, r.Revision, r)
 		}
 		for target, dc := range map[string]string{"a": "d1", "b": "d2"} {
 			if v.Directory.Usable(target, now) == newest[dc] {
-				t.Fatalf("%s: evacuated = %v, want %v, after %v", dc, !newest[dc], newest[dc], heard)
+				t.Fatalf("%s: evacuated = %v, want %v, after %v", dc, !newest[dc], newest[dc], delivered)
 			}
 		}
 	})
@@ -149,20 +149,20 @@
 	convey.Convey("A target is cold for as long as it reports", t, func() {
 		c := targetIn("a", "d1")
 		c.ColdFor = time.Second
-		v := after(twoDataCentres(), 6, c)
+		v := withChanges(twoDataCentres(), 6, c)
 		convey.So(coldUntil(v, "a"), convey.ShouldEqual, now.Add(time.Second))
 		convey.Convey("also when it is listed again as warm", func() {
-			convey.So(coldUntil(after(v, 7, targetIn("a", "d1")), "a"), convey.ShouldEqual, now.Add(time.Second))
+			convey.So(coldUntil(withChanges(v, 7, targetIn("a", "d1")), "a"), convey.ShouldEqual, now.Add(time.Second))
 		})
 	})
 	convey.Convey("After an evacuation is lifted, its targets count as cold for their warm-up time", t, func() {
-		v := after(twoDataCentres(), 6, evacuation("d1", true, 6))
+		v := withChanges(twoDataCentres(), 6, evacuation("d1", true, 6))
 		convey.So(coldUntil(v, "a"), convey.ShouldBeZeroValue)
-		v = after(v, 7, evacuation("d1", false, 7))
+		v = withChanges(v, 7, evacuation("d1", false, 7))
 		convey.So(coldUntil(v, "a"), convey.ShouldEqual, now.Add(warmUp))
 		convey.So(coldUntil(v, "b"), convey.ShouldBeZeroValue)
 		convey.Convey("also when a complete listing shows the lift", func() {
-			v := after(twoDataCentres(), 6, evacuation("d1", true, 6)).WithSnapshot(now, view.Changes{Revision: 8, List: []view.Change{targetIn("a", "d1")}}, never)
+			v := withChanges(twoDataCentres(), 6, evacuation("d1", true, 6)).WithSnapshot(now, view.Changes{Revision: 8, List: []view.Change{targetIn("a", "d1")}}, noOutage)
 			convey.So(coldUntil(v, "a"), convey.ShouldEqual, now.Add(warmUp))
 		})
 	})
--- a/internal/gateway/view/view_test.go
+++ b/internal/gateway/view/view_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Unix(1000, 0)
 
-func version(n int64) view.CatalogChange {
+func catalogVersion(n int64) view.CatalogChange {
 	c, err := catalog.New(n, nil, nil, nil, catalog.Limits{})
 	if err != nil {
 		panic(err)
@@ -27,8 +27,8 @@
 
 func TestView(t *testing.T) {
 	convey.Convey("The catalog version never decreases", t, func() {
-		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{version(7)}}, time.Time{})
-		v = v.WithChanges(now, view.Changes{Revision: 6, List: []view.Change{version(6)}}, time.Time{})
+		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{catalogVersion(7)}}, time.Time{})
+		v = v.WithChanges(now, view.Changes{Revision: 6, List: []view.Change{catalogVersion(6)}}, time.Time{})
 		convey.So(v.Version(), convey.ShouldEqual, 7)
 		convey.So(v.Revision, convey.ShouldEqual, 6)
 	})
@@ -62,15 +62,15 @@
 }
 
 func TestDelta(t *testing.T) {
-	known := func() *view.View {
+	base := func() *view.View {
 		return view.New().WithSnapshot(now, view.Changes{Revision: 5, List: []view.Change{
-			version(1), target("a", directory.Ready), target("b", directory.Ready),
+			catalogVersion(1), target("a", directory.Ready), target("b", directory.Ready),
 		}}, time.Time{})
 	}
-	leaving := view.Changes{Revision: 7, List: []view.Change{target("a", directory.Draining), target("c", directory.Ready)}}
-	gone := view.Changes{Revision: 9, List: []view.Change{view.TargetGone{ID: "a"}}}
+	update := view.Changes{Revision: 7, List: []view.Change{target("a", directory.Draining), target("c", directory.Ready)}}
+	removal := view.Changes{Revision: 9, List: []view.Change{view.TargetGone{ID: "a"}}}
 	convey.Convey("A delta brings a member that is behind up to date", t, func() {
-		behind, ahead := known(), known().WithChanges(now, leaving, time.Time{}).WithChanges(now, gone, time.Time{})
+		behind, ahead := base(), base().WithChanges(now, update, time.Time{}).WithChanges(now, removal, time.Time{})
 		d, ok := ahead.DeltaSince(behind.Revision)
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(d.Gone, convey.ShouldResemble, []string{"a"})
@@ -81,25 +81,25 @@
 		convey.Convey("and the member can send a delta in turn", func() {
 			again, ok := caughtUp.DeltaSince(5)
 			convey.So(ok, convey.ShouldBeTrue)
-			convey.So(known().WithDelta(now, again).Directory.All(), convey.ShouldResemble, ahead.Directory.All())
+			convey.So(base().WithDelta(now, again).Directory.All(), convey.ShouldResemble, ahead.Directory.All())
 		})
 	})
 	convey.Convey("A delta for another revision than the view's is dropped", t, func() {
-		d, _ := known().WithChanges(now, leaving, time.Time{}).DeltaSince(5)
-		later := known().WithChanges(now, view.Changes{Revision: 6, List: []view.Change{view.TargetGone{ID: "b"}}}, time.Time{})
+		d, _ := base().WithChanges(now, update, time.Time{}).DeltaSince(5)
+		later := base().WithChanges(now, view.Changes{Revision: 6, List: []view.Change{view.TargetGone{ID: "b"}}}, time.Time{})
 		convey.So(later.WithDelta(now, d), convey.ShouldEqual, later)
 	})
 	convey.Convey("Changes without targets keep the history complete", t, func() {
-		v := known().WithChanges(now, leaving, time.Time{}).WithChanges(now, view.Changes{Revision: 8}, time.Time{})
+		v := base().WithChanges(now, update, time.Time{}).WithChanges(now, view.Changes{Revision: 8}, time.Time{})
 		d, ok := v.DeltaSince(5)
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(d.Revision, convey.ShouldEqual, 8)
 		convey.So(d.Targets, convey.ShouldHaveLength, 2)
 	})
 	convey.Convey("There is no delta for a revision that the history does not cover", t, func() {
-		_, ok := known().DeltaSince(4)
+		_, ok := base().DeltaSince(4)
 		convey.So(ok, convey.ShouldBeFalse)
-		v := known()
+		v := base()
 		for i := range 600 {
 			v = v.WithChanges(now, view.Changes{Revision: view.Revision(6 + i), List: []view.Change{target("a", directory.Ready)}}, time.Time{})
 		}
