--- a/internal/gateway/gossipcodec/gossipcodec.go
+++ b/internal/gateway/gossipcodec/gossipcodec.go
@@ -43,19 +43,19 @@
 // Field numbers of message.GossipMember in the compact format. Integers are varints, and 0 is
 // omitted.
 const (
-	// fieldHost is the member's address: the bytes of the IP address, then the port in two
-	// bytes, big-endian.
-	fieldHost        protowire.Number = 1
-	fieldIncarnation protowire.Number = 2
-	fieldBeat        protowire.Number = 3
-	fieldVersion     protowire.Number = 4
-	fieldRevision    protowire.Number = 5
-	fieldCapacity    protowire.Number = 6
-	// fieldFlags is a bit set of the flags below.
-	fieldFlags protowire.Number = 7
+	// fieldMemberAddress is the member's address: the bytes of the IP address, then the port
+	// in two bytes, big-endian.
+	fieldMemberAddress     protowire.Number = 1
+	fieldMemberIncarnation protowire.Number = 2
+	fieldMemberBeat        protowire.Number = 3
+	fieldMemberVersion     protowire.Number = 4
+	fieldMemberRevision    protowire.Number = 5
+	fieldMemberCapacity    protowire.Number = 6
+	// fieldMemberFlags is a bit set of the flags below.
+	fieldMemberFlags protowire.Number = 7
 )
 
-// Bits of fieldFlags, one for each boolean of message.GossipMember.
+// Bits of fieldMemberFlags, one for each boolean of message.GossipMember.
 const (
 	flagLeaving = 1 << iota
 	flagServing
@@ -64,18 +64,18 @@
 	flagEpochs
 )
 
-// jsonType is the media type of the JSON format, which every member accepts.
-const jsonType = "application/json"
+// jsonMediaType is the media type of the JSON format, which every member accepts.
+const jsonMediaType = "application/json"
 
 // Encode encodes a gossip message in the compact format or in JSON and returns its media type.
 // The compact format fails for an address that is not an IP address and port.
 func Encode(g message.Gossip, compact bool) (body []byte, mediaType string, err error) {
 	if compact {
-		body, err = appendGossip(g)
+		body, err = marshalCompact(g)
 		return body, CompactType, err
 	}
 	body, err = json.Marshal(g)
-	return body, jsonType, err
+	return body, jsonMediaType, err
 }
 
 // Decode reads a gossip message of a media type; any type but CompactType is taken for JSON.
@@ -85,47 +85,47 @@
 		return message.Gossip{}, err
 	}
 	if mediaType == CompactType {
-		return readGossip(body)
+		return unmarshalCompact(body)
 	}
 	var g message.Gossip
 	err = json.Unmarshal(body, &g)
 	return g, err
 }
 
-// portBytes is the size of the port that follows the IP address in fieldHost.
+// portBytes is the size of the port that follows the IP address in fieldMemberAddress.
 const portBytes = 2
 
-var errCompactGossip = errors.New("malformed compact gossip message")
+var errMalformed = errors.New("malformed compact gossip message")
 
-// appendGossip encodes a gossip message in the compact format. It fails for an address that is
-// not an IP address and port.
-func appendGossip(g message.Gossip) ([]byte, error) {
-	var out, one []byte
+// marshalCompact encodes a gossip message in the compact format. It fails for an address that
+// is not an IP address and port.
+func marshalCompact(g message.Gossip) ([]byte, error) {
+	var out, member []byte
 	for _, m := range g.Members {
-		host, err := hostBytes(m.Address)
+		address, err := marshalAddress(m.Address)
 		if err != nil {
 			return nil, err
 		}
-		one = appendBytes(one[:0], fieldHost, host)
+		member = appendBytes(member[:0], fieldMemberAddress, address)
 		for _, f := range []struct {
 			number protowire.Number
 			value  int
 		}{
-			{fieldIncarnation, m.Incarnation},
-			{fieldBeat, m.Beat},
-			{fieldVersion, m.Version},
-			{fieldRevision, m.Revision},
-			{fieldCapacity, m.Capacity},
-			{fieldFlags, flagsOf(m)},
+			{fieldMemberIncarnation, m.Incarnation},
+			{fieldMemberBeat, m.Beat},
+			{fieldMemberVersion, m.Version},
+			{fieldMemberRevision, m.Revision},
+			{fieldMemberCapacity, m.Capacity},
+			{fieldMemberFlags, memberFlags(m)},
 		} {
-			one = appendNumber(one, f.number, f.value)
+			member = appendVarint(member, f.number, f.value)
 		}
-		out = appendBytes(out, fieldMember, one)
+		out = appendBytes(out, fieldMember, member)
 	}
 	return appendLimits(appendSuspects(out, g), g.Limits), nil
 }
 
-func hostBytes(address string) ([]byte, error) {
+func marshalAddress(address string) ([]byte, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -133,36 +133,36 @@
 	return binary.BigEndian.AppendUint16(a.Addr().AsSlice(), a.Port()), nil
 }
 
-func flagsOf(m message.GossipMember) int {
+func memberFlags(m message.GossipMember) int {
 	flags := 0
 	for _, f := range []struct {
-		is   bool
+		set  bool
 		flag int
 	}{{m.Leaving, flagLeaving}, {m.Serving, flagServing}, {m.Hears, flagHears}, {m.Compact, flagCompact}, {m.Epochs, flagEpochs}} {
-		if f.is {
+		if f.set {
 			flags |= f.flag
 		}
 	}
 	return flags
 }
 
-// readGossip decodes a gossip message in the compact format.
-func readGossip(b []byte) (message.Gossip, error) {
+// unmarshalCompact decodes a gossip message in the compact format.
+func unmarshalCompact(b []byte) (message.Gossip, error) {
 	g := message.Gossip{Members: []message.GossipMember{}}
-	err := eachField(b, func(number protowire.Number, value []byte, _ uint64) error {
+	err := forEachField(b, func(number protowire.Number, value []byte, _ uint64) error {
 		switch number {
 		case fieldMember:
-			m, err := readMember(value)
+			m, err := unmarshalMember(value)
 			g.Members = append(g.Members, m)
 			return err
 		case fieldSuspect:
-			q, err := readSuspect(value)
+			q, err := unmarshalSuspect(value)
 			g.Suspects = append(g.Suspects, q)
 			return err
 		case fieldHeldSum:
 			g.HeldSum = string(value)
 		case fieldLimit:
-			l, err := readLimit(value)
+			l, err := unmarshalLimit(value)
 			g.Limits = append(g.Limits, l)
 			return err
 		}
@@ -171,25 +171,25 @@
 	return g, err
 }
 
-func readMember(b []byte) (message.GossipMember, error) {
+func unmarshalMember(b []byte) (message.GossipMember, error) {
 	var m message.GossipMember
-	err := eachField(b, func(number protowire.Number, bytes []byte, value uint64) error {
+	err := forEachField(b, func(number protowire.Number, bytes []byte, value uint64) error {
 		switch number {
-		case fieldHost:
+		case fieldMemberAddress:
 			var err error
-			m.Address, err = addressOf(bytes)
+			m.Address, err = unmarshalAddress(bytes)
 			return err
-		case fieldIncarnation:
+		case fieldMemberIncarnation:
 			m.Incarnation = int(value)
-		case fieldBeat:
+		case fieldMemberBeat:
 			m.Beat = int(value)
-		case fieldVersion:
+		case fieldMemberVersion:
 			m.Version = int(value)
-		case fieldRevision:
+		case fieldMemberRevision:
 			m.Revision = int(value)
-		case fieldCapacity:
+		case fieldMemberCapacity:
 			m.Capacity = int(value)
-		case fieldFlags:
+		case fieldMemberFlags:
 			m.Leaving = value&flagLeaving != 0
 			m.Serving = value&flagServing != 0
 			m.Hears = value&flagHears != 0
@@ -199,46 +199,46 @@
 		return nil
 	})
 	if err == nil && m.Address == "" {
-		err = errCompactGossip
+		err = errMalformed
 	}
 	return m, err
 }
 
-func addressOf(b []byte) (string, error) {
+func unmarshalAddress(b []byte) (string, error) {
 	if len(b) < portBytes {
-		return "", errCompactGossip
+		return "", errMalformed
 	}
 	ip, ok := netip.AddrFromSlice(b[:len(b)-portBytes])
 	if !ok {
-		return "", errCompactGossip
+		return "", errMalformed
 	}
 	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(b[len(b)-portBytes:])).String(), nil
 }
 
-// eachField calls read for each field, with the value of a length-delimited or varint field.
-// The value of a field of another wire type is skipped.
-func eachField(b []byte, read func(number protowire.Number, bytes []byte, value uint64) error) error {
+// forEachField calls visit for each field of an encoded message, with the value of a
+// length-delimited or varint field. Values of other wire types are skipped.
+func forEachField(b []byte, visit func(number protowire.Number, bytes []byte, value uint64) error) error {
 	for len(b) > 0 {
-		number, kind, n := protowire.ConsumeTag(b)
+		number, wireType, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return errCompactGossip
+			return errMalformed
 		}
 		b = b[n:]
 		var bytes []byte
 		var value uint64
-		switch kind {
+		switch wireType {
 		case protowire.BytesType:
 			bytes, n = protowire.ConsumeBytes(b)
 		case protowire.VarintType:
 			value, n = protowire.ConsumeVarint(b)
 		default:
-			n = protowire.ConsumeFieldValue(number, kind, b)
+			n = protowire.ConsumeFieldValue(number, wireType, b)
 		}
 		if n < 0 {
-			return errCompactGossip
+			return errMalformed
 		}
 		b = b[n:]
-		if err := read(number, bytes, value); err != nil {
+		if err := visit(number, bytes, value); err != nil {
 			return err
 		}
 	}
--- a/internal/gateway/gossipcodec/gossipcodec_test.go
+++ b/internal/gateway/gossipcodec/gossipcodec_test.go
@@ -13,8 +13,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// usualGossip returns a message in a large cluster, about the sender and 40 other members.
-func usualGossip() message.Gossip {
+// typicalGossip returns a message in a large cluster, about the sender and 40 other members.
+func typicalGossip() message.Gossip {
 	var g message.Gossip
 	for i := range 41 {
 		g.Members = append(g.Members, message.GossipMember{
@@ -25,8 +25,8 @@
 	return g
 }
 
-// TestCompactGossipKeepsAll checks that members survive a round trip in the compact format.
-func TestCompactGossipKeepsAll(t *testing.T) {
+// TestCompactGossipRoundTrip checks that members survive a round trip in the compact format.
+func TestCompactGossipRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := message.Gossip{Members: []message.GossipMember{}}
 		for range rapid.IntRange(0, 5).Draw(t, "members") {
@@ -40,25 +40,25 @@
 				Hears: rapid.Bool().Draw(t, "hears"), Compact: rapid.Bool().Draw(t, "compact"), Epochs: rapid.Bool().Draw(t, "epochs"),
 			})
 		}
-		body, kind, err := Encode(g, true)
+		body, mediaType, err := Encode(g, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Decode(bytes.NewReader(body), kind)
+		got, err := Decode(bytes.NewReader(body), mediaType)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(g) {
 			t.Fatalf("%v decodes as %v: %v", g, got, err)
 		}
 	})
 }
 
-// shouldReadBack checks that a message survives a round trip in both formats.
-func shouldReadBack(t *rapid.T, want message.Gossip) {
+// shouldRoundTrip checks that a message survives a round trip in both formats.
+func shouldRoundTrip(t *rapid.T, want message.Gossip) {
 	for _, compact := range []bool{true, false} {
-		body, kind, err := Encode(want, compact)
+		body, mediaType, err := Encode(want, compact)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Decode(bytes.NewReader(body), kind)
+		got, err := Decode(bytes.NewReader(body), mediaType)
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
 			t.Fatal(err, diff)
 		}
@@ -68,7 +68,7 @@
 // TestCompactSuspects checks that suspected requests survive a round trip in both formats.
 func TestCompactSuspects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := usualGossip()
+		want := typicalGossip()
 		want.HeldSum = rapid.SampledFrom([]string{"", "9f86d081884c7d65"}).Draw(t, "sum")
 		want.Suspects = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) message.SuspectRequest {
 			return message.SuspectRequest{
@@ -82,39 +82,39 @@
 				}), 1, 3).Draw(t, "ends"),
 			}
 		}), 1, 3).Draw(t, "suspects")
-		shouldReadBack(t, want)
+		shouldRoundTrip(t, want)
 	})
 }
 
-// TestCompactGossipOfOthers checks that malformed input causes an error and never a panic, and
-// that fields of later versions are skipped.
-func TestCompactGossipOfOthers(t *testing.T) {
+// TestCompactGossipMalformed checks that corrupted or truncated input does not cause a panic,
+// and that fields of later versions are skipped.
+func TestCompactGossipMalformed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		body, _, _ := Encode(usualGossip(), true)
+		body, _, _ := Encode(typicalGossip(), true)
 		at := rapid.IntRange(0, len(body)-1).Draw(t, "at")
 		body[at] = rapid.Byte().Draw(t, "byte")
-		_, _ = readGossip(body[:rapid.IntRange(0, len(body)).Draw(t, "length")])
+		_, _ = unmarshalCompact(body[:rapid.IntRange(0, len(body)).Draw(t, "length")])
 	})
 	convey.Convey("An unknown field is skipped", t, func() {
-		body, _, err := Encode(usualGossip(), true)
+		body, _, err := Encode(typicalGossip(), true)
 		convey.So(err, convey.ShouldBeNil)
-		got, err := readGossip(append(body, 9<<3, 1, 10<<3|2, 1, 0))
+		got, err := unmarshalCompact(append(body, 9<<3, 1, 10<<3|2, 1, 0))
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(got, convey.ShouldResemble, usualGossip())
+		convey.So(got, convey.ShouldResemble, typicalGossip())
 	})
 	convey.Convey("A member without an address is an error", t, func() {
-		_, err := readGossip([]byte{1<<3 | 2, 0})
-		convey.So(err, convey.ShouldEqual, errCompactGossip)
+		_, err := unmarshalCompact([]byte{1<<3 | 2, 0})
+		convey.So(err, convey.ShouldEqual, errMalformed)
 	})
 }
 
-// TestCompactGossipIsSmall checks the purpose of the compact format: less than a quarter of the
+// TestCompactGossipSize checks the purpose of the compact format: less than a quarter of the
 // size of JSON.
-func TestCompactGossipIsSmall(t *testing.T) {
+func TestCompactGossipSize(t *testing.T) {
 	convey.Convey("A message in a large cluster takes less than a quarter of the bytes of JSON", t, func() {
-		compact, _, err := Encode(usualGossip(), true)
+		compact, _, err := Encode(typicalGossip(), true)
 		convey.So(err, convey.ShouldBeNil)
-		text, _, err := Encode(usualGossip(), false)
+		text, _, err := Encode(typicalGossip(), false)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(4*len(compact), convey.ShouldBeLessThan, len(text))
 	})
@@ -123,20 +123,20 @@
 // BenchmarkGossip encodes and decodes a message of a large cluster in each format.
 func BenchmarkGossip(b *testing.B) {
 	for _, compact := range []bool{true, false} {
-		body, kind, err := Encode(usualGossip(), compact)
+		body, mediaType, err := Encode(typicalGossip(), compact)
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Run("write "+kind, func(b *testing.B) {
-			g := usualGossip()
+		b.Run("write "+mediaType, func(b *testing.B) {
+			g := typicalGossip()
 			for b.Loop() {
 				_, _, _ = Encode(g, compact)
 			}
 			b.ReportMetric(float64(len(body)), "bytes")
 		})
-		b.Run("read "+kind, func(b *testing.B) {
+		b.Run("read "+mediaType, func(b *testing.B) {
 			for b.Loop() {
-				_, _ = Decode(bytes.NewReader(body), kind)
+				_, _ = Decode(bytes.NewReader(body), mediaType)
 			}
 		})
 	}
@@ -145,13 +145,13 @@
 // TestCompactLimits checks that the limits of targets survive a round trip in both formats.
 func TestCompactLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := usualGossip()
+		want := typicalGossip()
 		want.Limits = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) message.TargetLimit {
 			return message.TargetLimit{
 				Target: rapid.String().Draw(t, "target"), PerSecond: rapid.Float64Range(0, 1e9).Draw(t, "rate"),
 				Ended: rapid.Bool().Draw(t, "ended"), AgoMs: rapid.IntRange(0, 1<<40).Draw(t, "ago"),
 			}
 		}), 1, 3).Draw(t, "limits")
-		shouldReadBack(t, want)
+		shouldRoundTrip(t, want)
 	})
 }
--- a/internal/gateway/gossipcodec/limits.go
+++ b/internal/gateway/gossipcodec/limits.go
@@ -10,39 +10,39 @@
 
 // Field numbers of message.TargetLimit in the compact format; a limit takes about 25 bytes.
 const (
-	// fieldLimited is the target's life as a string.
-	fieldLimited protowire.Number = 1
-	// fieldPerSecond is a decimal number as a string.
-	fieldPerSecond protowire.Number = 2
-	// fieldEnded is 1 if the target no longer reports a limit.
-	fieldEnded     protowire.Number = 3
-	fieldSaidAgoMs protowire.Number = 4
+	// fieldLimitTarget is the target's life as a string.
+	fieldLimitTarget protowire.Number = 1
+	// fieldLimitPerSecond is a decimal number as a string.
+	fieldLimitPerSecond protowire.Number = 2
+	// fieldLimitEnded is 1 if the target no longer reports a limit.
+	fieldLimitEnded protowire.Number = 3
+	fieldLimitAgoMs protowire.Number = 4
 )
 
 // appendLimits appends the limits of targets to an encoded gossip message.
 func appendLimits(out []byte, list []message.TargetLimit) []byte {
 	for _, l := range list {
-		b := appendBytes(nil, fieldLimited, []byte(l.Target))
-		b = appendBytes(b, fieldPerSecond, strconv.AppendFloat(nil, l.PerSecond, 'g', -1, 64))
-		b = appendFlag(b, fieldEnded, l.Ended)
-		b = appendNumber(b, fieldSaidAgoMs, l.AgoMs)
+		b := appendBytes(nil, fieldLimitTarget, []byte(l.Target))
+		b = appendBytes(b, fieldLimitPerSecond, strconv.AppendFloat(nil, l.PerSecond, 'g', -1, 64))
+		b = appendBool(b, fieldLimitEnded, l.Ended)
+		b = appendVarint(b, fieldLimitAgoMs, l.AgoMs)
 		out = appendBytes(out, fieldLimit, b)
 	}
 	return out
 }
 
-func readLimit(b []byte) (message.TargetLimit, error) {
+func unmarshalLimit(b []byte) (message.TargetLimit, error) {
 	var l message.TargetLimit
-	err := eachField(b, func(number protowire.Number, bytes []byte, value uint64) error {
+	err := forEachField(b, func(number protowire.Number, bytes []byte, value uint64) error {
 		var err error
 		switch number {
-		case fieldLimited:
+		case fieldLimitTarget:
 			l.Target = string(bytes)
-		case fieldPerSecond:
+		case fieldLimitPerSecond:
 			l.PerSecond, err = strconv.ParseFloat(string(bytes), 64)
-		case fieldEnded:
+		case fieldLimitEnded:
 			l.Ended = value != 0
-		case fieldSaidAgoMs:
+		case fieldLimitAgoMs:
 			l.AgoMs = int(value)
 		}
 		return err
