--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -117,7 +117,7 @@
 		}
 		known(directory.Ready)
 		gone := func() {
-			s.publish(view.TargetGone{ID: "t"})
+			s.publish(view.TargetRemoval{ID: "t"})
 			convey.So(f.readChanges(t.Context(), time.Second, time.Second), convey.ShouldBeNil)
 		}
 		convey.Convey("one that vanishes is gone", func() {
--- a/internal/gateway/view/evacuation_test.go
+++ b/internal/gateway/view/evacuation_test.go
@@ -73,7 +73,7 @@
 			shouldUse(withChanges(v, 9, evacuation("d1", false, 7), evacuation("d1", true, 8), evacuation("d1", false, 9)), "a")
 		})
 		convey.Convey("nor do those that lapsed during an outage of the source", func() {
-			v = v.WithChanges(now, view.Changes{Revision: 7, List: []view.Change{view.TargetGone{ID: "a"}}}, now)
+			v = v.WithChanges(now, view.Changes{Revision: 7, List: []view.Change{view.TargetRemoval{ID: "a"}}}, now)
 			shouldNotUse(v, "a")
 		})
 	})
--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -43,7 +43,7 @@
 		switch c := c.(type) {
 		case TargetChange:
 			report.ids = append(report.ids, c.Target.ID)
-		case TargetGone:
+		case TargetRemoval:
 			report.ids = append(report.ids, c.ID)
 		case Rejected:
 			if c.Target != "" {
@@ -137,7 +137,7 @@
 		ch.List = append(ch.List, TargetChange{Target: t})
 	}
 	for _, id := range d.Gone {
-		ch.List = append(ch.List, TargetGone{ID: id})
+		ch.List = append(ch.List, TargetRemoval{ID: id})
 	}
 	return ch
 }
--- a/internal/gateway/view/restored_test.go
+++ b/internal/gateway/view/restored_test.go
@@ -31,7 +31,7 @@
 			target("a", directory.Ready), target("b", directory.Draining),
 		}}, noOutage)
 		withRemovals := func(v *view.View) *view.View {
-			ch := view.Changes{Revision: 6, List: []view.Change{view.TargetGone{ID: "a"}, view.TargetGone{ID: "b"}}}
+			ch := view.Changes{Revision: 6, List: []view.Change{view.TargetRemoval{ID: "a"}, view.TargetRemoval{ID: "b"}}}
 			return v.WithChanges(now, ch, noOutage)
 		}
 		listed := afterRestore(target("a", directory.Ready), target("b", directory.Ready))
@@ -54,7 +54,7 @@
 		convey.Convey("one that was removed long before is ready", func() {
 			later := now.Add(time.Hour)
 			v = withRemovals(v).WithChanges(later, view.Changes{Revision: 7, List: []view.Change{target("c", directory.Ready)}}, noOutage)
-			v = v.WithChanges(later, view.Changes{Revision: 8, List: []view.Change{view.TargetGone{ID: "c"}}}, noOutage)
+			v = v.WithChanges(later, view.Changes{Revision: 8, List: []view.Change{view.TargetRemoval{ID: "c"}}}, noOutage)
 			shouldBeIn(directory.Ready, v.WithSnapshot(later, listed, noOutage), "a")
 		})
 	})
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -60,8 +60,8 @@
 	return t
 }
 
-// TargetGone removes a target.
-type TargetGone struct{ ID string }
+// TargetRemoval removes a target.
+type TargetRemoval struct{ ID string }
 
 // Rejected is an entry of the source that cannot be decoded; it is logged. After an invalid
 // configuration the last valid one stays in force. An invalid target entry was written by
@@ -75,7 +75,7 @@
 
 func (CatalogChange) isChange() {}
 func (TargetChange) isChange()  {}
-func (TargetGone) isChange()    {}
+func (TargetRemoval) isChange() {}
 func (Rejected) isChange()      {}
 
 // Changes are the changes that the source reports up to a revision, in order.
@@ -156,7 +156,7 @@
 				t = v.tombstones.relisted(now, t, v.Directory)
 			}
 			targets.Put(t)
-		case TargetGone:
+		case TargetRemoval:
 			removeTarget(targets, now, c.ID, lastOutage)
 		case EvacuationChange:
 			c.Since = now
--- a/internal/gateway/view/view_test.go
+++ b/internal/gateway/view/view_test.go
@@ -39,7 +39,7 @@
 	})
 	convey.Convey("A target that disappears long after the last outage is removed at once", t, func() {
 		v := view.New().WithChanges(now, view.Changes{List: []view.Change{target("a", directory.Ready)}}, time.Time{})
-		v = v.WithChanges(now, view.Changes{List: []view.Change{view.TargetGone{ID: "a"}}}, now.Add(-time.Minute))
+		v = v.WithChanges(now, view.Changes{List: []view.Change{view.TargetRemoval{ID: "a"}}}, now.Add(-time.Minute))
 		convey.So(v.Directory.Usable("a", now), convey.ShouldBeFalse)
 	})
 	convey.Convey("A target that disappears soon after an outage of the source", t, func() {
@@ -68,7 +68,7 @@
 		}}, time.Time{})
 	}
 	update := view.Changes{Revision: 7, List: []view.Change{target("a", directory.Draining), target("c", directory.Ready)}}
-	removal := view.Changes{Revision: 9, List: []view.Change{view.TargetGone{ID: "a"}}}
+	removal := view.Changes{Revision: 9, List: []view.Change{view.TargetRemoval{ID: "a"}}}
 	convey.Convey("A delta brings a member that is behind up to date", t, func() {
 		behind, ahead := base(), base().WithChanges(now, update, time.Time{}).WithChanges(now, removal, time.Time{})
 		d, ok := ahead.DeltaSince(behind.Revision)
@@ -86,7 +86,7 @@
 	})
 	convey.Convey("A delta for another revision than the view's is dropped", t, func() {
 		d, _ := base().WithChanges(now, update, time.Time{}).DeltaSince(5)
-		later := base().WithChanges(now, view.Changes{Revision: 6, List: []view.Change{view.TargetGone{ID: "b"}}}, time.Time{})
+		later := base().WithChanges(now, view.Changes{Revision: 6, List: []view.Change{view.TargetRemoval{ID: "b"}}}, time.Time{})
 		convey.So(later.WithDelta(now, d), convey.ShouldEqual, later)
 	})
 	convey.Convey("Changes without targets keep the history complete", t, func() {
