--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -45,7 +45,7 @@
 			report.ids = append(report.ids, c.Target.ID)
 		case TargetRemoval:
 			report.ids = append(report.ids, c.ID)
-		case Rejected:
+		case RejectedEntry:
 			if c.Target != "" {
 				report.ids = append(report.ids, c.Target)
 			}
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -63,11 +63,11 @@
 // TargetRemoval removes a target.
 type TargetRemoval struct{ ID string }
 
-// Rejected is an entry of the source that cannot be decoded; it is logged. After an invalid
-// configuration the last valid one stays in force. An invalid target entry was written by
-// something other than a target and describes none, so the target that the entry described
+// RejectedEntry is an entry of the source that cannot be decoded; it is logged. After an
+// invalid configuration the last valid one stays in force. An invalid target entry was written
+// by something other than a target and describes none, so the target that the entry described
 // before is removed.
-type Rejected struct {
+type RejectedEntry struct {
 	Key, Reason string
 	// Target is the ID of the target whose entry was overwritten; empty for other keys.
 	Target string
@@ -76,7 +76,7 @@
 func (CatalogChange) isChange() {}
 func (TargetChange) isChange()  {}
 func (TargetRemoval) isChange() {}
-func (Rejected) isChange()      {}
+func (RejectedEntry) isChange() {}
 
 // Changes are the changes that the source reports up to a revision, in order.
 type Changes struct {
@@ -161,7 +161,7 @@
 		case EvacuationChange:
 			c.Since = now
 			evacuations = evacuations.With(c.Evacuation, isSnapshot || c.From != "")
-		case Rejected:
+		case RejectedEntry:
 			targets.Remove(c.Target)
 		}
 	}
--- a/internal/gateway/viewkeeper.go
+++ b/internal/gateway/viewkeeper.go
@@ -108,7 +108,7 @@
 				Str("state", c.Target.State.String()).Int64("born", c.Target.Born).Int64("revision", int64(ch.Revision)).Msg("view: target")
 		case view.TargetRemoval:
 			k.log.Info().Str("target", c.ID).Int64("revision", int64(ch.Revision)).Msg("view: target gone")
-		case view.Rejected:
+		case view.RejectedEntry:
 			k.refused()
 			k.log.Error().Str("key", c.Key).Str("why", c.Reason).Msg("view: entry refused")
 		case view.CatalogChange, view.EvacuationChange:
