--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -46,8 +46,8 @@
 		case TargetRemoval:
 			report.ids = append(report.ids, c.ID)
 		case RejectedEntry:
-			if c.Target != "" {
-				report.ids = append(report.ids, c.Target)
+			if c.TargetID != "" {
+				report.ids = append(report.ids, c.TargetID)
 			}
 		case CatalogChange, EvacuationChange:
 		}
--- a/internal/gateway/view/rejected_test.go
+++ b/internal/gateway/view/rejected_test.go
@@ -17,7 +17,7 @@
 		v := New().WithSnapshot(now, Changes{Revision: 1, List: []Change{
 			TargetChange{Target: directory.Target{ID: "a", Service: "s"}}, TargetChange{Target: directory.Target{ID: "b", Service: "s"}},
 		}}, time.Time{})
-		ch := Changes{Revision: 2, List: []Change{RejectedEntry{Key: "key of a", Reason: "why", Target: "a"}}}
+		ch := Changes{Revision: 2, List: []Change{RejectedEntry{Key: "key of a", Reason: "why", TargetID: "a"}}}
 		for _, lastOutage := range []time.Time{{}, now} {
 			next := v.WithChanges(now, ch, lastOutage)
 			convey.So(next.Directory.Usable("a", now), convey.ShouldBeFalse)
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -69,8 +69,8 @@
 // before is removed.
 type RejectedEntry struct {
 	Key, Reason string
-	// Target is the ID of the target whose entry was overwritten; empty for other keys.
-	Target string
+	// TargetID is the ID of the target whose entry was overwritten; empty for other keys.
+	TargetID string
 }
 
 func (CatalogChange) isChange() {}
@@ -162,7 +162,7 @@
 			c.Since = now
 			evacuations = evacuations.With(c.Evacuation, isSnapshot || c.From != "")
 		case RejectedEntry:
-			targets.Remove(c.Target)
+			targets.Remove(c.TargetID)
 		}
 	}
 	next.setEvacuations(targets, now, evacuations)
