--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -183,7 +183,7 @@
 // none.
 func deltaMessage(now time.Time, d view.Delta, document []byte) message.ViewSnapshot {
 	m := message.ViewSnapshot{
-		Since: int(d.Since), Revision: int(d.Revision), Targets: []message.ViewTarget{}, Gone: d.Gone,
+		Since: int(d.Since), Revision: int(d.Revision), Targets: []message.ViewTarget{}, Gone: d.Removed,
 		Document: base64.StdEncoding.EncodeToString(document), Evacuations: evacuationMessages(now, d.Evacuations),
 	}
 	for _, t := range d.Targets {
@@ -199,7 +199,7 @@
 // with it, nil for none.
 func deltaOf(now time.Time, member string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
 	d := view.Delta{
-		Since: view.Revision(s.Since), Revision: view.Revision(s.Revision), Gone: s.Gone, Catalog: catalog,
+		Since: view.Revision(s.Since), Revision: view.Revision(s.Revision), Removed: s.Gone, Catalog: catalog,
 		Evacuations: evacuationsOf(now, member, s.Evacuations),
 	}
 	for _, t := range s.Targets {
--- a/internal/gateway/peermessages_test.go
+++ b/internal/gateway/peermessages_test.go
@@ -78,7 +78,7 @@
 		})
 	})
 	convey.Convey("A delta stays a delta, and a whole view a whole", t, func() {
-		d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t"}}, Gone: []string{"gone"}}
+		d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t"}}, Removed: []string{"gone"}}
 		m := deltaMessage(sent, d, nil)
 		convey.So(isDelta(m), convey.ShouldBeTrue)
 		convey.So(deltaOf(received, "", m, nil), convey.ShouldResemble, d)
@@ -95,7 +95,7 @@
 // configuration and without.
 func TestDeltaMessages(t *testing.T) {
 	now := time.Now()
-	d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t", Service: "s"}}, Gone: []string{"g"}}
+	d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t", Service: "s"}}, Removed: []string{"g"}}
 	convey.Convey("A delta keeps its content", t, func() {
 		convey.Convey("without a configuration", func() {
 			m := deltaMessage(now, d, nil)
--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -84,10 +84,10 @@
 	// Since is the revision of the views to which the delta applies, Revision the one that
 	// they have afterwards.
 	Since, Revision Revision
-	// Targets are the targets that were added or updated, Gone the IDs of those that were
-	// removed.
+	// Targets are the targets that were added or updated, Removed the IDs of those that
+	// disappeared.
 	Targets []directory.Target
-	Gone    []string
+	Removed []string
 	// Catalog is a new catalog that came into force between the revisions; nil if none did.
 	Catalog *CatalogChange
 	// Evacuations are all entries that the sender knows, changed or not: they are few, and a
@@ -108,7 +108,7 @@
 			d.Targets = append(d.Targets, t)
 			continue
 		}
-		d.Gone = append(d.Gone, id)
+		d.Removed = append(d.Removed, id)
 	}
 	return d, true
 }
@@ -136,7 +136,7 @@
 	for _, t := range d.Targets {
 		ch.List = append(ch.List, TargetChange{Target: t})
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		ch.List = append(ch.List, TargetRemoval{ID: id})
 	}
 	return ch
--- a/internal/gateway/view/rejected_test.go
+++ b/internal/gateway/view/rejected_test.go
@@ -24,7 +24,7 @@
 			convey.So(next.Directory.Usable("b", now), convey.ShouldBeTrue)
 			d, known := next.DeltaSince(1)
 			convey.So(known, convey.ShouldBeTrue)
-			convey.So(d.Gone, convey.ShouldResemble, []string{"a"})
+			convey.So(d.Removed, convey.ShouldResemble, []string{"a"})
 		}
 		convey.Convey("also when the entry is in a complete listing", func() {
 			list := Changes{Revision: 3, List: []Change{ch.List[0], TargetChange{Target: directory.Target{ID: "b", Service: "s"}}}}
--- a/internal/gateway/view/restored_test.go
+++ b/internal/gateway/view/restored_test.go
@@ -92,7 +92,7 @@
 		})
 		convey.Convey("only the catalog is taken from an older delta", func() {
 			c := catalogVersion(7)
-			shouldTakeCatalogOnly(v.WithDelta(now, view.Delta{Since: v.Revision, Revision: 9, Catalog: &c, Gone: []string{"a"}}))
+			shouldTakeCatalogOnly(v.WithDelta(now, view.Delta{Since: v.Revision, Revision: 9, Catalog: &c, Removed: []string{"a"}}))
 		})
 	})
 }
--- a/internal/gateway/view/view_test.go
+++ b/internal/gateway/view/view_test.go
@@ -73,7 +73,7 @@
 		behind, ahead := base(), base().WithChanges(now, update, time.Time{}).WithChanges(now, removal, time.Time{})
 		d, ok := ahead.DeltaSince(behind.Revision)
 		convey.So(ok, convey.ShouldBeTrue)
-		convey.So(d.Gone, convey.ShouldResemble, []string{"a"})
+		convey.So(d.Removed, convey.ShouldResemble, []string{"a"})
 		convey.So(d.Targets, convey.ShouldHaveLength, 1)
 		caughtUp := behind.WithDelta(now, d)
 		convey.So(caughtUp.Revision, convey.ShouldEqual, 9)
