--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -67,7 +67,7 @@
 	v := s.views.load()
 	state := message.GatewayState{
 		Node: s.members.self, DataCentre: s.dataCentre, Phase: s.phase(),
-		Version: int(v.Version()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inflight.Load()),
+		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inflight.Load()),
 		Targets: targetMessages(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
 		Evacuations: evacuationStates(s.now(), v.Evacuations), Held: s.quarantine.All().Requests,
 		Limits: s.backpressure.Limits(), Holds: s.backpressure.Holds(),
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -45,7 +45,7 @@
 // each configuration read at the source by each node, 16 configurations cost 295 nodes
 // 4,700 calls in a minute.
 func (f *storeFollower) catchUp(ctx context.Context, newest ahead) {
-	newCatalog := int64(newest.version) > f.views.load().Version()
+	newCatalog := int64(newest.version) > f.views.load().CatalogVersion()
 	if !newCatalog {
 		f.takeFromMember(ctx, newest.member, deltaTimeout)
 		return
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	v := f.views.load()
-	snapshot, err := f.peers.viewAtMember(ctx, member, v.Revision, v.Version())
+	snapshot, err := f.peers.viewAtMember(ctx, member, v.Revision, v.CatalogVersion())
 	if err != nil {
 		f.log.Debug().Str("member", member).Int64("revision", int64(v.Revision)).Err(err).
 			Msg("view: a member that is ahead gave no answer")
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -57,7 +57,7 @@
 	g.members.setStatus(func() membership.Status {
 		return membership.Status{
 			Serving: v.Catalog != nil, Leaving: g.departure.begun(), ReachesSource: g.health.isReachable(g.now()),
-			Version: v.Version(), Revision: int64(v.Revision),
+			Version: v.CatalogVersion(), Revision: int64(v.Revision),
 		}
 	})
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -145,7 +145,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	newest := m.roster.Newest(now, v.Version(), int64(v.Revision))
+	newest := m.roster.Newest(now, v.CatalogVersion(), int64(v.Revision))
 	return ahead{member: newest, version: m.roster.VersionOf(newest), followsReaders: m.roster.FollowsReaders(now)}
 }
 
--- a/internal/gateway/peermessages_test.go
+++ b/internal/gateway/peermessages_test.go
@@ -111,7 +111,7 @@
 			convey.So(document, convey.ShouldResemble, c.Document)
 			behind := view.New().WithChanges(now, view.Changes{Revision: 3, List: []view.Change{catalogChange(1)}}, time.Time{})
 			caughtUp := behind.WithDelta(now, deltaOf(now, "", m, &c))
-			convey.So(caughtUp.Version(), convey.ShouldEqual, 2)
+			convey.So(caughtUp.CatalogVersion(), convey.ShouldEqual, 2)
 			convey.So(caughtUp.Revision, convey.ShouldEqual, 5)
 			convey.So(caughtUp.Document, convey.ShouldResemble, c.Document)
 		})
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -165,7 +165,7 @@
 	// A revision that does not parse counts as none: the answer is the whole.
 	since, _ := strconv.ParseInt(r.FormValue(paramSince), 10, 64)
 	d, known := v.DeltaSince(view.Revision(since))
-	sameCatalog := r.FormValue(paramVersion) == strconv.FormatInt(v.Version(), 10)
+	sameCatalog := r.FormValue(paramVersion) == strconv.FormatInt(v.CatalogVersion(), 10)
 	switch {
 	case since <= 0 || !known:
 		writeMessage(w, snapshotMessage(now, v))
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -239,7 +239,7 @@
 			s.publish(view.TargetChange{Target: directory.Target{ID: "last", Service: "s"}})
 			eventually(t, "all nodes know the last target and the new configuration", func() bool {
 				for _, n := range nodes {
-					if !knows(n, "last") || n.views.load().Version() != 2 {
+					if !knows(n, "last") || n.views.load().CatalogVersion() != 2 {
 						return false
 					}
 				}
--- a/internal/gateway/view/restored_test.go
+++ b/internal/gateway/view/restored_test.go
@@ -77,7 +77,7 @@
 // the member that knows a newer one has not learned of the restore of the source.
 func TestNewerCatalogFromOlderRevision(t *testing.T) {
 	shouldTakeCatalogOnly := func(v *view.View) {
-		convey.So(v.Version(), convey.ShouldEqual, 7)
+		convey.So(v.CatalogVersion(), convey.ShouldEqual, 7)
 		convey.So(v.Revision, convey.ShouldEqual, view.NewRevision(1, 3))
 		shouldBeIn(directory.Ready, v, "a")
 	}
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -105,8 +105,8 @@
 // New returns an empty view.
 func New() *View { return &View{Directory: directory.New()} }
 
-// Version returns the version of the catalog in force; 0 if there is none.
-func (v *View) Version() int64 {
+// CatalogVersion returns the version of the catalog in force; 0 if there is none.
+func (v *View) CatalogVersion() int64 {
 	if v.Catalog == nil {
 		return 0
 	}
--- a/internal/gateway/view/view_test.go
+++ b/internal/gateway/view/view_test.go
@@ -29,7 +29,7 @@
 	convey.Convey("The catalog version never decreases", t, func() {
 		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{catalogVersion(7)}}, time.Time{})
 		v = v.WithChanges(now, view.Changes{Revision: 6, List: []view.Change{catalogVersion(6)}}, time.Time{})
-		convey.So(v.Version(), convey.ShouldEqual, 7)
+		convey.So(v.CatalogVersion(), convey.ShouldEqual, 7)
 		convey.So(v.Revision, convey.ShouldEqual, 6)
 	})
 	convey.Convey("A listing older than the view is dropped", t, func() {
--- a/internal/gateway/viewkeeper.go
+++ b/internal/gateway/viewkeeper.go
@@ -85,8 +85,8 @@
 
 // logChanges logs what changed between two views.
 func (k *viewKeeper) logChanges(old, next *view.View, ch view.Changes) {
-	if next.Version() != old.Version() {
-		k.log.Info().Int64("version", next.Version()).Int64("was", old.Version()).Int64("revision", int64(next.Revision)).
+	if next.CatalogVersion() != old.CatalogVersion() {
+		k.log.Info().Int64("version", next.CatalogVersion()).Int64("was", old.CatalogVersion()).Int64("revision", int64(next.Revision)).
 			Int("routes", next.Catalog.RouteCount()).Msg("view: configuration in force")
 	}
 	restored := next.Revision.IsRestoredSince(old.Revision)
