--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -26,7 +26,7 @@
 // evacuations: one of this version takes back what it does not name; one of an earlier
 // version, which knows of none, leaves them as they are.
 func TestWholeViewOfAMember(t *testing.T) {
-	active := func(f *storeFollower) bool { return f.views.load().Evacuations.Of("d").Active }
+	active := func(f *storeFollower) bool { return f.views.load().Evacuations.Get("d").Active }
 	whole := message.ViewSnapshot{Revision: 7, Targets: []message.ViewTarget{}}
 	convey.Convey("An evacuation that a member does not name", t, func() {
 		f := knowsOfEvacuation()
--- a/internal/gateway/view/dispute_test.go
+++ b/internal/gateway/view/dispute_test.go
@@ -15,7 +15,7 @@
 func TestDisputedEvacuations(t *testing.T) {
 	later := now.Add(time.Hour)
 	soon := now.Add(time.Second)
-	evacuated := func(v *view.View) bool { return v.Evacuations.Of("d1").Active }
+	evacuated := func(v *view.View) bool { return v.Evacuations.Get("d1").Active }
 	restored := func(number int64) view.Revision { return view.NewRevision(1, number) }
 	withListing := func(v *view.View, at time.Time, revision view.Revision, list ...view.Change) *view.View {
 		return v.WithSnapshot(at, view.Changes{Revision: revision, List: append(list, targetIn("a", "d1"))}, noOutage)
--- a/internal/gateway/view/evacuation.go
+++ b/internal/gateway/view/evacuation.go
@@ -78,8 +78,8 @@
 	return Evacuations{byDataCentre: next}
 }
 
-// Of returns the entry of a data centre; the zero value if there is none.
-func (e Evacuations) Of(dataCentre string) Evacuation { return e.byDataCentre[dataCentre] }
+// Get returns the entry of a data centre; the zero value if there is none.
+func (e Evacuations) Get(dataCentre string) Evacuation { return e.byDataCentre[dataCentre] }
 
 // All returns all entries, sorted by data centre.
 func (e Evacuations) All() []Evacuation {
@@ -132,7 +132,7 @@
 	v.Evacuations = next
 	targets.Evacuate(next.activeDataCentres())
 	for dataCentre, known := range next.byDataCentre {
-		if before.Of(dataCentre).Active && !known.Active {
+		if before.Get(dataCentre).Active && !known.Active {
 			targets.WarmUp(now, dataCentre, v.warmUpTime)
 		}
 	}
--- a/internal/gateway/viewkeeper.go
+++ b/internal/gateway/viewkeeper.go
@@ -121,7 +121,7 @@
 // is missing there.
 func (k *viewKeeper) logEvacuations(old, next *view.View) {
 	for _, e := range next.Evacuations.All() {
-		if e.Active == old.Evacuations.Of(e.DataCentre).Active {
+		if e.Active == old.Evacuations.Get(e.DataCentre).Active {
 			continue
 		}
 		text := "view: data centre taken back"
