--- a/internal/gateway/gossipcodec/gossipcodec.go
+++ b/internal/gateway/gossipcodec/gossipcodec.go
@@ -24,8 +24,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// CompactType is the media type of the compact format.
-const CompactType = "application/vnd.honeydyke.gossip"
+// CompactMediaType is the media type of the compact format.
+const CompactMediaType = "application/vnd.honeydyke.gossip"
 
 // Field numbers of message.Gossip in the compact format. A new field gets a new number, here
 // and in the messages below: decoders skip numbers that they do not know.
@@ -72,19 +72,20 @@
 func Encode(g message.Gossip, compact bool) (body []byte, mediaType string, err error) {
 	if compact {
 		body, err = marshalCompact(g)
-		return body, CompactType, err
+		return body, CompactMediaType, err
 	}
 	body, err = json.Marshal(g)
 	return body, jsonMediaType, err
 }
 
-// Decode reads a gossip message of a media type; any type but CompactType is taken for JSON.
+// Decode reads a gossip message of a media type. Any type but CompactMediaType is taken for
+// JSON.
 func Decode(r io.Reader, mediaType string) (message.Gossip, error) {
 	body, err := io.ReadAll(r)
 	if err != nil {
 		return message.Gossip{}, err
 	}
-	if mediaType == CompactType {
+	if mediaType == CompactMediaType {
 		return unmarshalCompact(body)
 	}
 	var g message.Gossip
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -62,8 +62,8 @@
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
 	})
 	convey.Convey("JSON of a node that reads the compact form is answered in it", t, func() {
-		kind, g := answer(gossipcodec.CompactType)
-		convey.So(kind, convey.ShouldEqual, gossipcodec.CompactType)
+		kind, g := answer(gossipcodec.CompactMediaType)
+		convey.So(kind, convey.ShouldEqual, gossipcodec.CompactMediaType)
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
 	})
 }
--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -64,7 +64,7 @@
 		return message.Gossip{}, err
 	}
 	req.Header.Set("Content-Type", kind)
-	req.Header.Set("Accept", gossipcodec.CompactType)
+	req.Header.Set("Accept", gossipcodec.CompactMediaType)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return message.Gossip{}, err
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -60,7 +60,7 @@
 		http.Error(w, "the message does not read", http.StatusBadRequest)
 		return
 	}
-	body, kind, err := gossipcodec.Encode(s.gossip.answer(in), r.Header.Get("Accept") == gossipcodec.CompactType)
+	body, kind, err := gossipcodec.Encode(s.gossip.answer(in), r.Header.Get("Accept") == gossipcodec.CompactMediaType)
 	if err != nil {
 		http.Error(w, "the answer cannot be written", http.StatusInternalServerError)
 		return
