--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -18,12 +18,12 @@
 	Item
 	// attempts counts the batches that the item was part of.
 	attempts int
-	// running counts the batches that hold the item and have not ended or got stuck.
-	running int
+	// runningBatches counts the batches that hold the item and have not ended or got stuck.
+	runningBatches int
 	// queued says that the item is in the queue.
 	queued bool
-	// ends counts the targets that ended with the item.
-	ends int
+	// crashes counts the targets that ended with the item.
+	crashes int
 }
 
 // Core assembles the batches of one service: it owns the queue, the running batches
@@ -34,13 +34,13 @@
 	spec *catalog.Batch
 	pool *pool
 	// items are all that have no result yet, queue those of them that wait.
-	items   map[Token]*queuedItem
-	queue   []*queuedItem
-	plans   plans
-	running map[BatchID]*batch
-	last    BatchID
-	// evacuated says that all targets are in evacuated data centres.
-	evacuated bool
+	items     map[Token]*queuedItem
+	queue     []*queuedItem
+	plans     plans
+	running   map[BatchID]*batch
+	lastBatch BatchID
+	// allEvacuated says that all targets are in evacuated data centres.
+	allEvacuated bool
 	// limits bound the calls to cold targets.
 	limits *warmup.Limits
 	// gate says what targets ask for.
@@ -49,15 +49,15 @@
 	retention retention
 	effects   []Effect
 	stats     Stats
-	// passed is when passTargets last ran.
-	passed time.Time
-	// late is how late the last tick was.
-	late time.Duration
+	// lastScan is when scanTargets last ran.
+	lastScan time.Time
+	// tickDelay is how late the last tick was.
+	tickDelay time.Duration
 }
 
-// passInterval is how often passTargets runs besides ticks at most: it looks at all
+// scanInterval is how often scanTargets runs besides ticks at most: it looks at all
 // targets, 0.05 ms for a thousand, and a batch that got stuck is noticed as late as this.
-const passInterval = 10 * time.Millisecond
+const scanInterval = 10 * time.Millisecond
 
 // Stats count what a core did since it was created.
 type Stats struct {
@@ -105,29 +105,29 @@
 	case Withdraw:
 		c.withdraw(ev)
 	case Finished:
-		c.finished(now, ev)
+		c.finishBatch(now, ev)
 	case Inspected:
-		c.inspected(now, ev)
+		c.recordInspection(now, ev)
 	case Release:
 		c.release(now, ev.Target, ev.Handles)
 	case Tick:
-		c.late = ev.Late
+		c.tickDelay = ev.Late
 	}
-	if c.targetsDue(now, ev) {
-		c.passed = now
-		c.passTargets(now)
+	if c.scanDue(now, ev) {
+		c.lastScan = now
+		c.scanTargets(now)
 	}
-	c.passQueue(now)
+	c.expireQueue(now)
 	c.inspectAgain(now)
 	c.dispatch(now)
-	c.dropUnreachable(now)
+	c.dropUnschedulable(now)
 	return c.effects
 }
 
-// targetsDue says whether passTargets runs at an event.
-func (c *Core) targetsDue(now time.Time, ev Event) bool {
+// scanDue says whether scanTargets runs at an event.
+func (c *Core) scanDue(now time.Time, ev Event) bool {
 	_, tick := ev.(Tick)
-	return tick || now.Sub(c.passed) >= passInterval
+	return tick || now.Sub(c.lastScan) >= scanInterval
 }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
@@ -136,13 +136,13 @@
 	if ev.Service != nil && ev.Service.Batch != nil {
 		c.spec = ev.Service.Batch
 	}
-	c.evacuated = ev.AllEvacuated
+	c.allEvacuated = ev.AllEvacuated
 	c.limits.SetBound(ev.WarmUp)
 	for _, t := range c.pool.targets {
 		t.listed = false
 	}
 	for _, t := range ev.Targets {
-		c.list(t)
+		c.addListed(t)
 	}
 	for _, t := range c.pool.targets {
 		if !t.listed {
@@ -153,8 +153,8 @@
 	c.pool.prune()
 }
 
-// list takes in a target of the service's list.
-func (c *Core) list(listed directory.Target) {
+// addListed takes in a target of the service's list.
+func (c *Core) addListed(listed directory.Target) {
 	t := c.pool.byLife[listed.Life()]
 	if t == nil {
 		t = newTarget(listed)
@@ -167,7 +167,7 @@
 
 func (c *Core) submit(now time.Time, ev Submit) {
 	for _, item := range ev.Items {
-		q := &queuedItem{Item: item, queued: true, ends: endsBefore(item)}
+		q := &queuedItem{Item: item, queued: true, crashes: endsBefore(item)}
 		c.items[item.Token] = q
 		c.queue = append(c.queue, q)
 		c.plans.remove(item.Request, item.Stage)
@@ -177,12 +177,12 @@
 
 func (c *Core) withdraw(ev Withdraw) {
 	for _, token := range ev.Tokens {
-		c.forget(token)
+		c.removeItem(token)
 	}
 }
 
-// forget drops an item, also from the queue.
-func (c *Core) forget(token Token) {
+// removeItem drops an item, also from the queue.
+func (c *Core) removeItem(token Token) {
 	q := c.items[token]
 	if q == nil {
 		return
@@ -207,23 +207,23 @@
 	c.emit(Discard{Target: t.Target, Handles: handles})
 }
 
-// passQueue drops plans whose time is over and items that cannot finish.
-func (c *Core) passQueue(now time.Time) {
+// expireQueue drops plans whose time is over and items that cannot finish.
+func (c *Core) expireQueue(now time.Time) {
 	c.plans.expire(now)
-	if c.evacuated {
-		c.failUnservable()
+	if c.allEvacuated {
+		c.failEvacuated()
 	}
 	for _, q := range slices.Clone(c.queue) {
-		if q.running == 0 && !canFinish(now, c.spec, q.Deadline) {
+		if q.runningBatches == 0 && !canFinish(now, c.spec, q.Deadline) {
 			c.stats.Expired++
 			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
 		}
 	}
 }
 
-// passTargets drops results whose time is over and gives up batches that are stuck, in
+// scanTargets drops results whose time is over and gives up batches that are stuck, in
 // the order of the targets, and notes how the learnt speeds have aged.
-func (c *Core) passTargets(now time.Time) {
+func (c *Core) scanTargets(now time.Time) {
 	c.pool.examined += len(c.pool.targets)
 	for _, t := range c.pool.targets {
 		t.memory.expire(now)
@@ -231,31 +231,31 @@
 	}
 	c.pool.rest(now)
 	for _, t := range c.pool.targets {
-		if b := t.running; b != nil && b.becomesStuck(now, c.late) {
-			c.giveUp(now, b)
+		if b := t.running; b != nil && b.becomesStuck(now, c.tickDelay) {
+			c.markStuck(now, b)
 		}
 	}
 }
 
-// failUnservable fails what waits while all targets are in evacuated data centres:
+// failEvacuated fails what waits while all targets are in evacuated data centres:
 // nobody knows when one is taken back, and the callers get a time to retry after.
-func (c *Core) failUnservable() {
+func (c *Core) failEvacuated() {
 	for _, q := range slices.Clone(c.queue) {
-		if q.running == 0 {
+		if q.runningBatches == 0 {
 			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of the service are evacuated"))
 		}
 	}
 }
 
-// dropUnreachable fails the past-due items whose turn will not come in time.
-func (c *Core) dropUnreachable(now time.Time) {
+// dropUnschedulable fails the past-due items whose turn will not come in time.
+func (c *Core) dropUnschedulable(now time.Time) {
 	if c.spec == nil {
 		return
 	}
 	earliest := earliestEnd(now, c.spec)
 	rate := sync.OnceValue(func() capacity { return c.capacity(now) })
 	for before, q := range slices.Clone(c.queue) {
-		if q.running == 0 && q.pastDue(earliest) && !turnComesInTime(now, c.spec, rate(), before, q.Deadline) {
+		if q.runningBatches == 0 && q.pastDue(earliest) && !turnComesInTime(now, c.spec, rate(), before, q.Deadline) {
 			c.stats.Expired++
 			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the %d items before it leave no time", before))
 		}
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -60,15 +60,15 @@
 	items := make([]Item, len(taken))
 	for i, q := range taken {
 		q.queued = false
-		q.running++
+		q.runningBatches++
 		q.attempts++
 		items[i] = q.Item
 	}
 	n := len(items)
 	expected := t.expected(now, c.spec, n)
-	c.last++
+	c.lastBatch++
 	b := &batch{
-		id: c.last, target: t, items: items, started: now, planned: planned(c.spec, n),
+		id: c.lastBatch, target: t, items: items, started: now, planned: planned(c.spec, n),
 		expectedEnd: now.Add(expected), stuckAt: now.Add(stuckAfter(expected)),
 	}
 	c.running[b.id] = b
@@ -180,8 +180,8 @@
 	}
 }
 
-// inspected takes in what a target reports, or that it gave no answer.
-func (c *Core) inspected(now time.Time, ev Inspected) {
+// recordInspection takes in what a target reports, or that it gave no answer.
+func (c *Core) recordInspection(now time.Time, ev Inspected) {
 	t := c.pool.byLife[ev.Target]
 	if t == nil {
 		return
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -9,9 +9,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// finished takes in the end of a batch, also of one that got stuck before. An answer
+// finishBatch takes in the end of a batch, also of one that got stuck before. An answer
 // that is not for the items that were sent counts as a failure.
-func (c *Core) finished(now time.Time, ev Finished) {
+func (c *Core) finishBatch(now time.Time, ev Finished) {
 	done := c.running[ev.Batch]
 	if done == nil {
 		return
@@ -25,7 +25,7 @@
 	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
 		t.failed(now)
 		if ev.Ended {
-			c.countEnd(done)
+			c.recordCrash(done)
 		}
 		c.retryItems(now, done, ev.Err)
 		return
@@ -34,10 +34,10 @@
 	t.answered = true
 	t.slowdown.learn(now, now.Sub(done.started), done.planned)
 	t.speed = speedClass(t.slowdown.at(now))
-	c.clear(done)
+	c.clearCrashes(done)
 	var unused []string
 	for i, out := range ev.Outcomes {
-		if !c.settle(now, done, done.items[i], out) && out.Handle != "" {
+		if !c.applyOutcome(now, done, done.items[i], out) && out.Handle != "" {
 			unused = append(unused, out.Handle)
 		}
 	}
@@ -46,22 +46,22 @@
 	}
 }
 
-// settle takes in the outcome of one item and says whether its result is used. An
+// applyOutcome takes in the outcome of one item and says whether its result is used. An
 // item whose input is gone or whose time is over at the target is not retried: no
 // target could compute it.
-func (c *Core) settle(now time.Time, done *batch, item Item, out Outcome) bool {
+func (c *Core) applyOutcome(now time.Time, done *batch, item Item, out Outcome) bool {
 	t := done.target
 	q := c.items[item.Token]
 	if q == nil {
 		return false
 	}
 	if !done.stuck {
-		q.running--
+		q.runningBatches--
 	}
 	switch out.Status {
 	case Done:
 		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, since: done.started, expires: now.Add(c.spec.ResultTTL)})
-		c.forget(item.Token)
+		c.removeItem(item.Token)
 		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
@@ -81,20 +81,20 @@
 
 // fail ends an item with an error.
 func (c *Core) fail(token Token, err *verdict.Error) {
-	c.forget(token)
+	c.removeItem(token)
 	c.emit(Resolve{Token: token, Err: err})
 }
 
-// countEnd notes that the target of a batch ended with its items, also of one that got
+// recordCrash notes that the target of a batch ended with its items, also of one that got
 // stuck before. A group fails as a whole with an item that ends its targets: what of it
 // waits is not sent first.
-func (c *Core) countEnd(ended *batch) {
+func (c *Core) recordCrash(ended *batch) {
 	for _, item := range ended.items {
 		q := c.items[item.Token]
 		if q == nil {
 			continue
 		}
-		q.ends++
+		q.crashes++
 		if q.endsTargets() {
 			c.failGroup(q.group())
 		}
@@ -111,11 +111,11 @@
 	}
 }
 
-// clear notes that the target of a batch outlived its items.
-func (c *Core) clear(answered *batch) {
+// clearCrashes notes that the target of a batch outlived its items.
+func (c *Core) clearCrashes(answered *batch) {
 	for _, item := range answered.items {
 		if q := c.items[item.Token]; q != nil {
-			q.ends = 0
+			q.crashes = 0
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	for _, item := range failed.items {
 		if q := c.items[item.Token]; q != nil {
-			q.running--
+			q.runningBatches--
 			c.requeue(now, q, err)
 		}
 	}
@@ -151,8 +151,8 @@
 	}
 }
 
-// giveUp takes in that a batch is stuck.
-func (c *Core) giveUp(now time.Time, b *batch) {
+// markStuck takes in that a batch is stuck.
+func (c *Core) markStuck(now time.Time, b *batch) {
 	b.target.failed(now)
 	b.target.slowdown.learn(now, now.Sub(b.started), b.planned)
 	c.retryItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", b.target.ID))
--- a/internal/gateway/batching/retry.go
+++ b/internal/gateway/batching/retry.go
@@ -41,7 +41,7 @@
 		return leave
 	case q.attempts < maxAttempts && spend():
 		return retry
-	case q.running > 0:
+	case q.runningBatches > 0:
 		return leave
 	}
 	return fail
--- a/internal/gateway/batching/retry_test.go
+++ b/internal/gateway/batching/retry_test.go
@@ -17,11 +17,11 @@
 	}{
 		{"An item is retried and takes one retry from the budget", queuedItem{attempts: 1}, 2, retry, 1},
 		{"also after its third batch", queuedItem{attempts: 3}, 2, retry, 1},
-		{"also while another batch holds it", queuedItem{attempts: 2, running: 1}, 2, retry, 1},
+		{"also while another batch holds it", queuedItem{attempts: 2, runningBatches: 1}, 2, retry, 1},
 		{"An item fails after its fourth batch, and takes nothing from the budget", queuedItem{attempts: 4}, 2, fail, 2},
 		{"An item fails when the budget is spent", queuedItem{attempts: 1}, 0, fail, 0},
-		{"An item waits for another batch that holds it when the budget is spent", queuedItem{attempts: 2, running: 1}, 0, leave, 0},
-		{"and when its attempts are", queuedItem{attempts: 4, running: 1}, 2, leave, 2},
+		{"An item waits for another batch that holds it when the budget is spent", queuedItem{attempts: 2, runningBatches: 1}, 0, leave, 0},
+		{"and when its attempts are", queuedItem{attempts: 4, runningBatches: 1}, 2, leave, 2},
 		{"An item that waits already takes nothing from the budget", queuedItem{attempts: 1, queued: true}, 2, leave, 2},
 	} {
 		convey.Convey(c.name, t, func() {
--- a/internal/gateway/batching/suspects.go
+++ b/internal/gateway/batching/suspects.go
@@ -20,7 +20,7 @@
 }
 
 // suspect says whether a target ended with the item.
-func (q *queuedItem) suspect() bool { return q.ends > 0 }
+func (q *queuedItem) suspect() bool { return q.crashes > 0 }
 
 // endsTargets decides whether an item fails because targets ended with it.
 //
@@ -31,7 +31,7 @@
 //
 // A wrong yes fails a request that another target could have served; a wrong no costs one
 // more target, and one more attempt of up to a whole batch of others.
-func (q *queuedItem) endsTargets() bool { return q.ends >= maxEnds }
+func (q *queuedItem) endsTargets() bool { return q.crashes >= maxEnds }
 
 // errEndsTargets is the failure of an item that ends its targets.
 func errEndsTargets() *verdict.Error {
