--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -167,7 +167,7 @@
 
 func (c *Core) submit(now time.Time, ev Submit) {
 	for _, item := range ev.Items {
-		q := &queuedItem{Item: item, queued: true, crashes: endsBefore(item)}
+		q := &queuedItem{Item: item, queued: true, crashes: priorCrashes(item)}
 		c.items[item.Token] = q
 		c.queue = append(c.queue, q)
 		c.plans.remove(item.Request, item.Stage)
@@ -227,7 +227,7 @@
 	c.pool.examined += len(c.pool.targets)
 	for _, t := range c.pool.targets {
 		t.memory.expire(now)
-		t.speed = speedClass(t.slowdown.at(now))
+		t.speedClass = speedClass(t.slowdown.at(now))
 	}
 	c.pool.rest(now)
 	for _, t := range c.pool.targets {
@@ -255,7 +255,7 @@
 	earliest := earliestEnd(now, c.spec)
 	rate := sync.OnceValue(func() capacity { return c.capacity(now) })
 	for before, q := range slices.Clone(c.queue) {
-		if q.runningBatches == 0 && q.pastDue(earliest) && !turnComesInTime(now, c.spec, rate(), before, q.Deadline) {
+		if q.runningBatches == 0 && q.pastDue(earliest) && !canStartInTime(now, c.spec, rate(), before, q.Deadline) {
 			c.stats.Expired++
 			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the %d items before it leave no time", before))
 		}
--- a/internal/gateway/batching/deadline.go
+++ b/internal/gateway/batching/deadline.go
@@ -29,8 +29,8 @@
 	return !end.After(deadline)
 }
 
-// turnComesInTime says whether a past-due item that waits behind a number of others
-// (before, by the order of the queue) can be in a batch early enough to be ready
+// canStartInTime says whether a past-due item that waits behind a number of others
+// (ahead, by the order of the queue) can be in a batch early enough to be ready
 // before its deadline.
 //
 // Its inputs are the rate of all targets and the time until one is idle (capacity), the
@@ -45,10 +45,10 @@
 //
 // Dropping too early refuses requests that could have been answered late; dropping too
 // late holds those that cannot be.
-func turnComesInTime(now time.Time, spec *catalog.Batch, c capacity, before int, deadline time.Time) bool {
+func canStartInTime(now time.Time, spec *catalog.Batch, c capacity, ahead int, deadline time.Time) bool {
 	if c.itemsPerSecond <= 0 {
 		return true
 	}
-	begins := now.Add(c.firstIdle + timeFor(before, c.itemsPerSecond))
+	begins := now.Add(c.firstIdle + timeFor(ahead, c.itemsPerSecond))
 	return !earliestEnd(begins, spec).After(deadline)
 }
--- a/internal/gateway/batching/deadline_test.go
+++ b/internal/gateway/batching/deadline_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestTurnComesInTime goes through when a past-due item is given up before its deadline:
+// TestCanStartInTime goes through when a past-due item is given up before its deadline:
 // the targets take 20 items a second from 100 ms on, and a batch of one takes 260 ms.
-func TestTurnComesInTime(t *testing.T) {
+func TestCanStartInTime(t *testing.T) {
 	rate := capacity{itemsPerSecond: 20, firstIdle: 100 * time.Millisecond}
 	for _, c := range []struct {
 		name   string
@@ -48,7 +48,7 @@
 		{"Without a rate it waits", capacity{}, 10, 0, true},
 	} {
 		convey.Convey(c.name, t, func() {
-			convey.So(turnComesInTime(noon, testSpec(), c.rate, c.before, noon.Add(c.left)), convey.ShouldEqual, c.want)
+			convey.So(canStartInTime(noon, testSpec(), c.rate, c.before, noon.Add(c.left)), convey.ShouldEqual, c.want)
 		})
 	}
 }
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -68,7 +68,7 @@
 	expected := t.expected(now, c.spec, n)
 	c.lastBatch++
 	b := &batch{
-		id: c.lastBatch, target: t, items: items, started: now, planned: planned(c.spec, n),
+		id: c.lastBatch, target: t, items: items, sentAt: now, nominal: planned(c.spec, n),
 		expectedEnd: now.Add(expected), stuckAt: now.Add(stuckAfter(expected)),
 	}
 	c.running[b.id] = b
@@ -79,7 +79,7 @@
 	c.gate.Take(t.Life())
 	c.stats.Batches++
 	c.stats.Items += int64(n)
-	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: timeout(expected), TargetIdle: t.answered})
+	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: sendTimeout(expected), TargetIdle: t.lastBatchAnswered})
 	return true
 }
 
--- a/internal/gateway/batching/eligible.go
+++ b/internal/gateway/batching/eligible.go
@@ -59,13 +59,13 @@
 
 // before says whether the target gets its batch before another one.
 func (t *target) before(other *target) bool {
-	if t.speed != other.speed {
-		return t.speed < other.speed
+	if t.speedClass != other.speedClass {
+		return t.speedClass < other.speedClass
 	}
 	if !t.idleSince.Equal(other.idleSince) {
 		return t.idleSince.Before(other.idleSince)
 	}
-	return t.order < other.order
+	return t.seq < other.seq
 }
 
 // mayTake decides whether a target may take a batch now: when it is listed and does not
@@ -97,7 +97,7 @@
 	for _, place := range p.places {
 		p.examined += len(place.busy.targets)
 		for _, t := range place.busy.targets {
-			if t.running.stuck || t.speed >= idle.speed {
+			if t.running.stuck || t.speedClass >= idle.speedClass {
 				continue
 			}
 			left := max(t.running.expectedEnd.Sub(now), 0)
--- a/internal/gateway/batching/eligible_test.go
+++ b/internal/gateway/batching/eligible_test.go
@@ -11,9 +11,9 @@
 	drains := testTarget("t", "d0")
 	drains.usable = false
 	failed := testTarget("t", "d0")
-	failed.failed(noon.Add(-149 * time.Millisecond))
+	failed.recordFailure(noon.Add(-149 * time.Millisecond))
 	recovered := testTarget("t", "d0")
-	recovered.failed(noon.Add(-150 * time.Millisecond))
+	recovered.recordFailure(noon.Add(-150 * time.Millisecond))
 	stuck := busyTarget("u", "d0", 0)
 	stuck.running.stuck = true
 	gone := busyTarget("u", "d0", 0)
--- a/internal/gateway/batching/estimate_test.go
+++ b/internal/gateway/batching/estimate_test.go
@@ -31,7 +31,7 @@
 		convey.So(s.Backlog, convey.ShouldEqual, backlog)
 	}
 	backsOff := testTarget("b", "d0")
-	backsOff.failed(noon)
+	backsOff.recordFailure(noon)
 	drains := testTarget("d", "d0")
 	drains.usable = false
 	convey.Convey("Without a catalog nothing is known", t, func() {
--- a/internal/gateway/batching/fill.go
+++ b/internal/gateway/batching/fill.go
@@ -29,7 +29,7 @@
 	items int
 	// available is the result memory in bytes that is left.
 	available int64
-	suspects  suspects
+	suspects  suspectFilter
 }
 
 func newFilling(near *nearness, t *target) *filling {
@@ -128,7 +128,7 @@
 
 // take adds an amount of an item's group.
 func (f *filling) take(q *queuedItem, a amount) {
-	f.suspects.take(q)
+	f.suspects.add(q)
 	f.items += a.items
 	f.available -= a.bytes
 }
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -23,17 +23,17 @@
 	c.pool.sort(t)
 	t.memory.endReservation()
 	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
-		t.failed(now)
+		t.recordFailure(now)
 		if ev.Ended {
 			c.recordCrash(done)
 		}
 		c.retryItems(now, done, ev.Err)
 		return
 	}
-	t.backoff.answered()
-	t.answered = true
-	t.slowdown.learn(now, now.Sub(done.started), done.planned)
-	t.speed = speedClass(t.slowdown.at(now))
+	t.backoff.recordSuccess()
+	t.lastBatchAnswered = true
+	t.slowdown.learn(now, now.Sub(done.sentAt), done.nominal)
+	t.speedClass = speedClass(t.slowdown.at(now))
 	c.clearCrashes(done)
 	var unused []string
 	for i, out := range ev.Outcomes {
@@ -60,7 +60,7 @@
 	}
 	switch out.Status {
 	case Done:
-		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, since: done.started, expires: now.Add(c.spec.ResultTTL)})
+		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, since: done.sentAt, expires: now.Add(c.spec.ResultTTL)})
 		c.removeItem(item.Token)
 		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
@@ -70,7 +70,7 @@
 		c.stats.Expired++
 		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
 	case NoMemory:
-		t.backoff.noMemory(now)
+		t.backoff.recordNoMemory(now)
 		t.inspection.again(now)
 		c.requeue(now, q, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
 	case Failed:
@@ -95,7 +95,7 @@
 			continue
 		}
 		q.crashes++
-		if q.endsTargets() {
+		if q.crashesTargets() {
 			c.failGroup(q.group())
 		}
 	}
@@ -106,7 +106,7 @@
 	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.Token, b.Token) }) {
 		if q.group() == group {
 			c.stats.Refused++
-			c.fail(q.Token, errEndsTargets())
+			c.fail(q.Token, errCrashesTargets())
 		}
 	}
 }
@@ -153,8 +153,8 @@
 
 // markStuck takes in that a batch is stuck.
 func (c *Core) markStuck(now time.Time, b *batch) {
-	b.target.failed(now)
-	b.target.slowdown.learn(now, now.Sub(b.started), b.planned)
+	b.target.recordFailure(now)
+	b.target.slowdown.learn(now, now.Sub(b.sentAt), b.nominal)
 	c.retryItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", b.target.ID))
 	b.stuck = true
 }
--- a/internal/gateway/batching/locality_test.go
+++ b/internal/gateway/batching/locality_test.go
@@ -11,7 +11,7 @@
 	// A full batch takes 320 ms.
 	const due = 2 * time.Second
 	backsOff := testTarget("n", "d0")
-	backsOff.failed(noon)
+	backsOff.recordFailure(noon)
 	drains := testTarget("n", "d0")
 	drains.usable = false
 	stuck := busyTarget("n", "d0", 100*time.Millisecond)
--- a/internal/gateway/batching/order.go
+++ b/internal/gateway/batching/order.go
@@ -39,7 +39,7 @@
 	aPastDue, bPastDue := a.pastDue(earliest), b.pastDue(earliest)
 	switch {
 	case aPastDue == bPastDue:
-		return cmp.Compare(a.rank(), b.rank())
+		return cmp.Compare(a.sortKey(), b.sortKey())
 	case aPastDue:
 		return 1
 	default:
@@ -50,8 +50,8 @@
 // pastDue says whether the item cannot be ready when it is due any more.
 func (q *queuedItem) pastDue(earliest time.Time) bool { return earliest.After(q.Due) }
 
-// rank is the due time with regard to the priority, in nanoseconds since 1970.
-func (q *queuedItem) rank() int64 {
+// sortKey is the due time with regard to the priority, in nanoseconds since 1970.
+func (q *queuedItem) sortKey() int64 {
 	return q.Due.Add(time.Duration(q.Priority) * priorityStep).UnixNano()
 }
 
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -69,7 +69,7 @@
 // add takes in a target. One that started again under its identity is another: the
 // results of its earlier life are gone.
 func (p *pool) add(t *target) {
-	t.order = len(p.targets)
+	t.seq = len(p.targets)
 	if earlier := p.newest[t.ID]; earlier != nil {
 		earlier.memory.lose()
 	}
@@ -83,8 +83,8 @@
 func (p *pool) prune() {
 	kept := p.targets[:0]
 	for _, t := range p.targets {
-		if !t.forgettable() {
-			t.order = len(kept)
+		if !t.removable() {
+			t.seq = len(kept)
 			kept = append(kept, t)
 			continue
 		}
@@ -163,7 +163,7 @@
 	for _, place := range p.places {
 		p.examined += len(place.idle.targets)
 		for i := len(place.idle.targets) - 1; i >= 0; i-- {
-			if t := place.idle.targets[i]; t.rested(now) {
+			if t := place.idle.targets[i]; t.idleExpired(now) {
 				t.inspection, t.slowdown = inspection{}, newSlowdown()
 				p.sort(t)
 			}
--- a/internal/gateway/batching/rules_test.go
+++ b/internal/gateway/batching/rules_test.go
@@ -37,7 +37,7 @@
 func slowTarget(id string, factor float64) *target {
 	t := testTarget(id, "d0")
 	t.slowdown = slowdown{factor: factor, learntAt: noon}
-	t.speed = speedClass(factor)
+	t.speedClass = speedClass(factor)
 	return t
 }
 
--- a/internal/gateway/batching/stuck.go
+++ b/internal/gateway/batching/stuck.go
@@ -30,13 +30,13 @@
 	return time.Duration(stuckFactor*float64(expected)) + stuckExtra
 }
 
-// timeout returns the longest that the sending of a batch may take, answer included.
+// sendTimeout returns the longest that the sending of a batch may take, answer included.
 // It frees the target for other batches when no answer ever comes; the items were
 // retried long before.
 //
 // Too short a time sends a target a second batch while it runs the first; too long
 // a time leaves a target unused that lost the batch.
-func timeout(expected time.Duration) time.Duration {
+func sendTimeout(expected time.Duration) time.Duration {
 	return timeoutFactor * stuckAfter(expected)
 }
 
--- a/internal/gateway/batching/stuck_test.go
+++ b/internal/gateway/batching/stuck_test.go
@@ -16,7 +16,7 @@
 		convey.Convey("A batch that should take "+c.expected.String(), t, func() {
 			convey.So(stuckAfter(c.expected), convey.ShouldEqual, c.stuck)
 			convey.Convey("is awaited for three times as long as until it counts as stuck", func() {
-				convey.So(timeout(c.expected), convey.ShouldEqual, c.timeout)
+				convey.So(sendTimeout(c.expected), convey.ShouldEqual, c.timeout)
 			})
 		})
 	}
--- a/internal/gateway/batching/suspects.go
+++ b/internal/gateway/batching/suspects.go
@@ -6,40 +6,40 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// maxEnds is how many targets may end with an item: the second one ends it. Targets end
+// maxCrashes is how many targets may end with an item: the second one ends it. Targets end
 // for other reasons too, so that one may be chance; each further one costs a target and
 // a batch of other requests' items.
-const maxEnds = 2
+const maxCrashes = 2
 
-// endsBefore is how many targets an item counts as having ended when it is submitted.
-func endsBefore(item Item) int {
+// priorCrashes is how many targets an item counts as having ended when it is submitted.
+func priorCrashes(item Item) int {
 	if item.Suspect {
-		return maxEnds - 1
+		return maxCrashes - 1
 	}
 	return 0
 }
 
-// suspect says whether a target ended with the item.
-func (q *queuedItem) suspect() bool { return q.crashes > 0 }
+// isSuspect says whether a target ended with the item.
+func (q *queuedItem) isSuspect() bool { return q.crashes > 0 }
 
-// endsTargets decides whether an item fails because targets ended with it.
+// crashesTargets decides whether an item fails because targets ended with it.
 //
 // Its input is the number of targets that ended while they had the item, with the one of
 // an earlier request that asked for the same. A batch has items of many requests, and its
 // target ends with all of them; those of two requests that are suspected never share a
-// batch again (suspects.allows), so that the second end speaks against one request alone.
+// batch again (suspectFilter.allows), so that the second end speaks against one request alone.
 //
 // A wrong yes fails a request that another target could have served; a wrong no costs one
 // more target, and one more attempt of up to a whole batch of others.
-func (q *queuedItem) endsTargets() bool { return q.crashes >= maxEnds }
+func (q *queuedItem) crashesTargets() bool { return q.crashes >= maxCrashes }
 
-// errEndsTargets is the failure of an item that ends its targets.
-func errEndsTargets() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets ended when they had the item", maxEnds)
+// errCrashesTargets is the failure of an item that ends its targets.
+func errCrashesTargets() *verdict.Error {
+	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets ended when they had the item", maxCrashes)
 }
 
-// suspects decides which suspected items one batch takes.
-type suspects struct {
+// suspectFilter decides which suspected items one batch takes.
+type suspectFilter struct {
 	// request is that whose suspected items the batch has; empty for none.
 	request string
 	// running are the batches that have not ended.
@@ -50,14 +50,14 @@
 // request's are, nor while another batch has items of its request: of fourteen items of
 // four requests, one of them bad, all were part of up to four batches that failed, and
 // four targets ended for each of the bad one's items.
-func (s suspects) allows(q *queuedItem) bool {
-	if !q.suspect() {
+func (s suspectFilter) allows(q *queuedItem) bool {
+	if !q.isSuspect() {
 		return true
 	}
 	return (s.request == "" || s.request == q.Request) && !s.isRunning(q.Request)
 }
 
-func (s suspects) isRunning(request string) bool {
+func (s suspectFilter) isRunning(request string) bool {
 	for _, b := range s.running {
 		if !b.stuck && slices.ContainsFunc(b.items, func(i Item) bool { return i.Request == request }) {
 			return true
@@ -66,9 +66,9 @@
 	return false
 }
 
-// take notes an item that goes into the batch.
-func (s *suspects) take(q *queuedItem) {
-	if q.suspect() {
+// add notes an item that goes into the batch.
+func (s *suspectFilter) add(q *queuedItem) {
+	if q.isSuspect() {
 		s.request = q.Request
 	}
 }
--- a/internal/gateway/batching/targetbackoff.go
+++ b/internal/gateway/batching/targetbackoff.go
@@ -36,14 +36,14 @@
 // active says whether the target is to be left unused.
 func (b *targetBackoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// failed takes in a batch that failed or is stuck.
-func (b *targetBackoff) failed(now time.Time) {
+// recordFailure takes in a batch that failed or is stuck.
+func (b *targetBackoff) recordFailure(now time.Time) {
 	b.until = now.Add(failureBackoff.After(b.failures))
 	b.failures++
 }
 
-// answered takes in a batch that ended with its answer.
-func (b *targetBackoff) answered() { b.failures = 0 }
+// recordSuccess takes in a batch that ended with its answer.
+func (b *targetBackoff) recordSuccess() { b.failures = 0 }
 
-// noMemory takes in an item that the target had no memory for.
-func (b *targetBackoff) noMemory(now time.Time) { b.until = now.Add(noMemoryBackoff) }
+// recordNoMemory takes in an item that the target had no memory for.
+func (b *targetBackoff) recordNoMemory(now time.Time) { b.until = now.Add(noMemoryBackoff) }
--- a/internal/gateway/batching/targetbackoff_test.go
+++ b/internal/gateway/batching/targetbackoff_test.go
@@ -19,29 +19,29 @@
 		convey.Convey("without trouble is used", func() { convey.So(b.active(noon), convey.ShouldBeFalse) })
 		convey.Convey("is left unused for twice as long after each failure in a row, up to 2 s", func() {
 			for _, ms := range []time.Duration{150, 300, 600, 1200, 2000, 2000} {
-				b.failed(noon)
+				b.recordFailure(noon)
 				shouldBackOffFor(&b, ms*time.Millisecond)
 			}
 		})
 		convey.Convey("that answers starts anew", func() {
-			b.failed(noon)
-			b.failed(noon)
-			b.answered()
-			b.failed(noon)
+			b.recordFailure(noon)
+			b.recordFailure(noon)
+			b.recordSuccess()
+			b.recordFailure(noon)
 			shouldBackOffFor(&b, 150*time.Millisecond)
 		})
 		convey.Convey("without memory is left unused for 80 ms", func() {
-			b.noMemory(noon)
+			b.recordNoMemory(noon)
 			shouldBackOffFor(&b, 80*time.Millisecond)
 			convey.Convey("each time, as it does not fail", func() {
-				b.noMemory(noon)
+				b.recordNoMemory(noon)
 				shouldBackOffFor(&b, 80*time.Millisecond)
 			})
 		})
 		convey.Convey("whose late answer lacks memory after it got stuck is used after 80 ms", func() {
-			b.failed(noon)
-			b.answered()
-			b.noMemory(noon)
+			b.recordFailure(noon)
+			b.recordSuccess()
+			b.recordNoMemory(noon)
 			shouldBackOffFor(&b, 80*time.Millisecond)
 		})
 	})
