--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -73,7 +73,7 @@
 // New returns a core without targets.
 func New(budget retrybudget.Policy, opts ...Option) *Core {
 	c := &Core{
-		gate:    openGate{},
+		gate:    allowAllGate{},
 		pool:    newPool(),
 		items:   map[Token]*queuedItem{},
 		running: map[BatchID]*batch{},
@@ -200,7 +200,7 @@
 	}
 	for _, h := range handles {
 		if r, known := t.memory.stored[h]; known {
-			c.retention.learn(now, r)
+			c.retention.observe(now, r)
 		}
 		t.memory.release(h)
 	}
@@ -227,7 +227,7 @@
 	c.pool.examined += len(c.pool.targets)
 	for _, t := range c.pool.targets {
 		t.memory.expire(now)
-		t.speedClass = speedClass(t.slowdown.at(now))
+		t.speedClass = speedClassOf(t.slowdown.at(now))
 	}
 	c.pool.rest(now)
 	for _, t := range c.pool.targets {
--- a/internal/gateway/batching/deadline.go
+++ b/internal/gateway/batching/deadline.go
@@ -49,6 +49,6 @@
 	if c.itemsPerSecond <= 0 {
 		return true
 	}
-	begins := now.Add(c.firstIdle + timeFor(ahead, c.itemsPerSecond))
+	begins := now.Add(c.firstIdle + durationFor(ahead, c.itemsPerSecond))
 	return !earliestEnd(begins, spec).After(deadline)
 }
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -25,11 +25,11 @@
 	for len(list) > 0 && len(c.queue) > 0 {
 		var t *target
 		c.pool.examined += len(list)
-		t, list = takeNext(list)
+		t, list = popBest(list)
 		if memory, tried := inVain[t.DataCentre]; tried && t.available(now, c.spec) <= memory {
 			continue
 		}
-		if c.pool.fasterTakeAll(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, coordinates) || !c.gate.Allows(t.Life()) {
+		if c.pool.fasterTargetsSuffice(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, coordinates) || !c.gate.Allows(t.Life()) {
 			continue
 		}
 		if c.start(near, t) {
@@ -65,10 +65,10 @@
 		items[i] = q.Item
 	}
 	n := len(items)
-	expected := t.expected(now, c.spec, n)
+	expected := t.expectedDuration(now, c.spec, n)
 	c.lastBatch++
 	b := &batch{
-		id: c.lastBatch, target: t, items: items, sentAt: now, nominal: planned(c.spec, n),
+		id: c.lastBatch, target: t, items: items, sentAt: now, nominal: nominalDuration(c.spec, n),
 		expectedEnd: now.Add(expected), stuckAt: now.Add(stuckAfter(expected)),
 	}
 	c.running[b.id] = b
--- a/internal/gateway/batching/eligible.go
+++ b/internal/gateway/batching/eligible.go
@@ -7,21 +7,21 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// speedStep is the factor by which the learnt slowdowns of two targets differ that count
+// speedClassRatio is the factor by which the learnt slowdowns of two targets differ that count
 // as one faster than the other, about a fifth of a batch's time. The way to a target and
 // the time of its connection are in what was learnt, so that the used targets of one
 // speed differ by some percent; taking the fastest of them all prefers those that were
 // never used, each at a new connection.
-const speedStep = 1.2
+const speedClassRatio = 1.2
 
 // candidates returns the targets that may take a batch now, as far as they say themselves
-// (mayTake), in no particular order.
+// (eligible), in no particular order.
 func (p *pool) candidates(now time.Time) []*target {
 	var list []*target
 	for _, place := range p.places {
 		p.examined += len(place.idle.targets)
 		for _, t := range place.idle.targets {
-			if t.mayTake(now) {
+			if t.eligible(now) {
 				list = append(list, t)
 			}
 		}
@@ -29,14 +29,14 @@
 	return list
 }
 
-// speedClass numbers the classes of slowdowns; the middle of class 0 is the catalog's
+// speedClassOf numbers the classes of slowdowns; the middle of class 0 is the catalog's
 // speed.
-func speedClass(slowdown float64) int {
-	return int(math.Round(math.Log(slowdown) / math.Log(speedStep)))
+func speedClassOf(slowdown float64) int {
+	return int(math.Round(math.Log(slowdown) / math.Log(speedClassRatio)))
 }
 
-// takeNext takes the candidate out of a list that gets its batch first: the fastest by
-// speedStep, of those the one that has been idle for longest, and then the first listed.
+// popBest takes the candidate out of a list that gets its batch first: the fastest by
+// speedClassRatio, of those the one that has been idle for longest, and then the first listed.
 // The first gets the first items of the queue, and the batch of a fast one ends sooner.
 // Speeds are learnt (slowdown) and as old as the target's last batch.
 //
@@ -45,10 +45,10 @@
 // candidates, almost each call went to a target that had never been called: 3,600 calls
 // of a service to 1,152 targets opened some 3,000 connections. The longest idle one first
 // spreads the calls over data centres, and leaves results the time to be released.
-func takeNext(list []*target) (*target, []*target) {
+func popBest(list []*target) (*target, []*target) {
 	best := 0
 	for i := range list {
-		if list[i].before(list[best]) {
+		if list[i].precedes(list[best]) {
 			best = i
 		}
 	}
@@ -57,8 +57,8 @@
 	return chosen, list[:last]
 }
 
-// before says whether the target gets its batch before another one.
-func (t *target) before(other *target) bool {
+// precedes says whether the target gets its batch before another one.
+func (t *target) precedes(other *target) bool {
 	if t.speedClass != other.speedClass {
 		return t.speedClass < other.speedClass
 	}
@@ -68,18 +68,18 @@
 	return t.seq < other.seq
 }
 
-// mayTake decides whether a target may take a batch now: when it is listed and does not
+// eligible decides whether a target may take a batch now: when it is listed and does not
 // drain, runs no batch, not even a stuck one, does not back off (targetBackoff), and is
 // known not to work for others (inspection).
 //
 // A second batch at a busy target would only wait there, out of reach of targets
 // that fall idle meanwhile. Taking a target that should be left out costs retries
 // or late items; leaving one out costs its capacity.
-func (t *target) mayTake(now time.Time) bool {
+func (t *target) eligible(now time.Time) bool {
 	return t.usable && t.running == nil && !t.backoff.active(now) && !t.inspection.blocks()
 }
 
-// fasterTakeAll says whether the queue is better off without a slow idle target:
+// fasterTargetsSuffice says whether the queue is better off without a slow idle target:
 // targets that are busy now would end their batch and one more item before the idle
 // one ends a batch of one item, and their next batches can take all that is queued.
 //
@@ -91,8 +91,8 @@
 //
 // With a wrong yes a target idles while items wait, with a wrong no items wait for
 // a batch that ends later than it had to.
-func (p *pool) fasterTakeAll(now time.Time, spec *catalog.Batch, idle *target, queued int) bool {
-	idleEnd := idle.expectedShortest(now, spec)
+func (p *pool) fasterTargetsSuffice(now time.Time, spec *catalog.Batch, idle *target, queued int) bool {
+	idleEnd := idle.expectedSingle(now, spec)
 	capacity := 0
 	for _, place := range p.places {
 		p.examined += len(place.busy.targets)
@@ -101,7 +101,7 @@
 				continue
 			}
 			left := max(t.running.expectedEnd.Sub(now), 0)
-			if left+t.expectedShortest(now, spec) < idleEnd {
+			if left+t.expectedSingle(now, spec) < idleEnd {
 				capacity += spec.MaxItems
 			}
 		}
--- a/internal/gateway/batching/eligible_test.go
+++ b/internal/gateway/batching/eligible_test.go
@@ -46,7 +46,7 @@
 	} {
 		convey.Convey(c.name, t, func() {
 			p := poolOf(append([]*target{c.target}, c.others...)...)
-			may := c.target.mayTake(noon) && !p.fasterTakeAll(noon, testSpec(), c.target, c.queued)
+			may := c.target.eligible(noon) && !p.fasterTargetsSuffice(noon, testSpec(), c.target, c.queued)
 			convey.So(may, convey.ShouldEqual, c.want)
 		})
 	}
@@ -55,7 +55,7 @@
 		var ids []string
 		var next *target
 		for left := poolOf(list...).candidates(noon); len(left) > 0; {
-			next, left = takeNext(left)
+			next, left = popBest(left)
 			ids = append(ids, next.ID)
 		}
 		convey.So(ids, convey.ShouldResemble, []string{"fast", "a", "b", "slow"})
--- a/internal/gateway/batching/estimate.go
+++ b/internal/gateway/batching/estimate.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// memoryInUse is the fraction of the result memory that is used on average when it
+	// memoryUtilisation is the fraction of the result memory that is used on average when it
 	// bounds the rate; the rest is free between batches, whose memory is reserved and
 	// released as a whole. In the logged states of a service that was short of memory 0.8
 	// was in use. A higher figure admits more than the service carries.
-	memoryInUse = 0.8
+	memoryUtilisation = 0.8
 	// retentionWeight is the weight of the newest released result in the learnt retention,
 	// as a fraction: twenty releases, a second or less of a busy service, make up two
 	// thirds of it. Twice as much follows single batches, half as much lags behind a burst
@@ -74,14 +74,14 @@
 	}
 	if s.ItemsPerSecond > 0 {
 		onTime := s.Waiting - s.PastDue
-		s.Backlog = firstIdle + timeFor(onTime+s.Planned, s.ItemsPerSecond)
-		s.Wait = firstIdle + timeFor(onTime, s.ItemsPerSecond)
+		s.Backlog = firstIdle + durationFor(onTime+s.Planned, s.ItemsPerSecond)
+		s.Wait = firstIdle + durationFor(onTime, s.ItemsPerSecond)
 	}
 	return s
 }
 
-// timeFor returns how long a number of items takes at a rate.
-func timeFor(items int, perSecond float64) time.Duration {
+// durationFor returns how long a number of items takes at a rate.
+func durationFor(items int, perSecond float64) time.Duration {
 	return time.Duration(float64(items) / perSecond * float64(time.Second))
 }
 
@@ -100,7 +100,7 @@
 	}
 	unknown := c.pool.unknown()
 	s.Targets += unknown
-	s.ItemsPerSecond += catalogRate(spec, unknown)
+	s.ItemsPerSecond += nominalRate(spec, unknown)
 	s.MemoryBytes = int64(s.Targets) * spec.MemoryBytes
 	if unknown > 0 {
 		firstIdle = 0
@@ -117,7 +117,7 @@
 		s.BackingOff++
 		return math.MaxInt64
 	}
-	s.ItemsPerSecond += c.rateOf(now, spec, t)
+	s.ItemsPerSecond += c.limitedRate(now, spec, t)
 	if t.running == nil {
 		return 0
 	}
@@ -143,7 +143,7 @@
 // it counts targets that back off, as they will be back soon.
 func (c *Core) capacity(now time.Time) capacity {
 	unknown := c.pool.unknown()
-	most := capacity{firstIdle: math.MaxInt64, itemsPerSecond: catalogRate(c.spec, unknown)}
+	most := capacity{firstIdle: math.MaxInt64, itemsPerSecond: nominalRate(c.spec, unknown)}
 	if unknown > 0 {
 		most.firstIdle = 0
 	}
@@ -157,7 +157,7 @@
 				left = max(t.running.expectedEnd.Sub(now), 0)
 			}
 			most.firstIdle = min(most.firstIdle, left)
-			most.itemsPerSecond += c.rateOf(now, c.spec, t)
+			most.itemsPerSecond += c.limitedRate(now, c.spec, t)
 		}
 	}
 	if bound := c.retention.itemsPerSecond(int64(usable) * c.spec.MemoryBytes); bound > 0 {
@@ -184,9 +184,9 @@
 	bytes   float64
 }
 
-// learn takes in a released result.
-func (r *retention) learn(now time.Time, released storedResult) {
-	r.seconds += retentionWeight * (now.Sub(released.since).Seconds() - r.seconds)
+// observe takes in a released result.
+func (r *retention) observe(now time.Time, released storedResult) {
+	r.seconds += retentionWeight * (now.Sub(released.sentAt).Seconds() - r.seconds)
 	r.bytes += retentionWeight * (float64(released.bytes) - r.bytes)
 }
 
@@ -196,5 +196,5 @@
 	if r.seconds <= 0 || r.bytes <= 0 {
 		return 0
 	}
-	return memoryInUse * float64(memoryBytes) / (r.bytes * r.seconds)
+	return memoryUtilisation * float64(memoryBytes) / (r.bytes * r.seconds)
 }
--- a/internal/gateway/batching/estimate_test.go
+++ b/internal/gateway/batching/estimate_test.go
@@ -99,7 +99,7 @@
 	})
 	convey.Convey("A released result weighs a twentieth, in time and size", t, func() {
 		r := retention{seconds: 1, bytes: 100}
-		r.learn(noon, storedResult{bytes: 300, since: noon.Add(-3 * time.Second)})
+		r.observe(noon, storedResult{bytes: 300, sentAt: noon.Add(-3 * time.Second)})
 		shouldBeAbout(r.seconds, 1.1)
 		shouldBeAbout(r.bytes, 110)
 		convey.Convey("and 0.8 of the memory serves results of that time and size", func() {
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -32,8 +32,8 @@
 	}
 	t.backoff.recordSuccess()
 	t.lastBatchAnswered = true
-	t.slowdown.learn(now, now.Sub(done.sentAt), done.nominal)
-	t.speedClass = speedClass(t.slowdown.at(now))
+	t.slowdown.observe(now, now.Sub(done.sentAt), done.nominal)
+	t.speedClass = speedClassOf(t.slowdown.at(now))
 	c.clearCrashes(done)
 	var unused []string
 	for i, out := range ev.Outcomes {
@@ -60,7 +60,7 @@
 	}
 	switch out.Status {
 	case Done:
-		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, since: done.sentAt, expires: now.Add(c.spec.ResultTTL)})
+		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, sentAt: done.sentAt, expiresAt: now.Add(c.spec.ResultTTL)})
 		c.removeItem(item.Token)
 		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
@@ -154,7 +154,7 @@
 // markStuck takes in that a batch is stuck.
 func (c *Core) markStuck(now time.Time, b *batch) {
 	b.target.recordFailure(now)
-	b.target.slowdown.learn(now, now.Sub(b.sentAt), b.nominal)
+	b.target.slowdown.observe(now, now.Sub(b.sentAt), b.nominal)
 	c.retryItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", b.target.ID))
 	b.stuck = true
 }
--- a/internal/gateway/batching/gate.go
+++ b/internal/gateway/batching/gate.go
@@ -19,15 +19,15 @@
 	Bound(target directory.Life) (perSecond float64, limited bool)
 }
 
-// openGate is that of targets which ask for nothing.
-type openGate struct{}
+// allowAllGate is that of targets which ask for nothing.
+type allowAllGate struct{}
 
-func (openGate) Allows(directory.Life) bool           { return true }
-func (openGate) Take(directory.Life) bool             { return true }
-func (openGate) Bound(directory.Life) (float64, bool) { return 0, false }
+func (allowAllGate) Allows(directory.Life) bool           { return true }
+func (allowAllGate) Take(directory.Life) bool             { return true }
+func (allowAllGate) Bound(directory.Life) (float64, bool) { return 0, false }
 
-// rateOf is how many items a second a target computes in full batches, as many as it takes.
-func (c *Core) rateOf(now time.Time, spec *catalog.Batch, t *target) float64 {
+// limitedRate is how many items a second a target computes in full batches, as many as it takes.
+func (c *Core) limitedRate(now time.Time, spec *catalog.Batch, t *target) float64 {
 	takes := math.Inf(1)
 	if calls, limited := c.gate.Bound(t.Life()); limited {
 		takes = calls * float64(spec.MaxItems)
--- a/internal/gateway/batching/locality.go
+++ b/internal/gateway/batching/locality.go
@@ -68,7 +68,7 @@
 	}
 	var first time.Time
 	if place.unknown() > 0 {
-		first = n.now.Add(planned(n.spec, n.spec.MaxItems))
+		first = n.now.Add(nominalDuration(n.spec, n.spec.MaxItems))
 	}
 	for _, list := range []*targetList{&place.idle, &place.busy} {
 		n.pool.examined += len(list.targets)
--- a/internal/gateway/batching/memory.go
+++ b/internal/gateway/batching/memory.go
@@ -6,19 +6,19 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// memoryShare is the fraction of a target's result memory that is planned with: the
+// usableMemoryFraction is the fraction of a target's result memory that is planned with: the
 // size of a result is only an estimate. With all of it worth fell by 0.012, as targets
 // refused items for want of memory.
-const memoryShare = 0.95
+const usableMemoryFraction = 0.95
 
 // storedResult is a result in the memory of the target that computed it.
 type storedResult struct {
 	// bytes is the estimate that the item came with.
 	bytes int64
-	// since is when the batch that computed it was sent.
-	since time.Time
-	// expires is when the target drops it by itself.
-	expires time.Time
+	// sentAt is when the batch that computed it was sent.
+	sentAt time.Time
+	// expiresAt is when the target drops it by itself.
+	expiresAt time.Time
 }
 
 // resultMemory is the account of one target's memory for results. Create it with
@@ -48,7 +48,7 @@
 
 // available returns how many bytes a new batch may use; it may be negative.
 func (m *resultMemory) available(spec *catalog.Batch) int64 {
-	return int64(memoryShare*float64(spec.MemoryBytes)) - m.storedBytes - m.reservedBytes
+	return int64(usableMemoryFraction*float64(spec.MemoryBytes)) - m.storedBytes - m.reservedBytes
 }
 
 // used returns how many bytes are stored or reserved.
@@ -72,8 +72,8 @@
 	m.storedBytes += r.bytes
 }
 
-// lose drops all results.
-func (m *resultMemory) lose() {
+// dropAll drops all results.
+func (m *resultMemory) dropAll() {
 	clear(m.stored)
 	m.storedBytes = 0
 }
@@ -92,7 +92,7 @@
 // expire drops the results that the target has dropped by itself.
 func (m *resultMemory) expire(now time.Time) {
 	for handle, r := range m.stored {
-		if !now.Before(r.expires) {
+		if !now.Before(r.expiresAt) {
 			m.release(handle)
 		}
 	}
--- a/internal/gateway/batching/memory_test.go
+++ b/internal/gateway/batching/memory_test.go
@@ -24,7 +24,7 @@
 			})
 		})
 		convey.Convey("is used by a stored result", func() {
-			m.store("h", storedResult{bytes: 400, since: noon, expires: noon.Add(time.Second)})
+			m.store("h", storedResult{bytes: 400, sentAt: noon, expiresAt: noon.Add(time.Second)})
 			shouldLeave(&m, 550, 400)
 			convey.So(m.empty(), convey.ShouldBeFalse)
 			convey.Convey("until it is released, which counts once", func() {
--- a/internal/gateway/batching/order.go
+++ b/internal/gateway/batching/order.go
@@ -58,5 +58,5 @@
 // earliestEnd is when an item that is sent now can be ready, by the catalog: at
 // the end of a batch of one item. It must not be asked before the catalog is known.
 func earliestEnd(now time.Time, spec *catalog.Batch) time.Time {
-	return now.Add(planned(spec, 1))
+	return now.Add(nominalDuration(spec, 1))
 }
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -71,7 +71,7 @@
 func (p *pool) add(t *target) {
 	t.seq = len(p.targets)
 	if earlier := p.newest[t.ID]; earlier != nil {
-		earlier.memory.lose()
+		earlier.memory.dropAll()
 	}
 	p.newest[t.ID] = t
 	p.byLife[t.Life()] = t
@@ -171,7 +171,7 @@
 	}
 }
 
-// catalogRate is how many items a second n targets can compute at the catalog's speed.
-func catalogRate(spec *catalog.Batch, n int) float64 {
-	return float64(n*spec.MaxItems) / planned(spec, spec.MaxItems).Seconds()
+// nominalRate is how many items a second n targets can compute at the catalog's speed.
+func nominalRate(spec *catalog.Batch, n int) float64 {
+	return float64(n*spec.MaxItems) / nominalDuration(spec, spec.MaxItems).Seconds()
 }
--- a/internal/gateway/batching/rules_test.go
+++ b/internal/gateway/batching/rules_test.go
@@ -36,8 +36,8 @@
 // slowTarget is a usable target without work that was just found to be slow.
 func slowTarget(id string, factor float64) *target {
 	t := testTarget(id, "d0")
-	t.slowdown = slowdown{factor: factor, learntAt: noon}
-	t.speedClass = speedClass(factor)
+	t.slowdown = slowdown{factor: factor, updatedAt: noon}
+	t.speedClass = speedClassOf(factor)
 	return t
 }
 
--- a/internal/gateway/batching/slowdown.go
+++ b/internal/gateway/batching/slowdown.go
@@ -16,8 +16,8 @@
 	// of it sends a slow target a batch twice as often; twice as long leaves a target idle
 	// that has recovered.
 	slowdownHalfLife = 4 * time.Second
-	// keptPerHalfLife is what a half-life leaves, by its definition.
-	keptPerHalfLife = 0.5
+	// decayPerHalfLife is what a half-life leaves, by its definition.
+	decayPerHalfLife = 0.5
 	// minSlowdown is the least that one batch may teach, as a factor of the catalog's
 	// time, so that a single odd measurement, such as an answer of refused items, does not
 	// decide for long.
@@ -30,7 +30,7 @@
 // catalog says its batches take. 1 is as fast as the catalog says, more is
 // slower. Create it with newSlowdown.
 //
-// It decides how long a batch should take at a target (expected), and through
+// It decides how long a batch should take at a target (expectedDuration), and through
 // that which target is preferred, when a batch counts as stuck and how large the
 // backlog is. Its input is the time that batches took, from their sending to
 // their answer; a batch that counts as stuck teaches the time that it has
@@ -43,52 +43,52 @@
 // one that is too low sends items to a slow target and retries them for nothing.
 type slowdown struct {
 	// factor is the value at learntAt.
-	factor   float64
-	learntAt time.Time
+	factor    float64
+	updatedAt time.Time
 }
 
 func newSlowdown() slowdown { return slowdown{factor: 1} }
 
 // at returns the slowdown as of now.
 func (s *slowdown) at(now time.Time) float64 {
-	age := now.Sub(s.learntAt)
-	if s.learntAt.IsZero() || age <= 0 {
+	age := now.Sub(s.updatedAt)
+	if s.updatedAt.IsZero() || age <= 0 {
 		return s.factor
 	}
 	kept := 1.0
 	for age > slowdownHalfLife {
-		kept *= keptPerHalfLife
+		kept *= decayPerHalfLife
 		age -= slowdownHalfLife
 	}
 	// Within a half-life it is linear.
-	kept *= 1 - (1-keptPerHalfLife)*float64(age)/float64(slowdownHalfLife)
+	kept *= 1 - (1-decayPerHalfLife)*float64(age)/float64(slowdownHalfLife)
 	return 1 + (s.factor-1)*kept
 }
 
-// learn takes in a batch that took a time and should have taken another by the
+// observe takes in a batch that took a time and should have taken another by the
 // catalog.
-func (s *slowdown) learn(now time.Time, took, planned time.Duration) {
-	newest := min(max(float64(took)/float64(planned), minSlowdown), maxSlowdown)
+func (s *slowdown) observe(now time.Time, took, nominal time.Duration) {
+	newest := min(max(float64(took)/float64(nominal), minSlowdown), maxSlowdown)
 	s.factor = s.at(now)*(1-slowdownWeight) + newest*slowdownWeight
-	s.learntAt = now
+	s.updatedAt = now
 }
 
-// planned returns how long a batch of n items should take by the catalog.
-func planned(spec *catalog.Batch, n int) time.Duration {
+// nominalDuration returns how long a batch of n items should take by the catalog.
+func nominalDuration(spec *catalog.Batch, n int) time.Duration {
 	return spec.CallLatency + time.Duration(n)*spec.PerItem
 }
 
-// expected returns how long a batch of n items should take at this target.
-func (t *target) expected(now time.Time, spec *catalog.Batch, n int) time.Duration {
-	return time.Duration(float64(planned(spec, n)) * t.slowdown.at(now))
+// expectedDuration returns how long a batch of n items should take at this target.
+func (t *target) expectedDuration(now time.Time, spec *catalog.Batch, n int) time.Duration {
+	return time.Duration(float64(nominalDuration(spec, n)) * t.slowdown.at(now))
 }
 
-// expectedShortest returns how long a batch of one item should take at this target.
-func (t *target) expectedShortest(now time.Time, spec *catalog.Batch) time.Duration {
-	return t.expected(now, spec, 1)
+// expectedSingle returns how long a batch of one item should take at this target.
+func (t *target) expectedSingle(now time.Time, spec *catalog.Batch) time.Duration {
+	return t.expectedDuration(now, spec, 1)
 }
 
 // expectedFull returns how long a full batch should take at this target.
 func (t *target) expectedFull(now time.Time, spec *catalog.Batch) time.Duration {
-	return t.expected(now, spec, spec.MaxItems)
+	return t.expectedDuration(now, spec, spec.MaxItems)
 }
--- a/internal/gateway/batching/slowdown_test.go
+++ b/internal/gateway/batching/slowdown_test.go
@@ -31,7 +31,7 @@
 	} {
 		convey.Convey(c.name, t, func() {
 			s := newSlowdown()
-			s.learn(noon, c.took, asPlanned)
+			s.observe(noon, c.took, asPlanned)
 			shouldBeAbout(s.at(noon), c.want)
 		})
 	}
@@ -47,13 +47,13 @@
 		{"A clock that went back ages nothing", -time.Second, 3},
 	} {
 		convey.Convey(c.name, t, func() {
-			s := slowdown{factor: 3, learntAt: noon}
+			s := slowdown{factor: 3, updatedAt: noon}
 			shouldBeAbout(s.at(noon.Add(c.age)), c.want)
 		})
 	}
 	convey.Convey("A slow target's batches are expected to take as much longer", t, func() {
 		slow := slowTarget("slow", 2)
-		convey.So(slow.expectedShortest(noon, testSpec()), convey.ShouldEqual, 520*time.Millisecond)
+		convey.So(slow.expectedSingle(noon, testSpec()), convey.ShouldEqual, 520*time.Millisecond)
 		convey.So(slow.expectedFull(noon, testSpec()), convey.ShouldEqual, 640*time.Millisecond)
 	})
 }
--- a/internal/gateway/batching/stuck.go
+++ b/internal/gateway/batching/stuck.go
@@ -18,7 +18,7 @@
 )
 
 // stuckAfter returns how long after its sending a batch counts as stuck, by the time
-// that it is expected to take at its target (target.expected).
+// that it is expected to take at its target (target.expectedDuration).
 //
 // The items of a stuck batch are retried on other targets. Its target backs off, and
 // gets no other batch before this one has ended, since it may still run it. Results of a late answer are stored for items that are still wanted and
