--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -50,9 +50,9 @@
 // do.
 func (c *Core) start(near *nearness, t *target) bool {
 	now := near.now
-	filling := newFilling(near, t)
+	filling := newBatchFiller(near, t)
 	filling.suspects.running = c.running
-	taken, rest := filling.split(c.queue)
+	taken, rest := filling.selectItems(c.queue)
 	if len(taken) == 0 {
 		return false
 	}
@@ -186,13 +186,13 @@
 	if t == nil {
 		return
 	}
-	if !t.inspection.answered {
+	if !t.inspection.completed {
 		t.idleSince = now
 	}
 	if ev.Err != nil {
-		t.inspection.failed()
+		t.inspection.recordFailure()
 	} else {
-		t.inspection.reported(now, ev.Report, c.spec, ownWork{running: t.running != nil, bytes: t.memory.used()})
+		t.inspection.recordReport(now, ev.Report, c.spec, ownWork{running: t.running != nil, bytes: t.memory.used()})
 	}
 	c.pool.sort(t)
 }
--- a/internal/gateway/batching/eligible.go
+++ b/internal/gateway/batching/eligible.go
@@ -76,7 +76,7 @@
 // that fall idle meanwhile. Taking a target that should be left out costs retries
 // or late items; leaving one out costs its capacity.
 func (t *target) eligible(now time.Time) bool {
-	return t.usable && t.running == nil && !t.backoff.active(now) && !t.inspection.blocks()
+	return t.usable && t.running == nil && !t.backoff.active(now) && !t.inspection.blocksBatches()
 }
 
 // fasterTargetsSuffice says whether the queue is better off without a slow idle target:
--- a/internal/gateway/batching/fill.go
+++ b/internal/gateway/batching/fill.go
@@ -6,20 +6,20 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// keptForOnTime is the fraction of a target's result memory that past-due items leave
+// onTimeMemoryReserve is the fraction of a target's result memory that past-due items leave
 // available for others, meant to end an overload with its cause. Switched off alone it
 // made no difference that 15 days showed; a trial in which items that are merely due
 // late left it too cost 0.075 of worth.
-const keptForOnTime = 0.5
+const onTimeMemoryReserve = 0.5
 
-// fullEnough is the fraction of the most items from which on a batch takes no parts of
+// partialGroupThreshold is the fraction of the most items from which on a batch takes no parts of
 // groups. Worth rose by 0.020 with a half, by 0.019 when parts were taken only into an
 // empty batch, and by 0.015 when they filled any (docs/MEASUREMENTS.md, "groups taken
 // whole").
-const fullEnough = 0.5
+const partialGroupThreshold = 0.5
 
-// filling is the state of the rule that decides which queued items one batch takes.
-type filling struct {
+// batchFiller is the state of the rule that decides which queued items one batch takes.
+type batchFiller struct {
 	spec   *catalog.Batch
 	target *target
 	near   *nearness
@@ -32,8 +32,8 @@
 	suspects  suspectFilter
 }
 
-func newFilling(near *nearness, t *target) *filling {
-	return &filling{
+func newBatchFiller(near *nearness, t *target) *batchFiller {
+	return &batchFiller{
 		spec: near.spec, target: t, near: near,
 		earliest: earliestEnd(near.now, near.spec), available: t.available(near.now, near.spec),
 	}
@@ -50,15 +50,15 @@
 	stage   int
 }
 
-// amount is a number of items and the bytes of their results.
-type amount struct {
+// footprint is a number of items and the bytes of their results.
+type footprint struct {
 	items int
 	bytes int64
 }
 
-// queuedGroups returns how much of each group waits.
-func queuedGroups(queue []*queuedItem) map[groupKey]amount {
-	groups := make(map[groupKey]amount)
+// groupFootprints returns how much of each group waits.
+func groupFootprints(queue []*queuedItem) map[groupKey]footprint {
+	groups := make(map[groupKey]footprint)
 	for _, q := range queue {
 		group := groups[q.group()]
 		group.items++
@@ -70,18 +70,18 @@
 
 func (q *queuedItem) group() groupKey { return groupKey{q.Request, q.Stage} }
 
-// split parts a queue into the items that the batch takes and the others, each in
+// selectItems parts a queue into the items that the batch takes and the others, each in
 // the order of the queue.
 //
 // Groups are taken whole: a group is done when its last item is, and the results of
 // those before it occupy memory until then. Parts of groups are taken only where the
-// batch would otherwise be less than fullEnough, so that no target stands idle for a
+// batch would otherwise be less than partialGroupThreshold, so that no target stands idle for a
 // group that fits nowhere. Before, each batch began with the rest of a group and ended
 // with the beginning of another.
-func (f *filling) split(queue []*queuedItem) (taken, rest []*queuedItem) {
-	chosen := f.wholeGroups(queue)
-	if float64(f.items) < fullEnough*float64(f.spec.MaxItems) {
-		f.addParts(queue, chosen)
+func (f *batchFiller) selectItems(queue []*queuedItem) (taken, rest []*queuedItem) {
+	chosen := f.addWholeGroups(queue)
+	if float64(f.items) < partialGroupThreshold*float64(f.spec.MaxItems) {
+		f.addSingleItems(queue, chosen)
 	}
 	for _, q := range queue {
 		if chosen[q] {
@@ -93,9 +93,9 @@
 	return taken, rest
 }
 
-// wholeGroups takes the groups that fit, in the order of their first items.
-func (f *filling) wholeGroups(queue []*queuedItem) map[*queuedItem]bool {
-	groups := queuedGroups(queue)
+// addWholeGroups takes the groups that fit, in the order of their first items.
+func (f *batchFiller) addWholeGroups(queue []*queuedItem) map[*queuedItem]bool {
+	groups := groupFootprints(queue)
 	fits := make(map[groupKey]bool, len(groups))
 	chosen := make(map[*queuedItem]bool, f.spec.MaxItems)
 	for _, q := range queue {
@@ -104,7 +104,7 @@
 			whole = f.fits(q, groups[q.group()])
 			fits[q.group()] = whole
 			if whole {
-				f.take(q, groups[q.group()])
+				f.add(q, groups[q.group()])
 			}
 		}
 		if whole {
@@ -114,23 +114,23 @@
 	return chosen
 }
 
-// addParts takes items that fit, of whatever group.
-func (f *filling) addParts(queue []*queuedItem, chosen map[*queuedItem]bool) {
+// addSingleItems takes items that fit, of whatever group.
+func (f *batchFiller) addSingleItems(queue []*queuedItem, chosen map[*queuedItem]bool) {
 	for _, q := range queue {
-		one := amount{items: 1, bytes: q.Bytes}
+		one := footprint{items: 1, bytes: q.Bytes}
 		if chosen[q] || !f.fits(q, one) {
 			continue
 		}
-		f.take(q, one)
+		f.add(q, one)
 		chosen[q] = true
 	}
 }
 
-// take adds an amount of an item's group.
-func (f *filling) take(q *queuedItem, a amount) {
+// add adds an amount of an item's group.
+func (f *batchFiller) add(q *queuedItem, size footprint) {
 	f.suspects.add(q)
-	f.items += a.items
-	f.available -= a.bytes
+	f.items += size.items
+	f.available -= size.bytes
 }
 
 // fits decides whether an item of the queue goes into the batch with an amount of its
@@ -149,12 +149,12 @@
 //
 // Taking too much makes the target refuse items for lack of memory, which costs
 // retries; taking too little costs the fixed time of a further batch.
-func (f *filling) fits(q *queuedItem, a amount) bool {
-	need := a.bytes
+func (f *batchFiller) fits(q *queuedItem, size footprint) bool {
+	need := size.bytes
 	if q.pastDue(f.earliest) {
-		need += int64(keptForOnTime * float64(f.spec.MemoryBytes))
+		need += int64(onTimeMemoryReserve * float64(f.spec.MemoryBytes))
 	}
-	if f.items+a.items > f.spec.MaxItems || need > f.available || !f.suspects.allows(q) {
+	if f.items+size.items > f.spec.MaxItems || need > f.available || !f.suspects.allows(q) {
 		return false
 	}
 	return !f.near.waits(q, f.target.DataCentre)
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -71,7 +71,7 @@
 		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
 	case NoMemory:
 		t.backoff.recordNoMemory(now)
-		t.inspection.again(now)
+		t.inspection.inspectNow(now)
 		c.requeue(now, q, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
 	case Failed:
 		c.requeue(now, q, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s failed", t.ID))
--- a/internal/gateway/batching/inspection.go
+++ b/internal/gateway/batching/inspection.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// busyInspection is how long after a target was found busy with the batch of another
+	// busyReinspectInterval is how long after a target was found busy with the batch of another
 	// coordinator it is inspected again: less than a third of the shortest batch, so that
 	// it idles for little, at a probe each time.
-	busyInspection = 60 * time.Millisecond
-	// memoryInspection is how long after results of others were found at a target it is
+	busyReinspectInterval = 60 * time.Millisecond
+	// memoryReinspectInterval is how long after results of others were found at a target it is
 	// inspected again: they go when they expire, after seconds, or when their owner
 	// releases them.
-	memoryInspection = 500 * time.Millisecond
+	memoryReinspectInterval = 500 * time.Millisecond
 )
 
 // inspection is what is known of the work of others at one target. The zero value
@@ -32,17 +32,17 @@
 // work: its next batch shows whether it is. Results of others count until they must
 // have expired.
 type inspection struct {
-	// answered says that the target was inspected, or gave no answer.
-	answered bool
+	// completed says that the target was inspected, or gave no answer.
+	completed bool
 	// running says that an answer is awaited.
 	running bool
 	// busy says that the target works for others.
 	busy bool
-	// foreignBytes are the results of others, until expires.
-	foreignBytes int64
-	expires      time.Time
-	// next is when the target is to be inspected again; zero for never.
-	next time.Time
+	// foreignBytes are the results of others, until foreignExpiresAt.
+	foreignBytes     int64
+	foreignExpiresAt time.Time
+	// nextAt is when the target is to be inspected again; zero for never.
+	nextAt time.Time
 }
 
 // due says whether the target is to be inspected now.
@@ -50,26 +50,26 @@
 	if i.running {
 		return false
 	}
-	return !i.answered || (!i.next.IsZero() && !now.Before(i.next))
+	return !i.completed || (!i.nextAt.IsZero() && !now.Before(i.nextAt))
 }
 
-// blocks says whether the target gets no batch: nothing is known of it yet, or it
+// blocksBatches says whether the target gets no batch: nothing is known of it yet, or it
 // works for others.
-func (i *inspection) blocks() bool { return !i.answered || i.busy }
+func (i *inspection) blocksBatches() bool { return !i.completed || i.busy }
 
-// quiet says whether nothing of others is known there, and no answer is awaited.
-func (i *inspection) quiet() bool { return !i.running && !i.busy && i.next.IsZero() }
+// noForeignWork says whether nothing of others is known there, and no answer is awaited.
+func (i *inspection) noForeignWork() bool { return !i.running && !i.busy && i.nextAt.IsZero() }
 
 // foreign returns how much memory results of others take.
 func (i *inspection) foreign(now time.Time) int64 {
-	if !now.Before(i.expires) {
+	if !now.Before(i.foreignExpiresAt) {
 		return 0
 	}
 	return i.foreignBytes
 }
 
-// again has the target inspected at once.
-func (i *inspection) again(now time.Time) { i.next = now }
+// inspectNow has the target inspected at once.
+func (i *inspection) inspectNow(now time.Time) { i.nextAt = now }
 
 // ownWork is what this coordinator has a target do and hold.
 type ownWork struct {
@@ -77,24 +77,24 @@
 	bytes   int64
 }
 
-// failed takes in that a target gave no answer.
-func (i *inspection) failed() {
-	i.answered, i.running, i.busy, i.next = true, false, false, time.Time{}
+// recordFailure takes in that a target gave no answer.
+func (i *inspection) recordFailure() {
+	i.completed, i.running, i.busy, i.nextAt = true, false, false, time.Time{}
 }
 
-// reported takes in a target's report. What it does and holds beyond this
+// recordReport takes in a target's report. What it does and holds beyond this
 // coordinator's own work is others'.
-func (i *inspection) reported(now time.Time, r Report, spec *catalog.Batch, own ownWork) {
-	i.answered, i.running = true, false
-	i.busy = r.Busy && !own.running
-	i.foreignBytes = max(spec.MemoryBytes-r.FreeBytes-own.bytes, 0)
-	i.expires = now.Add(spec.ResultTTL)
+func (i *inspection) recordReport(now time.Time, report Report, spec *catalog.Batch, own ownWork) {
+	i.completed, i.running = true, false
+	i.busy = report.Busy && !own.running
+	i.foreignBytes = max(spec.MemoryBytes-report.FreeBytes-own.bytes, 0)
+	i.foreignExpiresAt = now.Add(spec.ResultTTL)
 	switch {
 	case i.busy:
-		i.next = now.Add(busyInspection)
+		i.nextAt = now.Add(busyReinspectInterval)
 	case i.foreignBytes > 0:
-		i.next = now.Add(memoryInspection)
+		i.nextAt = now.Add(memoryReinspectInterval)
 	default:
-		i.next = time.Time{}
+		i.nextAt = time.Time{}
 	}
 }
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -118,7 +118,7 @@
 	switch {
 	case t.running != nil:
 		return &place.busy
-	case t.inspection.answered:
+	case t.inspection.completed:
 		return &place.idle
 	case t.inspection.running:
 		return &place.asked
--- a/internal/gateway/batching/rules_test.go
+++ b/internal/gateway/batching/rules_test.go
@@ -22,7 +22,7 @@
 // testTarget is a usable target without work in a data centre.
 func testTarget(id, dataCentre string) *target {
 	t := newTarget(directory.Target{ID: id, DataCentre: dataCentre})
-	t.usable, t.inspection.answered = true, true
+	t.usable, t.inspection.completed = true, true
 	return t
 }
 
--- a/internal/gateway/batching/target.go
+++ b/internal/gateway/batching/target.go
@@ -53,7 +53,7 @@
 // idleExpired says whether what is known of the target no longer matters: it has been idle for
 // spareAfter, holds nothing, and nobody works there.
 func (t *target) idleExpired(now time.Time) bool {
-	return now.Sub(t.idleSince) >= spareAfter && t.memory.empty() && t.inspection.quiet() && !t.backoff.active(now)
+	return now.Sub(t.idleSince) >= spareAfter && t.memory.empty() && t.inspection.noForeignWork() && !t.backoff.active(now)
 }
 
 // batch is a batch that was sent and has not ended.
