--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -118,7 +118,7 @@
 		c.scanTargets(now)
 	}
 	c.expireQueue(now)
-	c.inspectAgain(now)
+	c.reinspect(now)
 	c.dispatch(now)
 	c.dropUnschedulable(now)
 	return c.effects
@@ -147,7 +147,7 @@
 	for _, t := range c.pool.targets {
 		if !t.listed {
 			t.usable = false
-			c.pool.sort(t)
+			c.pool.reclassify(t)
 		}
 	}
 	c.pool.prune()
@@ -162,7 +162,7 @@
 	}
 	t.Target = listed
 	t.listed, t.usable = true, t.Open()
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 }
 
 func (c *Core) submit(now time.Time, ev Submit) {
@@ -229,7 +229,7 @@
 		t.memory.expire(now)
 		t.speedClass = speedClassOf(t.slowdown.at(now))
 	}
-	c.pool.rest(now)
+	c.pool.expireIdle(now)
 	for _, t := range c.pool.targets {
 		if b := t.running; b != nil && b.becomesStuck(now, c.tickDelay) {
 			c.markStuck(now, b)
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// maxInspecting bounds the inspections of spare targets that run at once: each takes some
+// maxConcurrentInspections bounds the inspections of spare targets that run at once: each takes some
 // 4 ms, most of it a new connection, so that a coordinator begins with thousands of
 // targets a second; many more at once take it longer than inspectTimeout to read.
-const maxInspecting = 32
+const maxConcurrentInspections = 32
 
 // dispatch starts batches as long as there are items and targets that may take them.
 //
@@ -19,40 +19,40 @@
 		return
 	}
 	sortQueue(c.queue, earliestEnd(now, c.spec))
-	near := newNearness(now, c.spec, c.pool)
-	inVain := map[string]int64{}
+	loc := newLocality(now, c.spec, c.pool)
+	declined := map[string]int64{}
 	list := c.pool.candidates(now)
 	for len(list) > 0 && len(c.queue) > 0 {
 		var t *target
 		c.pool.examined += len(list)
 		t, list = popBest(list)
-		if memory, tried := inVain[t.DataCentre]; tried && t.available(now, c.spec) <= memory {
+		if memory, tried := declined[t.DataCentre]; tried && t.available(now, c.spec) <= memory {
 			continue
 		}
-		if c.pool.fasterTargetsSuffice(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, coordinates) || !c.gate.Allows(t.Life()) {
+		if c.pool.fasterTargetsSuffice(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, isCoordinator) || !c.gate.Allows(t.Life()) {
 			continue
 		}
-		if c.start(near, t) {
-			near.forget()
-			clear(inVain)
+		if c.startBatch(loc, t) {
+			loc.reset()
+			clear(declined)
 			continue
 		}
-		inVain[t.DataCentre] = t.available(now, c.spec)
+		declined[t.DataCentre] = t.available(now, c.spec)
 	}
-	c.inspectSpares(near)
+	c.inspectSpares(loc)
 }
 
-// coordinates is why the core gives out the calls of cold targets: it assembles all
+// isCoordinator is why the core gives out the calls of cold targets: it assembles all
 // batches of its service.
-func coordinates() bool { return true }
+func isCoordinator() bool { return true }
 
-// start sends a target a batch of the first items of the queue that fit; false when none
+// startBatch sends a target a batch of the first items of the queue that fit; false when none
 // do.
-func (c *Core) start(near *nearness, t *target) bool {
-	now := near.now
-	filling := newBatchFiller(near, t)
-	filling.suspects.running = c.running
-	taken, rest := filling.selectItems(c.queue)
+func (c *Core) startBatch(loc *locality, t *target) bool {
+	now := loc.now
+	filler := newBatchFiller(loc, t)
+	filler.suspects.running = c.running
+	taken, rest := filler.selectItems(c.queue)
 	if len(taken) == 0 {
 		return false
 	}
@@ -73,7 +73,7 @@
 	}
 	c.running[b.id] = b
 	t.running = b
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 	t.memory.reserve(items)
 	c.limits.Sent(now, t.Target)
 	c.gate.Take(t.Life())
@@ -89,87 +89,87 @@
 //
 // Too few leave groups waiting for some milliseconds more; too many cost a call and a
 // connection each.
-func (c *Core) inspectSpares(near *nearness) {
-	spare, asked := 0, 0
-	for _, place := range c.pool.places {
-		spare += len(place.spare.targets)
-		asked += len(place.asked.targets)
+func (c *Core) inspectSpares(loc *locality) {
+	spare, inspecting := 0, 0
+	for _, dc := range c.pool.dataCentres {
+		spare += len(dc.spare.targets)
+		inspecting += len(dc.inspecting.targets)
 	}
-	if spare == 0 || asked >= maxInspecting {
+	if spare == 0 || inspecting >= maxConcurrentInspections {
 		// A full service has a long queue, which need not be looked through at each event.
 		return
 	}
-	wanted := map[*place]int{}
-	for _, q := range firstOfGroups(c.queue) {
-		if place := c.pool.spareFor(near, q); place != nil {
-			wanted[place]++
+	wanted := map[*dataCentreTargets]int{}
+	for _, q := range firstPerGroup(c.queue) {
+		if dc := c.pool.dataCentreToInspect(loc, q); dc != nil {
+			wanted[dc]++
 		}
 	}
 	unmet := 0
-	for _, place := range c.pool.places {
-		n := min(wanted[place]-len(place.asked.targets), maxInspecting-asked, len(place.spare.targets))
+	for _, dc := range c.pool.dataCentres {
+		n := min(wanted[dc]-len(dc.inspecting.targets), maxConcurrentInspections-inspecting, len(dc.spare.targets))
 		for range n {
-			if !c.inspectSpare(place) {
+			if !c.inspectSpare(dc) {
 				unmet++
 				continue
 			}
-			asked++
+			inspecting++
 		}
 	}
 	// Other data centres stand in for one whose spare targets may get no call.
-	for _, place := range c.pool.places {
-		for unmet > 0 && asked < maxInspecting && c.inspectSpare(place) {
+	for _, dc := range c.pool.dataCentres {
+		for unmet > 0 && inspecting < maxConcurrentInspections && c.inspectSpare(dc) {
 			unmet--
-			asked++
+			inspecting++
 		}
 	}
 }
 
 // inspectSpare has one spare target of a data centre inspected; false when none may get a
 // call.
-func (c *Core) inspectSpare(p *place) bool {
-	for i := len(p.spare.targets) - 1; i >= 0; i-- {
-		t := p.spare.targets[i]
+func (c *Core) inspectSpare(dc *dataCentreTargets) bool {
+	for i := len(dc.spare.targets) - 1; i >= 0; i-- {
+		t := dc.spare.targets[i]
 		if !c.gate.Take(t.Life()) {
 			continue
 		}
 		t.inspection.running = true
-		c.pool.sort(t)
+		c.pool.reclassify(t)
 		c.emit(Inspect{Target: t.Target})
 		return true
 	}
 	return false
 }
 
-// spareFor returns the data centre in which a group needs a spare target; nil for none.
-func (p *pool) spareFor(near *nearness, q *queuedItem) *place {
-	own := p.byPlace[q.DataCentre]
+// dataCentreToInspect returns the data centre in which a group needs a spare target; nil for none.
+func (p *pool) dataCentreToInspect(loc *locality, q *queuedItem) *dataCentreTargets {
+	own := p.byDataCentre[q.DataCentre]
 	switch {
-	case own != nil && own.unknown() > 0:
+	case own != nil && own.uninspected() > 0:
 		return own
-	case q.DataCentre != "" && near.takesInTime(q):
+	case q.DataCentre != "" && loc.localInTime(q):
 		return nil
 	}
-	return p.sparest()
+	return p.mostSpare()
 }
 
-// sparest returns the data centre with most spare targets; nil without data centres.
-func (p *pool) sparest() *place {
-	var most *place
-	for _, place := range p.places {
-		if most == nil || len(place.spare.targets) > len(most.spare.targets) {
-			most = place
+// mostSpare returns the data centre with most spare targets; nil without data centres.
+func (p *pool) mostSpare() *dataCentreTargets {
+	var most *dataCentreTargets
+	for _, dc := range p.dataCentres {
+		if most == nil || len(dc.spare.targets) > len(most.spare.targets) {
+			most = dc
 		}
 	}
 	return most
 }
 
-// inspectAgain has known targets inspected whose turn it is, while there is work for them.
-func (c *Core) inspectAgain(now time.Time) {
+// reinspect has known targets inspected whose turn it is, while there is work for them.
+func (c *Core) reinspect(now time.Time) {
 	if c.spec == nil || len(c.queue) == 0 {
 		return
 	}
-	for _, list := range c.pool.known() {
+	for _, list := range c.pool.inspectedLists() {
 		c.pool.examined += len(list.targets)
 		for _, t := range list.targets {
 			if t.inspection.due(now) && c.gate.Take(t.Life()) {
@@ -194,11 +194,11 @@
 	} else {
 		t.inspection.recordReport(now, ev.Report, c.spec, ownWork{running: t.running != nil, bytes: t.memory.used()})
 	}
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 }
 
-// firstOfGroups returns the first item of each group of a queue, in its order.
-func firstOfGroups(queue []*queuedItem) []*queuedItem {
+// firstPerGroup returns the first item of each group of a queue, in its order.
+func firstPerGroup(queue []*queuedItem) []*queuedItem {
 	seen := make(map[groupKey]bool, len(queue))
 	var first []*queuedItem
 	for _, q := range queue {
--- a/internal/gateway/batching/eligible.go
+++ b/internal/gateway/batching/eligible.go
@@ -18,9 +18,9 @@
 // (eligible), in no particular order.
 func (p *pool) candidates(now time.Time) []*target {
 	var list []*target
-	for _, place := range p.places {
-		p.examined += len(place.idle.targets)
-		for _, t := range place.idle.targets {
+	for _, dc := range p.dataCentres {
+		p.examined += len(dc.idle.targets)
+		for _, t := range dc.idle.targets {
 			if t.eligible(now) {
 				list = append(list, t)
 			}
@@ -94,9 +94,9 @@
 func (p *pool) fasterTargetsSuffice(now time.Time, spec *catalog.Batch, idle *target, queued int) bool {
 	idleEnd := idle.expectedSingle(now, spec)
 	capacity := 0
-	for _, place := range p.places {
-		p.examined += len(place.busy.targets)
-		for _, t := range place.busy.targets {
+	for _, dc := range p.dataCentres {
+		p.examined += len(dc.busy.targets)
+		for _, t := range dc.busy.targets {
 			if t.running.stuck || t.speedClass >= idle.speedClass {
 				continue
 			}
--- a/internal/gateway/batching/estimate.go
+++ b/internal/gateway/batching/estimate.go
@@ -93,12 +93,12 @@
 	for _, t := range c.pool.unusable.targets {
 		s.UsedBytes += t.memory.used()
 	}
-	for _, list := range c.pool.known() {
+	for _, list := range c.pool.inspectedLists() {
 		for _, t := range list.targets {
 			firstIdle = min(firstIdle, c.addTarget(now, spec, s, t))
 		}
 	}
-	unknown := c.pool.unknown()
+	unknown := c.pool.uninspected()
 	s.Targets += unknown
 	s.ItemsPerSecond += nominalRate(spec, unknown)
 	s.MemoryBytes = int64(s.Targets) * spec.MemoryBytes
@@ -142,13 +142,13 @@
 // capacity returns the most that the targets can do from now on. In contrast to State
 // it counts targets that back off, as they will be back soon.
 func (c *Core) capacity(now time.Time) capacity {
-	unknown := c.pool.unknown()
+	unknown := c.pool.uninspected()
 	most := capacity{firstIdle: math.MaxInt64, itemsPerSecond: nominalRate(c.spec, unknown)}
 	if unknown > 0 {
 		most.firstIdle = 0
 	}
 	usable := unknown
-	for _, list := range c.pool.known() {
+	for _, list := range c.pool.inspectedLists() {
 		usable += len(list.targets)
 		c.pool.examined += len(list.targets)
 		for _, t := range list.targets {
--- a/internal/gateway/batching/fill.go
+++ b/internal/gateway/batching/fill.go
@@ -20,9 +20,9 @@
 
 // batchFiller is the state of the rule that decides which queued items one batch takes.
 type batchFiller struct {
-	spec   *catalog.Batch
-	target *target
-	near   *nearness
+	spec     *catalog.Batch
+	target   *target
+	locality *locality
 	// earliest is when an item that is sent now can be ready.
 	earliest time.Time
 	// items counts the items that were taken.
@@ -32,10 +32,10 @@
 	suspects  suspectFilter
 }
 
-func newBatchFiller(near *nearness, t *target) *batchFiller {
+func newBatchFiller(loc *locality, t *target) *batchFiller {
 	return &batchFiller{
-		spec: near.spec, target: t, near: near,
-		earliest: earliestEnd(near.now, near.spec), available: t.available(near.now, near.spec),
+		spec: loc.spec, target: t, locality: loc,
+		earliest: earliestEnd(loc.now, loc.spec), available: t.available(loc.now, loc.spec),
 	}
 }
 
@@ -139,7 +139,7 @@
 // Its inputs are, in the order in which they count: the number of items taken and
 // the most that the catalog allows; the target's available result memory and the
 // results' size, both estimates in bytes; whether the item is past due; whether another
-// request in the batch is suspected; and the nearness of other targets (nearness). What does not fit stays in the queue, and
+// request in the batch is suspected; and the nearness of other targets (locality). What does not fit stays in the queue, and
 // smaller or nearer ones behind it may be taken. The batch is sent at
 // once, full or not: a target that waits for more items does nothing meanwhile.
 //
@@ -157,5 +157,5 @@
 	if f.items+size.items > f.spec.MaxItems || need > f.available || !f.suspects.allows(q) {
 		return false
 	}
-	return !f.near.waits(q, f.target.DataCentre)
+	return !f.locality.shouldWait(q, f.target.DataCentre)
 }
--- a/internal/gateway/batching/fill_test.go
+++ b/internal/gateway/batching/fill_test.go
@@ -32,7 +32,7 @@
 		convey.Convey(c.name, t, func() {
 			at := testTarget("t", "d0")
 			at.memory.store("h", storedResult{bytes: c.stored})
-			f := newBatchFiller(newNearness(noon, testSpec(), poolOf(at, near)), at)
+			f := newBatchFiller(newLocality(noon, testSpec(), poolOf(at, near)), at)
 			f.items = c.taken
 			convey.So(f.fits(&queuedItem{Item: c.item}, footprint{items: 1, bytes: c.item.Bytes}), convey.ShouldEqual, c.want)
 		})
@@ -43,7 +43,7 @@
 		for i, bytes := range []int64{600, 600, 300, 50, 1} {
 			queue = append(queue, &queuedItem{Item: Item{Token: Token(i), Bytes: bytes, Due: onTime}})
 		}
-		taken, rest := newBatchFiller(newNearness(noon, testSpec(), poolOf(at)), at).selectItems(queue)
+		taken, rest := newBatchFiller(newLocality(noon, testSpec(), poolOf(at)), at).selectItems(queue)
 		convey.So(taken, convey.ShouldResemble, []*queuedItem{queue[0], queue[2], queue[3]})
 		convey.So(rest, convey.ShouldResemble, []*queuedItem{queue[1], queue[4]})
 	})
@@ -62,7 +62,7 @@
 				queue = append(queue, &queuedItem{Item: Item{Stage: group, Bytes: 100, Due: noon.Add(2 * time.Second)}})
 			}
 		}
-		taken, rest := newBatchFiller(newNearness(noon, testSpec(), poolOf(at)), at).selectItems(queue)
+		taken, rest := newBatchFiller(newLocality(noon, testSpec(), poolOf(at)), at).selectItems(queue)
 		convey.So(len(taken)+len(rest), convey.ShouldEqual, len(queue))
 		counts := make([]int, len(sizes))
 		for _, q := range taken {
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -20,7 +20,7 @@
 	t := done.target
 	t.running = nil
 	t.idleSince = now
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 	t.memory.endReservation()
 	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
 		t.recordFailure(now)
--- a/internal/gateway/batching/locality.go
+++ b/internal/gateway/batching/locality.go
@@ -6,12 +6,12 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// maxNearWait is how long an item may wait for a target in its data centre to fall
+// maxLocalityWait is how long an item may wait for a target in its data centre to fall
 // idle: about one batch. Without any waiting the worth of a day fell by 0.043, all of
 // it for results between data centres; no other time was run.
-const maxNearWait = 300 * time.Millisecond
+const maxLocalityWait = 300 * time.Millisecond
 
-// nearness decides whether items should not go to a target, as one in their data centre
+// locality decides whether items should not go to a target, as one in their data centre
 // can take them in time. It remembers what each data centre can do until forget; create
 // it with newNearness.
 //
@@ -28,52 +28,52 @@
 //
 // Going far too readily costs transfers between data centres; waiting too readily
 // leaves targets idle and makes items late.
-type nearness struct {
+type locality struct {
 	now  time.Time
 	spec *catalog.Batch
 	pool *pool
-	// ends is when a full batch would end first in a data centre; zero where no target
+	// localEnds is when a full batch would end first in a data centre; zero where no target
 	// counts.
-	ends map[string]time.Time
+	localEnds map[string]time.Time
 }
 
-func newNearness(now time.Time, spec *catalog.Batch, p *pool) *nearness {
-	return &nearness{now: now, spec: spec, pool: p, ends: make(map[string]time.Time, len(p.places))}
+func newLocality(now time.Time, spec *catalog.Batch, p *pool) *locality {
+	return &locality{now: now, spec: spec, pool: p, localEnds: make(map[string]time.Time, len(p.dataCentres))}
 }
 
-// forget has the data centres looked at again, after a target got a batch.
-func (n *nearness) forget() { clear(n.ends) }
+// reset has the data centres looked at again, after a target got a batch.
+func (l *locality) reset() { clear(l.localEnds) }
 
-// waits says whether an item should not go to a data centre.
-func (n *nearness) waits(q *queuedItem, dataCentre string) bool {
-	return q.DataCentre != "" && q.DataCentre != dataCentre && n.takesInTime(q)
+// shouldWait says whether an item should not go to a data centre.
+func (l *locality) shouldWait(q *queuedItem, dataCentre string) bool {
+	return q.DataCentre != "" && q.DataCentre != dataCentre && l.localInTime(q)
 }
 
-// takesInTime says whether a target in an item's own data centre can take it in time.
-func (n *nearness) takesInTime(q *queuedItem) bool {
-	end, known := n.ends[q.DataCentre]
+// localInTime says whether a target in an item's own data centre can take it in time.
+func (l *locality) localInTime(q *queuedItem) bool {
+	end, known := l.localEnds[q.DataCentre]
 	if !known {
-		end = n.firstEnd(q.DataCentre)
-		n.ends[q.DataCentre] = end
+		end = l.earliestLocalEnd(q.DataCentre)
+		l.localEnds[q.DataCentre] = end
 	}
 	return !end.IsZero() && end.Before(q.Due)
 }
 
-// firstEnd returns when a full batch would end first in a data centre; zero where no
+// earliestLocalEnd returns when a full batch would end first in a data centre; zero where no
 // target counts.
-func (n *nearness) firstEnd(dataCentre string) time.Time {
-	place := n.pool.byPlace[dataCentre]
-	if place == nil {
+func (l *locality) earliestLocalEnd(dataCentre string) time.Time {
+	dc := l.pool.byDataCentre[dataCentre]
+	if dc == nil {
 		return time.Time{}
 	}
 	var first time.Time
-	if place.unknown() > 0 {
-		first = n.now.Add(nominalDuration(n.spec, n.spec.MaxItems))
+	if dc.uninspected() > 0 {
+		first = l.now.Add(nominalDuration(l.spec, l.spec.MaxItems))
 	}
-	for _, list := range []*targetList{&place.idle, &place.busy} {
-		n.pool.examined += len(list.targets)
+	for _, list := range []*targetList{&dc.idle, &dc.busy} {
+		l.pool.examined += len(list.targets)
 		for _, t := range list.targets {
-			if end, counts := t.nearEnd(n.now, n.spec); counts && (first.IsZero() || end.Before(first)) {
+			if end, counts := t.localEnd(l.now, l.spec); counts && (first.IsZero() || end.Before(first)) {
 				first = end
 			}
 		}
@@ -81,16 +81,16 @@
 	return first
 }
 
-// nearEnd returns when a full batch would end at the target; false when it does not take
+// localEnd returns when a full batch would end at the target; false when it does not take
 // one within maxNearWait, or nobody knows.
-func (t *target) nearEnd(now time.Time, spec *catalog.Batch) (end time.Time, counts bool) {
+func (t *target) localEnd(now time.Time, spec *catalog.Batch) (end time.Time, counts bool) {
 	if !t.usable || t.backoff.active(now) {
 		return time.Time{}, false
 	}
 	wait := time.Duration(0)
 	if t.running != nil {
 		wait = t.running.expectedEnd.Sub(now)
-		if wait < 0 || wait > maxNearWait || t.running.stuck {
+		if wait < 0 || wait > maxLocalityWait || t.running.stuck {
 			return time.Time{}, false
 		}
 	}
--- a/internal/gateway/batching/locality_test.go
+++ b/internal/gateway/batching/locality_test.go
@@ -42,8 +42,8 @@
 		convey.Convey(c.name, t, func() {
 			q := &queuedItem{Item: Item{DataCentre: c.dataCentre, Due: noon.Add(c.due)}}
 			far := testTarget("f", "far")
-			near := newNearness(noon, testSpec(), poolOf(append([]*target{far}, c.near...)...))
-			convey.So(near.waits(q, far.DataCentre), convey.ShouldEqual, c.want)
+			loc := newLocality(noon, testSpec(), poolOf(append([]*target{far}, c.near...)...))
+			convey.So(loc.shouldWait(q, far.DataCentre), convey.ShouldEqual, c.want)
 		})
 	}
 }
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -19,28 +19,28 @@
 // used again before any other (candidates). An event then costs what the service's load
 // is and not how many targets it has (BenchmarkFleetService).
 //
-// It owns which list a target is in; whoever changes what that depends on calls sort.
+// It owns which list a target is in; whoever changes what that depends on calls reclassify.
 type pool struct {
 	// targets are all, in the order in which they were first listed.
 	targets []*target
 	byLife  map[directory.Life]*target
-	// newest is the newest life of each identity.
-	newest map[string]*target
+	// latestByID is the newest life of each identity.
+	latestByID map[string]*target
 	// unusable are those that get no batch.
 	unusable targetList
-	// places are the usable targets of each data centre, in the order in which the data
+	// dataCentres are the usable targets of each data centre, in the order in which the data
 	// centres were first listed.
-	places  []*place
-	byPlace map[string]*place
+	dataCentres  []*dataCentreTargets
+	byDataCentre map[string]*dataCentreTargets
 	// examined counts the targets that decisions looked at: what events cost.
 	examined int
 }
 
-// place holds the usable targets of one data centre.
-type place struct {
+// dataCentreTargets holds the usable targets of one data centre.
+type dataCentreTargets struct {
 	// spare targets are idle, and nothing is known of them: they are inspected before
-	// their first batch, and hold no result. Those that are being inspected are asked.
-	spare, asked targetList
+	// their first batch, and hold no result. Those that are being inspected are in inspecting.
+	spare, inspecting targetList
 	// idle targets have no batch, busy ones have one, which may be stuck.
 	idle, busy targetList
 }
@@ -63,20 +63,20 @@
 }
 
 func newPool() *pool {
-	return &pool{byLife: map[directory.Life]*target{}, newest: map[string]*target{}, byPlace: map[string]*place{}}
+	return &pool{byLife: map[directory.Life]*target{}, latestByID: map[string]*target{}, byDataCentre: map[string]*dataCentreTargets{}}
 }
 
 // add takes in a target. One that started again under its identity is another: the
 // results of its earlier life are gone.
 func (p *pool) add(t *target) {
 	t.seq = len(p.targets)
-	if earlier := p.newest[t.ID]; earlier != nil {
+	if earlier := p.latestByID[t.ID]; earlier != nil {
 		earlier.memory.dropAll()
 	}
-	p.newest[t.ID] = t
+	p.latestByID[t.ID] = t
 	p.byLife[t.Life()] = t
 	p.targets = append(p.targets, t)
-	p.sort(t)
+	p.reclassify(t)
 }
 
 // prune drops the targets of which nothing matters any more.
@@ -90,17 +90,17 @@
 		}
 		t.list.remove(t)
 		delete(p.byLife, t.Life())
-		if p.newest[t.ID] == t {
-			delete(p.newest, t.ID)
+		if p.latestByID[t.ID] == t {
+			delete(p.latestByID, t.ID)
 		}
 	}
 	clear(p.targets[len(kept):])
 	p.targets = kept
 }
 
-// sort puts a target into the list where it belongs now.
-func (p *pool) sort(t *target) {
-	list := p.listOf(t)
+// reclassify puts a target into the list where it belongs now.
+func (p *pool) reclassify(t *target) {
+	list := p.listFor(t)
 	if t.list == list {
 		return
 	}
@@ -110,62 +110,64 @@
 	list.add(t)
 }
 
-func (p *pool) listOf(t *target) *targetList {
+func (p *pool) listFor(t *target) *targetList {
 	if !t.usable {
 		return &p.unusable
 	}
-	place := p.placeOf(t.DataCentre)
+	dc := p.inDataCentre(t.DataCentre)
 	switch {
 	case t.running != nil:
-		return &place.busy
+		return &dc.busy
 	case t.inspection.completed:
-		return &place.idle
+		return &dc.idle
 	case t.inspection.running:
-		return &place.asked
+		return &dc.inspecting
 	}
-	return &place.spare
+	return &dc.spare
 }
 
-// placeOf returns the targets of a data centre.
-func (p *pool) placeOf(dataCentre string) *place {
-	found := p.byPlace[dataCentre]
+// inDataCentre returns the targets of a data centre.
+func (p *pool) inDataCentre(dataCentre string) *dataCentreTargets {
+	found := p.byDataCentre[dataCentre]
 	if found == nil {
-		found = &place{}
-		p.byPlace[dataCentre] = found
-		p.places = append(p.places, found)
+		found = &dataCentreTargets{}
+		p.byDataCentre[dataCentre] = found
+		p.dataCentres = append(p.dataCentres, found)
 	}
 	return found
 }
 
-// known returns the usable targets that are neither spare nor asked, in lists.
-func (p *pool) known() []*targetList {
-	lists := make([]*targetList, 0, 2*len(p.places))
-	for _, place := range p.places {
-		lists = append(lists, &place.idle, &place.busy)
+// inspectedLists returns the usable targets that are neither spare nor being inspected, in lists.
+func (p *pool) inspectedLists() []*targetList {
+	lists := make([]*targetList, 0, 2*len(p.dataCentres))
+	for _, dc := range p.dataCentres {
+		lists = append(lists, &dc.idle, &dc.busy)
 	}
 	return lists
 }
 
-// unknown counts the usable targets that are spare or asked.
-func (p *pool) unknown() int {
+// uninspected counts the usable targets that are spare or being inspected.
+func (p *pool) uninspected() int {
 	n := 0
-	for _, place := range p.places {
-		n += place.unknown()
+	for _, dc := range p.dataCentres {
+		n += dc.uninspected()
 	}
 	return n
 }
 
-func (p *place) unknown() int { return len(p.spare.targets) + len(p.asked.targets) }
+func (dc *dataCentreTargets) uninspected() int {
+	return len(dc.spare.targets) + len(dc.inspecting.targets)
+}
 
-// rest makes spare what has been idle for spareAfter: what is known of it has aged, and
+// expireIdle makes spare what has been idle for spareAfter: what is known of it has aged, and
 // another coordinator may have used it meanwhile.
-func (p *pool) rest(now time.Time) {
-	for _, place := range p.places {
-		p.examined += len(place.idle.targets)
-		for i := len(place.idle.targets) - 1; i >= 0; i-- {
-			if t := place.idle.targets[i]; t.idleExpired(now) {
+func (p *pool) expireIdle(now time.Time) {
+	for _, dc := range p.dataCentres {
+		p.examined += len(dc.idle.targets)
+		for i := len(dc.idle.targets) - 1; i >= 0; i-- {
+			if t := dc.idle.targets[i]; t.idleExpired(now) {
 				t.inspection, t.slowdown = inspection{}, newSlowdown()
-				p.sort(t)
+				p.reclassify(t)
 			}
 		}
 	}
