--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -76,7 +76,7 @@
 	return f
 }
 
-func TestBatchCarriesTheMostUrgentItemsThatFitItsTarget(t *testing.T) {
+func TestBatchSelection(t *testing.T) {
 	convey.Convey("Items of many requests gather for one batch while the target is busy", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestItemsOutliveTroubleAtTheirTarget(t *testing.T) {
+func TestTargetFailures(t *testing.T) {
 	convey.Convey("A target counts as idle only after its last batch ended with its answer", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
@@ -213,13 +213,13 @@
 
 // oracle follows a core from outside and knows what must hold.
 type oracle struct {
-	t        *rapid.T
-	core     *batching.Core
-	now      time.Time
-	open     map[batching.Token]bool
-	running  map[batching.BatchID]batching.Send
-	busy     map[string]batching.BatchID
-	draining map[string]bool
+	t          *rapid.T
+	core       *batching.Core
+	now        time.Time
+	unresolved map[batching.Token]bool
+	running    map[batching.BatchID]batching.Send
+	busy       map[string]batching.BatchID
+	draining   map[string]bool
 	// unclaimed are results that a target computed and that are neither used nor
 	// discarded yet.
 	unclaimed map[string]bool
@@ -242,10 +242,10 @@
 			}
 			o.inspected[e.Target.ID] = true
 		case batching.Resolve:
-			if !o.open[e.Token] {
+			if !o.unresolved[e.Token] {
 				o.t.Fatalf("item %d ended twice or after it was withdrawn", e.Token)
 			}
-			delete(o.open, e.Token)
+			delete(o.unresolved, e.Token)
 			if e.Err == nil {
 				o.used[e.Result.Handle] = e.Result.Target
 				delete(o.unclaimed, e.Result.Handle)
@@ -276,7 +276,7 @@
 		o.t.Fatalf("a batch has %d items", len(e.Items))
 	}
 	for _, item := range e.Items {
-		if !o.open[item.Token] {
+		if !o.unresolved[item.Token] {
 			o.t.Fatalf("item %d was sent after its end", item.Token)
 		}
 	}
@@ -330,7 +330,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
 			t: t, core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 5, MaxNodes: 1}), now: start,
-			open: map[batching.Token]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
+			unresolved: map[batching.Token]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
 			draining: map[string]bool{}, unclaimed: map[string]bool{}, used: map[string]string{}, inspected: map[string]bool{},
 		}
 		o.handle(batching.Configure{Service: service(), Targets: targets(3)})
@@ -342,14 +342,14 @@
 					list[i].Due = o.now.Add(list[i].Due.Sub(start))
 					list[i].Deadline = o.now.Add(time.Duration(rapid.IntRange(100, 5000).Draw(t, "deadline")) * time.Millisecond)
 					list[i].DataCentre = rapid.SampledFrom([]string{"", "d0", "d1", "gone"}).Draw(t, "near")
-					o.open[list[i].Token] = true
+					o.unresolved[list[i].Token] = true
 				}
 				o.next += n
 				o.handle(batching.Submit{Items: list})
 			},
 			"withdraw": func(t *rapid.T) {
 				token := batching.Token(rapid.IntRange(1, o.next+1).Draw(t, "token"))
-				delete(o.open, token)
+				delete(o.unresolved, token)
 				o.handle(batching.Withdraw{Tokens: []batching.Token{token}})
 			},
 			"finish": func(t *rapid.T) {
@@ -400,13 +400,13 @@
 			}
 			o.handle(batching.Tick{})
 		}
-		if len(o.open) > 0 {
-			t.Fatalf("items %v never ended", o.open)
+		if len(o.unresolved) > 0 {
+			t.Fatalf("items %v never ended", o.unresolved)
 		}
 	})
 }
 
-func TestSameEventsGiveTheSameEffects(t *testing.T) {
+func TestDeterministicEffects(t *testing.T) {
 	convey.Convey("Batches that get stuck at once are given up in the order of their targets", t, func() {
 		for range 20 {
 			c := batching.New(retrybudget.Policy{Extra: 4, MaxNodes: 1, Window: 10 * time.Second})
--- a/internal/gateway/batching/deadline_test.go
+++ b/internal/gateway/batching/deadline_test.go
@@ -12,7 +12,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-func TestItemThatCannotFinishBeforeItsDeadlineIsFound(t *testing.T) {
+func TestCanFinish(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		spec *catalog.Batch
@@ -25,7 +25,7 @@
 		{"but a deadline that is over is not", nil, -1, false},
 	} {
 		convey.Convey(c.name, t, func() {
-			convey.So(canFinish(noon, c.spec, noon.Add(c.left)), convey.ShouldEqual, c.want)
+			convey.So(canFinish(testNow, c.spec, testNow.Add(c.left)), convey.ShouldEqual, c.want)
 		})
 	}
 }
@@ -48,25 +48,25 @@
 		{"Without a rate it waits", capacity{}, 10, 0, true},
 	} {
 		convey.Convey(c.name, t, func() {
-			convey.So(canStartInTime(noon, testSpec(), c.rate, c.before, noon.Add(c.left)), convey.ShouldEqual, c.want)
+			convey.So(canStartInTime(testNow, testSpec(), c.rate, c.before, testNow.Add(c.left)), convey.ShouldEqual, c.want)
 		})
 	}
 }
 
-// TestPastDueItemsAreGivenUp holds that past-due items end as soon as their turn cannot
+// TestUnschedulableItemsAreDropped holds that past-due items end as soon as their turn cannot
 // come, while those that are on time wait.
-func TestPastDueItemsAreGivenUp(t *testing.T) {
+func TestUnschedulableItemsAreDropped(t *testing.T) {
 	submit := func(due time.Duration) []Effect {
 		c := New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second})
-		c.Handle(noon, Configure{Service: &catalog.Service{Name: "s", Batch: testSpec()}, Targets: []directory.Target{{ID: "t"}}})
-		c.Handle(noon, Inspected{Target: directory.Life{ID: "t"}, Report: Report{FreeBytes: 1000}})
+		c.Handle(testNow, Configure{Service: &catalog.Service{Name: "s", Batch: testSpec()}, Targets: []directory.Target{{ID: "t"}}})
+		c.Handle(testNow, Inspected{Target: directory.Life{ID: "t"}, Report: Report{FreeBytes: 1000}})
 		var items []Item
 		for i := range 30 {
 			items = append(items, Item{
-				Token: Token(i), Request: "r", Stage: i, Bytes: 10, Due: noon.Add(due), Deadline: noon.Add(time.Second),
+				Token: Token(i), Request: "r", Stage: i, Bytes: 10, Due: testNow.Add(due), Deadline: testNow.Add(time.Second),
 			})
 		}
-		return c.Handle(noon, Submit{Items: items})
+		return c.Handle(testNow, Submit{Items: items})
 	}
 	givenUp := func(effects []Effect) int {
 		n := 0
--- a/internal/gateway/batching/eligible_test.go
+++ b/internal/gateway/batching/eligible_test.go
@@ -7,13 +7,13 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestTargetIsEligibleOnlyWhenABatchIsWellPlacedThere(t *testing.T) {
+func TestTargetEligibility(t *testing.T) {
 	drains := testTarget("t", "d0")
 	drains.usable = false
 	failed := testTarget("t", "d0")
-	failed.recordFailure(noon.Add(-149 * time.Millisecond))
+	failed.recordFailure(testNow.Add(-149 * time.Millisecond))
 	recovered := testTarget("t", "d0")
-	recovered.recordFailure(noon.Add(-150 * time.Millisecond))
+	recovered.recordFailure(testNow.Add(-150 * time.Millisecond))
 	stuck := busyTarget("u", "d0", 0)
 	stuck.running.stuck = true
 	gone := busyTarget("u", "d0", 0)
@@ -39,14 +39,14 @@
 		{"two busy ones take twice as much", slow, []*target{busyTarget("u", "d0", 0), busyTarget("v", "d0", 0)}, 8, false},
 		{"not when the busy one would end no sooner", slow, []*target{busyTarget("u", "d0", 260*time.Millisecond)}, 1, true},
 		{"A busy target that is overdue is expected to end now", slow, []*target{busyTarget("u", "d0", -time.Minute)}, 1, false},
-		{"One that works for others may not", othersTarget("t"), nil, 1, false},
-		{"One of which nothing is known may not", newUsableTarget("t"), nil, 1, false},
+		{"One that works for others may not", foreignBusyTarget("t"), nil, 1, false},
+		{"One of which nothing is known may not", uninspectedTarget("t"), nil, 1, false},
 		{"A stuck target is not waited for", slow, []*target{stuck}, 1, true},
 		{"A busy target that drains is not waited for", slow, []*target{gone}, 1, true},
 	} {
 		convey.Convey(c.name, t, func() {
 			p := poolOf(append([]*target{c.target}, c.others...)...)
-			may := c.target.eligible(noon) && !p.fasterTargetsSuffice(noon, testSpec(), c.target, c.queued)
+			may := c.target.eligible(testNow) && !p.fasterTargetsSuffice(testNow, testSpec(), c.target, c.queued)
 			convey.So(may, convey.ShouldEqual, c.want)
 		})
 	}
@@ -54,7 +54,7 @@
 		list := []*target{slowTarget("slow", 1.5), testTarget("a", "d0"), testTarget("b", "d0"), slowTarget("fast", 0.5)}
 		var ids []string
 		var next *target
-		for left := poolOf(list...).candidates(noon); len(left) > 0; {
+		for left := poolOf(list...).candidates(testNow); len(left) > 0; {
 			next, left = popBest(left)
 			ids = append(ids, next.ID)
 		}
@@ -62,15 +62,15 @@
 	})
 }
 
-// newUsableTarget is a usable target that was not inspected.
-func newUsableTarget(id string) *target {
+// uninspectedTarget is a usable target that was not inspected.
+func uninspectedTarget(id string) *target {
 	t := testTarget(id, "d0")
 	t.inspection = inspection{}
 	return t
 }
 
-// othersTarget is a usable target that works for another coordinator.
-func othersTarget(id string) *target {
+// foreignBusyTarget is a usable target that works for another coordinator.
+func foreignBusyTarget(id string) *target {
 	t := testTarget(id, "d0")
 	t.inspection.busy = true
 	return t
--- a/internal/gateway/batching/estimate_test.go
+++ b/internal/gateway/batching/estimate_test.go
@@ -19,25 +19,25 @@
 
 func queueItems(c *Core, n int, due time.Duration) {
 	for range n {
-		c.queue = append(c.queue, &queuedItem{Item: Item{Due: noon.Add(due)}})
+		c.queue = append(c.queue, &queuedItem{Item: Item{Due: testNow.Add(due)}})
 	}
 }
 
-func TestBacklogIsTheTimeForWhatWaitsOrIsPlanned(t *testing.T) {
+func TestBacklogEstimate(t *testing.T) {
 	// A full batch of 4 takes 320 ms: 12.5 items a second at each target.
 	shouldEstimate := func(c *Core, wait, backlog time.Duration) {
-		s := c.State(noon)
+		s := c.State(testNow)
 		convey.So(s.Wait, convey.ShouldEqual, wait)
 		convey.So(s.Backlog, convey.ShouldEqual, backlog)
 	}
 	backsOff := testTarget("b", "d0")
-	backsOff.recordFailure(noon)
+	backsOff.recordFailure(testNow)
 	drains := testTarget("d", "d0")
 	drains.usable = false
 	convey.Convey("Without a catalog nothing is known", t, func() {
 		c := New(retrybudget.Policy{})
 		queueItems(c, 3, time.Second)
-		convey.So(c.State(noon), convey.ShouldResemble, State{Waiting: 3})
+		convey.So(c.State(testNow), convey.ShouldResemble, State{Waiting: 3})
 	})
 	convey.Convey("An idle target takes new items at once", t, func() {
 		shouldEstimate(coreOf(testTarget("a", "d0")), 0, 0)
@@ -54,21 +54,21 @@
 	convey.Convey("Queued items count in both, planned ones in the backlog", t, func() {
 		c := coreOf(testTarget("a", "d0"), testTarget("b", "d0"))
 		queueItems(c, 5, time.Second)
-		c.plans.add(Plan{Request: "r", Items: 10, Due: noon})
+		c.plans.add(Plan{Request: "r", Items: 10, Due: testNow})
 		shouldEstimate(c, 200*time.Millisecond, 600*time.Millisecond)
-		convey.So(c.State(noon).Planned, convey.ShouldEqual, 10)
+		convey.So(c.State(testNow).Planned, convey.ShouldEqual, 10)
 	})
 	convey.Convey("Past-due items count in neither", t, func() {
 		c := coreOf(testTarget("a", "d0"))
 		queueItems(c, 5, 0)
 		shouldEstimate(c, 0, 0)
-		convey.So(c.State(noon).PastDue, convey.ShouldEqual, 5)
+		convey.So(c.State(testNow).PastDue, convey.ShouldEqual, 5)
 	})
 	convey.Convey("Targets that drain or back off carry nothing", t, func() {
 		c := coreOf(testTarget("a", "d0"), backsOff, drains)
 		queueItems(c, 5, time.Second)
 		shouldEstimate(c, 400*time.Millisecond, 400*time.Millisecond)
-		s := c.State(noon)
+		s := c.State(testNow)
 		convey.So(s.Targets, convey.ShouldEqual, 2)
 		convey.So(s.BackingOff, convey.ShouldEqual, 1)
 		convey.So(s.MemoryBytes, convey.ShouldEqual, 2000)
@@ -87,19 +87,19 @@
 		c := coreOf(testTarget("a", "d0"))
 		c.retention = retention{seconds: 2, bytes: 100}
 		queueItems(c, 4, time.Second)
-		shouldBeAbout(c.State(noon).ItemsPerSecond, 4)
+		shouldBeAbout(c.State(testNow).ItemsPerSecond, 4)
 		shouldEstimate(c, time.Second, time.Second)
 	})
 }
 
-func TestRetentionIsLearntFromReleasedResults(t *testing.T) {
+func TestRetentionEstimate(t *testing.T) {
 	convey.Convey("Nothing is known before a release", t, func() {
 		var r retention
 		shouldBeAbout(r.itemsPerSecond(1000), 0)
 	})
 	convey.Convey("A released result weighs a twentieth, in time and size", t, func() {
 		r := retention{seconds: 1, bytes: 100}
-		r.observe(noon, storedResult{bytes: 300, sentAt: noon.Add(-3 * time.Second)})
+		r.observe(testNow, storedResult{bytes: 300, sentAt: testNow.Add(-3 * time.Second)})
 		shouldBeAbout(r.seconds, 1.1)
 		shouldBeAbout(r.bytes, 110)
 		convey.Convey("and 0.8 of the memory serves results of that time and size", func() {
--- a/internal/gateway/batching/evacuated_test.go
+++ b/internal/gateway/batching/evacuated_test.go
@@ -13,8 +13,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// evacuated configures a core's targets anew, some of them in evacuated data centres.
-func evacuated(n int, dataCentres ...string) batching.Configure {
+// evacuatedConfig configures a core's targets anew, some of them in evacuated data centres.
+func evacuatedConfig(n int, dataCentres ...string) batching.Configure {
 	edit := directory.New(targets(n)...).Edit()
 	set := map[string]bool{}
 	for _, dc := range dataCentres {
@@ -44,17 +44,17 @@
 		convey.So(running[0].Target.ID, convey.ShouldEqual, "t0")
 		convey.So(c.State(start).Targets, convey.ShouldEqual, 2)
 		convey.Convey("the evacuation of its data centre leaves the batch alone, and its result is used", func() {
-			convey.So(resolved(c.Handle(start, evacuated(2, "d0"))), convey.ShouldBeEmpty)
+			convey.So(resolved(c.Handle(start, evacuatedConfig(2, "d0"))), convey.ShouldBeEmpty)
 			done := resolved(c.Handle(start.Add(260*time.Millisecond), answered(running[0])))
 			convey.So(done, convey.ShouldHaveLength, 1)
 			convey.So(done[0].Err, convey.ShouldBeNil)
 		})
 		convey.Convey("the estimate counts the other one alone in the same moment", func() {
-			c.Handle(start, evacuated(2, "d0"))
+			c.Handle(start, evacuatedConfig(2, "d0"))
 			convey.So(c.State(start).Targets, convey.ShouldEqual, 1)
 		})
 		convey.Convey("what waits goes to the other one at once, also what would wait for a near target", func() {
-			c.Handle(start, evacuated(2, "d0"))
+			c.Handle(start, evacuatedConfig(2, "d0"))
 			next := items(2, 1, 2*time.Second)
 			next[0].DataCentre = "d0"
 			s := sends(c.Handle(start, batching.Submit{Items: next}))
@@ -64,7 +64,7 @@
 		convey.Convey("what waits is refused as not run when all are evacuated", func() {
 			c.Handle(start, batching.Submit{Items: items(2, 4, 2*time.Second)})
 			c.Handle(start, batching.Submit{Items: items(6, 1, 2*time.Second)})
-			ended := resolved(c.Handle(start, evacuated(2, "d0", "d1")))
+			ended := resolved(c.Handle(start, evacuatedConfig(2, "d0", "d1")))
 			convey.So(ended, convey.ShouldHaveLength, 1)
 			convey.So(ended[0].Err.Reason(), convey.ShouldEqual, verdict.ReasonEvacuated)
 			convey.So(ended[0].Err.Verdict(), convey.ShouldEqual, verdict.NotRun)
--- a/internal/gateway/batching/fill_test.go
+++ b/internal/gateway/batching/fill_test.go
@@ -7,8 +7,8 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestBatchTakesItemsByNumberMemoryAndPlace(t *testing.T) {
-	onTime, late := noon.Add(2*time.Second), noon
+func TestBatchFillerLimits(t *testing.T) {
+	onTime, late := testNow.Add(2*time.Second), testNow
 	near := testTarget("n", "d1")
 	for _, c := range []struct {
 		name string
@@ -32,7 +32,7 @@
 		convey.Convey(c.name, t, func() {
 			at := testTarget("t", "d0")
 			at.memory.store("h", storedResult{bytes: c.stored})
-			f := newBatchFiller(newLocality(noon, testSpec(), poolOf(at, near)), at)
+			f := newBatchFiller(newLocality(testNow, testSpec(), poolOf(at, near)), at)
 			f.items = c.taken
 			convey.So(f.fits(&queuedItem{Item: c.item}, footprint{items: 1, bytes: c.item.Bytes}), convey.ShouldEqual, c.want)
 		})
@@ -43,7 +43,7 @@
 		for i, bytes := range []int64{600, 600, 300, 50, 1} {
 			queue = append(queue, &queuedItem{Item: Item{Token: Token(i), Bytes: bytes, Due: onTime}})
 		}
-		taken, rest := newBatchFiller(newLocality(noon, testSpec(), poolOf(at)), at).selectItems(queue)
+		taken, rest := newBatchFiller(newLocality(testNow, testSpec(), poolOf(at)), at).selectItems(queue)
 		convey.So(taken, convey.ShouldResemble, []*queuedItem{queue[0], queue[2], queue[3]})
 		convey.So(rest, convey.ShouldResemble, []*queuedItem{queue[1], queue[4]})
 	})
@@ -59,10 +59,10 @@
 		var queue []*queuedItem
 		for group, size := range sizes {
 			for range size {
-				queue = append(queue, &queuedItem{Item: Item{Stage: group, Bytes: 100, Due: noon.Add(2 * time.Second)}})
+				queue = append(queue, &queuedItem{Item: Item{Stage: group, Bytes: 100, Due: testNow.Add(2 * time.Second)}})
 			}
 		}
-		taken, rest := newBatchFiller(newLocality(noon, testSpec(), poolOf(at)), at).selectItems(queue)
+		taken, rest := newBatchFiller(newLocality(testNow, testSpec(), poolOf(at)), at).selectItems(queue)
 		convey.So(len(taken)+len(rest), convey.ShouldEqual, len(queue))
 		counts := make([]int, len(sizes))
 		for _, q := range taken {
--- a/internal/gateway/batching/fleet_bench_test.go
+++ b/internal/gateway/batching/fleet_bench_test.go
@@ -21,20 +21,20 @@
 
 // fleetRun is a core with the batches that run.
 type fleetRun struct {
-	core    *batching.Core
-	now     time.Time
-	step    time.Duration
-	token   int
-	running map[batching.BatchID]endingBatch
-	used    map[string]bool
+	core     *batching.Core
+	now      time.Time
+	interval time.Duration
+	token    int
+	running  map[batching.BatchID]runningBatch
+	used     map[string]bool
 }
 
 // newFleetRun returns a run over some targets, with so many groups a second.
 func newFleetRun(targets, groups int) *fleetRun {
 	r := &fleetRun{
 		core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, MaxNodes: 16}),
-		now:  start, step: time.Second / time.Duration(groups),
-		running: map[batching.BatchID]endingBatch{}, used: map[string]bool{},
+		now:  start, interval: time.Second / time.Duration(groups),
+		running: map[batching.BatchID]runningBatch{}, used: map[string]bool{},
 	}
 	var list []directory.Target
 	for i := range targets {
@@ -53,16 +53,16 @@
 		case batching.Send:
 			r.used[e.Target.ID] = true
 			took := 242*time.Millisecond + time.Duration(len(e.Items))*15*time.Millisecond
-			r.running[e.Batch] = endingBatch{Send: e, ends: r.now.Add(took)}
+			r.running[e.Batch] = runningBatch{Send: e, endsAt: r.now.Add(took)}
 		case batching.Inspect:
 			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 17_000_000}})
 		}
 	}
 }
 
-// next submits a group and ends the batches that are due, whose results are released.
-func (r *fleetRun) next() {
-	r.now = r.now.Add(r.step)
+// step submits a group and ends the batches that are due, whose results are released.
+func (r *fleetRun) step() {
+	r.now = r.now.Add(r.interval)
 	var items []batching.Item
 	for i := range fleetGroupSize {
 		r.token++
@@ -74,7 +74,7 @@
 	}
 	r.handle(batching.Submit{Items: items})
 	for id, b := range r.running {
-		if r.now.Before(b.ends) {
+		if r.now.Before(b.endsAt) {
 			continue
 		}
 		delete(r.running, id)
@@ -96,11 +96,11 @@
 		b.Run(fmt.Sprint(fleetTargets*x, " targets"), func(b *testing.B) {
 			r := newFleetRun(fleetTargets*x, fleetGroups*x)
 			for range 600 {
-				r.next()
+				r.step()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				r.next()
+				r.step()
 			}
 			s := r.core.State(r.now)
 			b.ReportMetric(float64(len(r.used)), "used")
--- a/internal/gateway/batching/fleet_test.go
+++ b/internal/gateway/batching/fleet_test.go
@@ -9,19 +9,19 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/batching"
 )
 
-// TestCostOfAnEventIsByTheLoad holds that what a coordinator does, and how many targets it
+// TestEventCostScalesWithLoad holds that what a coordinator does, and how many targets it
 // uses, grows with the load of its service and not with its targets.
-func TestCostOfAnEventIsByTheLoad(t *testing.T) {
+func TestEventCostScalesWithLoad(t *testing.T) {
 	// 700 groups are more than two seconds of the load. Half of them settle the run.
 	const groups = 700
 	run := func(targets int) (examined, used int, s batching.State) {
 		r := newFleetRun(targets, fleetGroups)
 		for range groups / 2 {
-			r.next()
+			r.step()
 		}
 		begun := r.core.State(r.now).Examined
 		for range groups / 2 {
-			r.next()
+			r.step()
 		}
 		s = r.core.State(r.now)
 		return s.Examined - begun, len(r.used), s
@@ -41,9 +41,9 @@
 	})
 }
 
-// TestLateCoordinatorDoesNotBlameItsTargets holds that batches do not count as stuck
+// TestLateCoordinatorKeepsBatches holds that batches do not count as stuck
 // because their coordinator is late: the answers wait for their turn behind the tick.
-func TestLateCoordinatorDoesNotBlameItsTargets(t *testing.T) {
+func TestLateCoordinatorKeepsBatches(t *testing.T) {
 	// A batch of four takes 320 ms; it is stuck after twice that and 250 ms.
 	const stuck = 890 * time.Millisecond
 	convey.Convey("Given a batch whose answer came while its coordinator was late", t, func() {
@@ -63,9 +63,9 @@
 	})
 }
 
-// TestTargetsOfAPastLoadAreInspectedAgain holds that a target which was idle for long is
+// TestIdleTargetsAreReinspected holds that a target which was idle for long is
 // asked before its next batch: another coordinator may have used it.
-func TestTargetsOfAPastLoadAreInspectedAgain(t *testing.T) {
+func TestIdleTargetsAreReinspected(t *testing.T) {
 	convey.Convey("Given a target that has been idle for 12 s", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 5*time.Second)}))
--- a/internal/gateway/batching/large_bench_test.go
+++ b/internal/gateway/batching/large_bench_test.go
@@ -21,22 +21,22 @@
 
 // largeRun is a core of a large service with the batches that run, by when they end.
 type largeRun struct {
-	core    *batching.Core
-	now     time.Time
-	token   int
-	running map[batching.BatchID]endingBatch
-	held    []batching.Release
+	core       *batching.Core
+	now        time.Time
+	token      int
+	running    map[batching.BatchID]runningBatch
+	unreleased []batching.Release
 }
 
-type endingBatch struct {
+type runningBatch struct {
 	batching.Send
-	ends time.Time
+	endsAt time.Time
 }
 
 func newLargeRun() *largeRun {
 	r := &largeRun{
 		core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 600, MaxNodes: 16}),
-		now:  start, running: map[batching.BatchID]endingBatch{},
+		now:  start, running: map[batching.BatchID]runningBatch{},
 	}
 	var list []directory.Target
 	for i := range largeTargets {
@@ -55,7 +55,7 @@
 		switch e := effect.(type) {
 		case batching.Send:
 			took := 240*time.Millisecond + time.Duration(len(e.Items))*4300*time.Microsecond
-			r.running[e.Batch] = endingBatch{Send: e, ends: r.now.Add(took)}
+			r.running[e.Batch] = runningBatch{Send: e, endsAt: r.now.Add(took)}
 		case batching.Inspect:
 			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 530_000}})
 		}
@@ -76,7 +76,7 @@
 	}
 	r.handle(batching.Submit{Items: items})
 	for id, b := range r.running {
-		if r.now.Before(b.ends) {
+		if r.now.Before(b.endsAt) {
 			continue
 		}
 		delete(r.running, id)
@@ -86,11 +86,11 @@
 		for _, out := range done.Outcomes {
 			release.Handles = append(release.Handles, out.Handle)
 		}
-		r.held = append(r.held, release)
+		r.unreleased = append(r.unreleased, release)
 	}
-	if len(r.held) > 10 {
-		r.handle(r.held[0])
-		r.held = r.held[1:]
+	if len(r.unreleased) > 10 {
+		r.handle(r.unreleased[0])
+		r.unreleased = r.unreleased[1:]
 	}
 }
 
--- a/internal/gateway/batching/life_test.go
+++ b/internal/gateway/batching/life_test.go
@@ -11,8 +11,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// restarted lists the targets of newCore, the first of which has started again.
-func restarted(n int) []directory.Target {
+// restartedTargets lists the targets of newCore, the first of which has started again.
+func restartedTargets(n int) []directory.Target {
 	list := targets(n)
 	list[0].Born = 2
 	return list
@@ -32,7 +32,7 @@
 		c.Handle(start.Add(300*time.Millisecond), batching.Finished{Batch: sent[0].Batch, Outcomes: outcomes})
 		convey.So(c.State(start.Add(300*time.Millisecond)).UsedBytes, convey.ShouldBeGreaterThan, 0)
 		now := start.Add(400 * time.Millisecond)
-		c.Handle(now, batching.Configure{Service: service(), Targets: restarted(1)})
+		c.Handle(now, batching.Configure{Service: service(), Targets: restartedTargets(1)})
 		convey.Convey("the results take no memory any more, and a release of them changes nothing", func() {
 			convey.So(c.State(now).UsedBytes, convey.ShouldEqual, 0)
 			effects := c.Handle(now, batching.Release{Target: targets(1)[0].Life(), Handles: []string{"a"}})
@@ -44,15 +44,15 @@
 		sent := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 		convey.So(sends(c.Handle(start, batching.Finished{Batch: sent[0].Batch, Err: lost})), convey.ShouldBeEmpty)
-		c.Handle(start, batching.Configure{Service: service(), Targets: restarted(1)})
-		report := batching.Inspected{Target: restarted(1)[0].Life(), Report: batching.Report{FreeBytes: 1000}}
+		c.Handle(start, batching.Configure{Service: service(), Targets: restartedTargets(1)})
+		report := batching.Inspected{Target: restartedTargets(1)[0].Life(), Report: batching.Report{FreeBytes: 1000}}
 		convey.So(sends(c.Handle(start, report)), convey.ShouldHaveLength, 1)
 	})
 	convey.Convey("The batch of the earlier life does not keep the new one from work, and its items are retried when it ends", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
-		c.Handle(start, batching.Configure{Service: service(), Targets: restarted(1)})
-		c.Handle(start, batching.Inspected{Target: restarted(1)[0].Life(), Report: batching.Report{FreeBytes: 1000}})
+		c.Handle(start, batching.Configure{Service: service(), Targets: restartedTargets(1)})
+		c.Handle(start, batching.Inspected{Target: restartedTargets(1)[0].Life(), Report: batching.Report{FreeBytes: 1000}})
 		second := sends(c.Handle(start, batching.Submit{Items: items(5, 4, 5*time.Second)}))
 		convey.So(second, convey.ShouldHaveLength, 1)
 		convey.So(second[0].Target.Born, convey.ShouldEqual, 2)
--- a/internal/gateway/batching/locality_test.go
+++ b/internal/gateway/batching/locality_test.go
@@ -7,11 +7,11 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestItemWaitsForATargetInItsDataCentreOnlyAsLongAsItIsInTime(t *testing.T) {
+func TestLocality(t *testing.T) {
 	// A full batch takes 320 ms.
 	const due = 2 * time.Second
 	backsOff := testTarget("n", "d0")
-	backsOff.recordFailure(noon)
+	backsOff.recordFailure(testNow)
 	drains := testTarget("n", "d0")
 	drains.usable = false
 	stuck := busyTarget("n", "d0", 100*time.Millisecond)
@@ -40,9 +40,9 @@
 		{"One of several near targets is enough", "d0", due, []*target{drains, stuck, testTarget("m", "d0")}, true},
 	} {
 		convey.Convey(c.name, t, func() {
-			q := &queuedItem{Item: Item{DataCentre: c.dataCentre, Due: noon.Add(c.due)}}
+			q := &queuedItem{Item: Item{DataCentre: c.dataCentre, Due: testNow.Add(c.due)}}
 			far := testTarget("f", "far")
-			loc := newLocality(noon, testSpec(), poolOf(append([]*target{far}, c.near...)...))
+			loc := newLocality(testNow, testSpec(), poolOf(append([]*target{far}, c.near...)...))
 			convey.So(loc.shouldWait(q, far.DataCentre), convey.ShouldEqual, c.want)
 		})
 	}
--- a/internal/gateway/batching/memory_test.go
+++ b/internal/gateway/batching/memory_test.go
@@ -7,7 +7,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestResultMemoryIsCountedFromSendingToRelease(t *testing.T) {
+func TestResultMemory(t *testing.T) {
 	shouldLeave := func(m *resultMemory, available, used int64) {
 		convey.So(m.available(testSpec()), convey.ShouldEqual, available)
 		convey.So(m.used(), convey.ShouldEqual, used)
@@ -24,7 +24,7 @@
 			})
 		})
 		convey.Convey("is used by a stored result", func() {
-			m.store("h", storedResult{bytes: 400, sentAt: noon, expiresAt: noon.Add(time.Second)})
+			m.store("h", storedResult{bytes: 400, sentAt: testNow, expiresAt: testNow.Add(time.Second)})
 			shouldLeave(&m, 550, 400)
 			convey.So(m.empty(), convey.ShouldBeFalse)
 			convey.Convey("until it is released, which counts once", func() {
@@ -34,11 +34,11 @@
 				convey.So(m.empty(), convey.ShouldBeTrue)
 			})
 			convey.Convey("while its time to live lasts", func() {
-				m.expire(noon.Add(time.Second - 1))
+				m.expire(testNow.Add(time.Second - 1))
 				shouldLeave(&m, 550, 400)
 			})
 			convey.Convey("and no longer", func() {
-				m.expire(noon.Add(time.Second))
+				m.expire(testNow.Add(time.Second))
 				shouldLeave(&m, 950, 0)
 			})
 		})
--- a/internal/gateway/batching/order_test.go
+++ b/internal/gateway/batching/order_test.go
@@ -9,14 +9,14 @@
 
 // dueItem is an item that is due some time after noon.
 func dueItem(token Token, due time.Duration, priority int) *queuedItem {
-	return &queuedItem{Item: Item{Token: token, Due: noon.Add(due), Priority: priority}}
+	return &queuedItem{Item: Item{Token: token, Due: testNow.Add(due), Priority: priority}}
 }
 
-func TestQueueGoesByDueTimeAndPriorityWithPastDueItemsLast(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	const onTime = time.Second
 	shouldGoFirst := func(first, second *queuedItem) {
 		queue := []*queuedItem{second, first}
-		sortQueue(queue, earliestEnd(noon, testSpec()))
+		sortQueue(queue, earliestEnd(testNow, testSpec()))
 		convey.So(queue[0].Token, convey.ShouldEqual, first.Token)
 	}
 	for _, c := range []struct {
@@ -37,7 +37,7 @@
 	}
 	convey.Convey("Equal items stay in the order in which they were queued", t, func() {
 		queue := []*queuedItem{dueItem(1, onTime, 0), dueItem(2, onTime, 0), dueItem(3, onTime, 0)}
-		sortQueue(queue, earliestEnd(noon, testSpec()))
+		sortQueue(queue, earliestEnd(testNow, testSpec()))
 		for i, q := range queue {
 			convey.So(q.Token, convey.ShouldEqual, i+1)
 		}
--- a/internal/gateway/batching/retry_test.go
+++ b/internal/gateway/batching/retry_test.go
@@ -6,7 +6,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestItemIsRetriedWithinItsAttemptsAndTheBudget(t *testing.T) {
+func TestDecideRetry(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		item   queuedItem
--- a/internal/gateway/batching/rules_test.go
+++ b/internal/gateway/batching/rules_test.go
@@ -7,8 +7,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// noon is the time at which the rules are asked.
-var noon = time.Unix(1_000_000, 0)
+// testNow is the time at which the rules are asked.
+var testNow = time.Unix(1_000_000, 0)
 
 // testSpec is a service whose batches take 240 ms and 20 ms an item: 260 ms for one
 // item, 320 ms for a full batch.
@@ -29,14 +29,14 @@
 // busyTarget is a usable target whose batch should end after a while.
 func busyTarget(id, dataCentre string, left time.Duration) *target {
 	t := testTarget(id, dataCentre)
-	t.running = &batch{target: t, expectedEnd: noon.Add(left)}
+	t.running = &batch{target: t, expectedEnd: testNow.Add(left)}
 	return t
 }
 
 // slowTarget is a usable target without work that was just found to be slow.
 func slowTarget(id string, factor float64) *target {
 	t := testTarget(id, "d0")
-	t.slowdown = slowdown{factor: factor, updatedAt: noon}
+	t.slowdown = slowdown{factor: factor, updatedAt: testNow}
 	t.speedClass = speedClassOf(factor)
 	return t
 }
--- a/internal/gateway/batching/slowdown_test.go
+++ b/internal/gateway/batching/slowdown_test.go
@@ -12,11 +12,11 @@
 	convey.So(got, convey.ShouldAlmostEqual, want, 1e-9)
 }
 
-func TestSlowdownIsLearntFromBatchesAndForgotten(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	const asPlanned = 300 * time.Millisecond
 	convey.Convey("A target without a measurement is as fast as the catalog says", t, func() {
 		s := newSlowdown()
-		shouldBeAbout(s.at(noon), 1)
+		shouldBeAbout(s.at(testNow), 1)
 	})
 	for _, c := range []struct {
 		name string
@@ -31,8 +31,8 @@
 	} {
 		convey.Convey(c.name, t, func() {
 			s := newSlowdown()
-			s.observe(noon, c.took, asPlanned)
-			shouldBeAbout(s.at(noon), c.want)
+			s.observe(testNow, c.took, asPlanned)
+			shouldBeAbout(s.at(testNow), c.want)
 		})
 	}
 	for _, c := range []struct {
@@ -47,13 +47,13 @@
 		{"A clock that went back ages nothing", -time.Second, 3},
 	} {
 		convey.Convey(c.name, t, func() {
-			s := slowdown{factor: 3, updatedAt: noon}
-			shouldBeAbout(s.at(noon.Add(c.age)), c.want)
+			s := slowdown{factor: 3, updatedAt: testNow}
+			shouldBeAbout(s.at(testNow.Add(c.age)), c.want)
 		})
 	}
 	convey.Convey("A slow target's batches are expected to take as much longer", t, func() {
 		slow := slowTarget("slow", 2)
-		convey.So(slow.expectedSingle(noon, testSpec()), convey.ShouldEqual, 520*time.Millisecond)
-		convey.So(slow.expectedFull(noon, testSpec()), convey.ShouldEqual, 640*time.Millisecond)
+		convey.So(slow.expectedSingle(testNow, testSpec()), convey.ShouldEqual, 520*time.Millisecond)
+		convey.So(slow.expectedFull(testNow, testSpec()), convey.ShouldEqual, 640*time.Millisecond)
 	})
 }
--- a/internal/gateway/batching/stuck_test.go
+++ b/internal/gateway/batching/stuck_test.go
@@ -7,7 +7,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestBatchCountsAsStuckAfterTwiceItsExpectedTimeAndAQuarterSecond(t *testing.T) {
+func TestStuckBatchTiming(t *testing.T) {
 	for _, c := range []struct{ expected, stuck, timeout time.Duration }{
 		{0, 250 * time.Millisecond, 750 * time.Millisecond},
 		{260 * time.Millisecond, 770 * time.Millisecond, 2310 * time.Millisecond},
@@ -21,15 +21,15 @@
 		})
 	}
 	convey.Convey("At a node that is late itself it does by as much later", t, func() {
-		b := &batch{stuckAt: noon}
-		convey.So(b.becomesStuck(noon.Add(time.Second-1), time.Second), convey.ShouldBeFalse)
-		convey.So(b.becomesStuck(noon.Add(time.Second), time.Second), convey.ShouldBeTrue)
+		b := &batch{stuckAt: testNow}
+		convey.So(b.becomesStuck(testNow.Add(time.Second-1), time.Second), convey.ShouldBeFalse)
+		convey.So(b.becomesStuck(testNow.Add(time.Second), time.Second), convey.ShouldBeTrue)
 	})
 	convey.Convey("A batch becomes stuck at its time, and only once", t, func() {
-		b := &batch{stuckAt: noon}
-		convey.So(b.becomesStuck(noon.Add(-1), 0), convey.ShouldBeFalse)
-		convey.So(b.becomesStuck(noon, 0), convey.ShouldBeTrue)
+		b := &batch{stuckAt: testNow}
+		convey.So(b.becomesStuck(testNow.Add(-1), 0), convey.ShouldBeFalse)
+		convey.So(b.becomesStuck(testNow, 0), convey.ShouldBeTrue)
 		b.stuck = true
-		convey.So(b.becomesStuck(noon, 0), convey.ShouldBeFalse)
+		convey.So(b.becomesStuck(testNow, 0), convey.ShouldBeFalse)
 	})
 }
--- a/internal/gateway/batching/stuckonce_test.go
+++ b/internal/gateway/batching/stuckonce_test.go
@@ -9,10 +9,10 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/batching"
 )
 
-// TestStuckBatchIsGivenUpOnce holds that a batch which got stuck gives its items up
+// TestStuckBatchIsRetriedOnce holds that a batch which got stuck gives its items up
 // once, however often the core looks at it until its answer comes. The stateful test
 // used to find the seeded defect of it by chance.
-func TestStuckBatchIsGivenUpOnce(t *testing.T) {
+func TestStuckBatchIsRetriedOnce(t *testing.T) {
 	convey.Convey("Given a batch that got stuck beside an idle target", t, func() {
 		c := newCore(2)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
--- a/internal/gateway/batching/suspects_test.go
+++ b/internal/gateway/batching/suspects_test.go
@@ -11,22 +11,22 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// endingService is a service whose targets end when they get an item of one request, and
+// crashingService is a service whose targets end when they get an item of one request, and
 // answer others. An ended target is replaced.
-type endingService struct {
+type crashingService struct {
 	core *batching.Core
 	now  time.Time
-	// ended counts the targets that ended, and failures those of each request's items.
-	ended    int
+	// crashes counts the targets that crashed, and failures those of each request's items.
+	crashes  int
 	results  map[string]int
 	failures map[string]*verdict.Error
 	requests map[batching.Token]string
 }
 
-const endingRequest = "ends its targets"
+const crashingRequest = "ends its targets"
 
-// play submits four items of each request and plays until nothing is left to do.
-func (s *endingService) play(requests ...string) {
+// run submits four items of each request and plays until nothing is left to do.
+func (s *crashingService) run(requests ...string) {
 	var list []batching.Item
 	for _, request := range requests {
 		for _, item := range items(1, 4, 20*time.Second) {
@@ -39,7 +39,7 @@
 	effects := s.core.Handle(s.now, batching.Submit{Items: list})
 	for range 200 {
 		s.now = s.now.Add(50 * time.Millisecond)
-		next := s.carryOut(effects)
+		next := s.apply(effects)
 		if len(next) == 0 && s.core.Idle() {
 			return
 		}
@@ -47,21 +47,21 @@
 	}
 }
 
-// carryOut carries effects out and returns those that follow.
-func (s *endingService) carryOut(effects []batching.Effect) []batching.Effect {
+// apply carries effects out and returns those that follow.
+func (s *crashingService) apply(effects []batching.Effect) []batching.Effect {
 	var next []batching.Effect
 	for _, e := range append([]batching.Effect(nil), effects...) {
 		switch e := e.(type) {
 		case batching.Resolve:
-			s.resolved(e)
+			s.resolve(e)
 		case batching.Send:
-			next = append(next, s.core.Handle(s.now, s.end(e))...)
+			next = append(next, s.core.Handle(s.now, s.finish(e))...)
 		}
 	}
 	return next
 }
 
-func (s *endingService) resolved(e batching.Resolve) {
+func (s *crashingService) resolve(e batching.Resolve) {
 	request := s.requests[e.Token]
 	if e.Err != nil {
 		s.failures[request] = e.Err
@@ -70,11 +70,11 @@
 	s.results[request]++
 }
 
-// end is how a batch ends.
-func (s *endingService) end(e batching.Send) batching.Finished {
+// finish is how a batch ends.
+func (s *crashingService) finish(e batching.Send) batching.Finished {
 	for _, item := range e.Items {
-		if item.Request == endingRequest {
-			s.ended++
+		if item.Request == crashingRequest {
+			s.crashes++
 			lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 			return batching.Finished{Batch: e.Batch, Err: lost, Ended: true}
 		}
@@ -86,24 +86,24 @@
 	return batching.Finished{Batch: e.Batch, Outcomes: outcomes}
 }
 
-func newEndingService() *endingService {
-	return &endingService{
+func newCrashingService() *crashingService {
+	return &crashingService{
 		core: newCore(3), now: start, results: map[string]int{}, failures: map[string]*verdict.Error{}, requests: map[batching.Token]string{},
 	}
 }
 
-// TestItemsThatEndTheirTargets holds that a request whose items end the targets of a stage
+// TestItemsThatCrashTargets holds that a request whose items end the targets of a stage
 // ends two of them, and that the items of others which shared their batches are computed.
 // Without a memory of ends each of its items was part of four batches, and so were those
 // that shared them.
-func TestItemsThatEndTheirTargets(t *testing.T) {
+func TestItemsThatCrashTargets(t *testing.T) {
 	convey.Convey("Given a request among others whose items end each target that gets them", t, func() {
-		s := newEndingService()
-		s.play("a", "b", endingRequest, "c", "d")
+		s := newCrashingService()
+		s.run("a", "b", crashingRequest, "c", "d")
 		convey.Convey("it fails after the second target", func() {
-			convey.So(s.ended, convey.ShouldEqual, 2)
-			convey.So(s.failures[endingRequest].Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
-			convey.So(s.failures[endingRequest].Verdict(), convey.ShouldEqual, verdict.NotRun)
+			convey.So(s.crashes, convey.ShouldEqual, 2)
+			convey.So(s.failures[crashingRequest].Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
+			convey.So(s.failures[crashingRequest].Verdict(), convey.ShouldEqual, verdict.NotRun)
 		})
 		convey.Convey("and all others get their results", func() {
 			convey.So(s.failures, convey.ShouldHaveLength, 1)
@@ -113,21 +113,21 @@
 		})
 	})
 	convey.Convey("A request that ended a target before, at another time, ends one more", t, func() {
-		s := newEndingService()
-		s.play("a")
+		s := newCrashingService()
+		s.run("a")
 		list := items(1, 4, 20*time.Second)
 		for i := range list {
 			list[i].Token = batching.Token(100 + i)
-			list[i].Request, list[i].Suspect = endingRequest, true
-			s.requests[list[i].Token] = endingRequest
+			list[i].Request, list[i].Suspect = crashingRequest, true
+			s.requests[list[i].Token] = crashingRequest
 		}
 		effects := s.core.Handle(s.now, batching.Submit{Items: list})
 		for range 50 {
 			s.now = s.now.Add(50 * time.Millisecond)
-			effects = append(s.carryOut(effects), s.core.Handle(s.now, batching.Tick{})...)
+			effects = append(s.apply(effects), s.core.Handle(s.now, batching.Tick{})...)
 		}
-		convey.So(s.ended, convey.ShouldEqual, 1)
-		convey.So(s.failures[endingRequest].Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
+		convey.So(s.crashes, convey.ShouldEqual, 1)
+		convey.So(s.failures[crashingRequest].Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
 	})
 	convey.Convey("Items of two suspected requests do not share a batch, those of one and of others do", t, func() {
 		list := append(items(1, 2, 5*time.Second), items(3, 2, 5*time.Second)...)
