--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -12,38 +12,39 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// queuedItem is an item that has no result yet, whether it waits in the queue or is
-// in a batch.
+// queuedItem is an item that has no result yet. It is in the queue, in at least one
+// batch, or both.
 type queuedItem struct {
 	Item
 	// attempts counts the batches that the item was part of.
 	attempts int
-	// runningBatches counts the batches that hold the item and have not ended or got stuck.
+	// runningBatches counts the batches that hold the item and have neither ended nor
+	// become stuck.
 	runningBatches int
-	// queued says that the item is in the queue.
+	// queued reports whether the item is in the queue.
 	queued bool
-	// crashes counts the targets that ended with the item.
+	// crashes counts the targets that crashed while they had the item.
 	crashes int
 }
 
-// Core assembles the batches of one service: it owns the queue, the running batches
-// and what is known of the targets, and applies the rules in the other files of the
-// package. Create it with New; it is not safe for concurrent use.
+// Core assembles the batches of one service. It owns the queue, the running batches and
+// the state of the targets, and applies the rules in the other files of the package.
+// Create it with New. It is not safe for concurrent use.
 type Core struct {
-	// spec is what the catalog says of the service's batches; nil before it is known.
+	// spec holds the batch parameters of the service; nil until the catalog is known.
 	spec *catalog.Batch
 	pool *pool
-	// items are all that have no result yet, queue those of them that wait.
+	// items holds every item without a result, queue those of them that wait for a batch.
 	items     map[Token]*queuedItem
 	queue     []*queuedItem
 	plans     plans
 	running   map[BatchID]*batch
 	lastBatch BatchID
-	// allEvacuated says that all targets are in evacuated data centres.
+	// allEvacuated reports whether all targets are in evacuated data centres.
 	allEvacuated bool
-	// limits bound the calls to cold targets.
+	// limits bounds the calls to cold targets.
 	limits *warmup.Limits
-	// gate says what targets ask for.
+	// gate bounds the calls to targets that asked for fewer.
 	gate      Gate
 	budget    *retrybudget.Budget
 	retention retention
@@ -55,19 +56,20 @@
 	tickDelay time.Duration
 }
 
-// scanInterval is how often scanTargets runs besides ticks at most: it looks at all
-// targets, 0.05 ms for a thousand, and a batch that got stuck is noticed as late as this.
+// scanInterval is the minimum time between scans of all targets at events other than
+// ticks. A scan of a thousand targets takes 0.05 ms; a stuck batch is detected at most
+// this much late.
 const scanInterval = 10 * time.Millisecond
 
-// Stats count what a core did since it was created.
+// Stats counts what a core has done since it was created.
 type Stats struct {
 	Batches, Items, Expired, Retries, Refused int64
 }
 
-// Option changes a Core under construction.
+// Option configures a Core under construction.
 type Option func(*Core)
 
-// WithGate sets which targets may get a call; all by default.
+// WithGate sets the gate that bounds the calls to targets. By default nothing is bounded.
 func WithGate(g Gate) Option { return func(c *Core) { c.gate = g } }
 
 // New returns a core without targets.
@@ -87,8 +89,8 @@
 	return c
 }
 
-// Handle takes in an event at a time and returns what the shell must do. The effects
-// are valid until the next call.
+// Handle processes one event and returns the effects that the caller must carry out. The
+// effects are valid until the next call.
 func (c *Core) Handle(now time.Time, ev Event) []Effect {
 	c.effects = nil
 	switch ev := ev.(type) {
@@ -124,7 +126,7 @@
 	return c.effects
 }
 
-// scanDue says whether scanTargets runs at an event.
+// scanDue reports whether scanTargets runs at an event.
 func (c *Core) scanDue(now time.Time, ev Event) bool {
 	_, tick := ev.(Tick)
 	return tick || now.Sub(c.lastScan) >= scanInterval
@@ -153,7 +155,7 @@
 	c.pool.prune()
 }
 
-// addListed takes in a target of the service's list.
+// addListed adds or updates a target from the service's target list.
 func (c *Core) addListed(listed directory.Target) {
 	t := c.pool.byLife[listed.Life()]
 	if t == nil {
@@ -181,7 +183,7 @@
 	}
 }
 
-// removeItem drops an item, also from the queue.
+// removeItem drops an item and takes it out of the queue.
 func (c *Core) removeItem(token Token) {
 	q := c.items[token]
 	if q == nil {
@@ -207,7 +209,8 @@
 	c.emit(Discard{Target: t.Target, Handles: handles})
 }
 
-// expireQueue drops plans whose time is over and items that cannot finish.
+// expireQueue drops expired plans, and fails queued items that cannot finish before their
+// deadline.
 func (c *Core) expireQueue(now time.Time) {
 	c.plans.expire(now)
 	if c.allEvacuated {
@@ -216,13 +219,13 @@
 	for _, q := range slices.Clone(c.queue) {
 		if q.runningBatches == 0 && !canFinish(now, c.spec, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
+			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline"))
 		}
 	}
 }
 
-// scanTargets drops results whose time is over and gives up batches that are stuck, in
-// the order of the targets, and notes how the learnt speeds have aged.
+// scanTargets drops expired results and handles stuck batches, in the order of the
+// targets, and updates the speed classes, which change as slowdowns decay.
 func (c *Core) scanTargets(now time.Time) {
 	c.pool.examined += len(c.pool.targets)
 	for _, t := range c.pool.targets {
@@ -237,8 +240,9 @@
 	}
 }
 
-// failEvacuated fails what waits while all targets are in evacuated data centres:
-// nobody knows when one is taken back, and the callers get a time to retry after.
+// failEvacuated fails the items that are in no batch while all targets are in evacuated
+// data centres. Nobody knows when a data centre will be taken back, so callers get a time
+// to retry after instead of waiting.
 func (c *Core) failEvacuated() {
 	for _, q := range slices.Clone(c.queue) {
 		if q.runningBatches == 0 {
@@ -247,20 +251,21 @@
 	}
 }
 
-// dropUnschedulable fails the past-due items whose turn will not come in time.
+// dropUnschedulable fails the past-due items that cannot be in a batch before their
+// deadline.
 func (c *Core) dropUnschedulable(now time.Time) {
 	if c.spec == nil {
 		return
 	}
 	earliest := earliestEnd(now, c.spec)
 	rate := sync.OnceValue(func() capacity { return c.capacity(now) })
-	for before, q := range slices.Clone(c.queue) {
-		if q.runningBatches == 0 && q.pastDue(earliest) && !canStartInTime(now, c.spec, rate(), before, q.Deadline) {
+	for ahead, q := range slices.Clone(c.queue) {
+		if q.runningBatches == 0 && q.pastDue(earliest) && !canStartInTime(now, c.spec, rate(), ahead, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the %d items before it leave no time", before))
+			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline behind %d others", ahead))
 		}
 	}
 }
 
-// Idle says whether nothing waits and nothing runs.
+// Idle reports whether the queue is empty and no batch is running.
 func (c *Core) Idle() bool { return len(c.queue) == 0 && len(c.running) == 0 }
--- a/internal/gateway/batching/deadline.go
+++ b/internal/gateway/batching/deadline.go
@@ -6,21 +6,19 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// canFinish says whether an item that is sent now can be ready before its deadline.
+// canFinish reports whether an item that is sent now can be ready before its deadline.
 //
-// Its inputs are the item's deadline (the request's, less the time of what follows
-// the item) and the time of a batch of one item by the catalog. Before the catalog
-// is known, that time counts as none, so that only items whose deadline is over are
-// dropped. It is asked at each event of items that are in no batch; one in a batch
-// is left to it.
+// Its inputs are the item's deadline (the request's, less the time for what follows the
+// item) and the duration of a batch of one item in the catalog. Until the catalog is
+// known, this duration counts as zero, so that only items past their deadline are
+// dropped. It is called at each event for the items that are in no batch.
 //
-// The learnt slowdown of targets does not count, since a faster target may be free
-// before. Where nothing can come of a request its caller gets the final answer at once:
-// an item that waits until its deadline would delay the refusal, and the time at which
-// to retry, for nothing.
+// The estimated slowdown of targets does not count, since a faster target may become idle
+// before. A caller whose request cannot succeed gets the final answer at once: an item
+// that waits until its deadline would only delay the refusal and its retry-after time.
 //
-// Dropping too early refuses requests that could have been answered; dropping too
-// late spends result memory and batches on items that nobody can use.
+// Dropping too early refuses requests that could have been answered; dropping too late
+// wastes result memory and batches on items that nobody can use.
 func canFinish(now time.Time, spec *catalog.Batch, deadline time.Time) bool {
 	end := now
 	if spec != nil {
@@ -29,19 +27,18 @@
 	return !end.After(deadline)
 }
 
-// canStartInTime says whether a past-due item that waits behind a number of others
-// (ahead, by the order of the queue) can be in a batch early enough to be ready
-// before its deadline.
+// canStartInTime reports whether a past-due item behind a number of others in the queue
+// (ahead) can be in a batch early enough to be ready before its deadline.
 //
 // Its inputs are the rate of all targets and the time until one is idle (capacity), the
-// items before it, and the item's deadline. What will come later and go before it does
-// not count, so that the answer is yes too often rather than too rarely. Without a rate
-// nobody can say, and the item waits.
+// number of items ahead, and the item's deadline. Later items that will overtake it do
+// not count, so it returns true too often rather than too rarely. If the rate is unknown,
+// the item waits.
 //
-// Past-due items go last. Under a long overload they waited for their deadline, up to
-// 4 s, and were refused then; now they are as soon as their turn cannot come. Worth
-// rose by 0.005 (docs/MEASUREMENTS.md, "past-due items given up when their turn cannot
-// come").
+// Past-due items go last. Under a long overload they waited for their deadline, up to 4
+// s, and were refused then; now they are refused as soon as they cannot start in time.
+// The load-test score rose by 0.005 (docs/MEASUREMENTS.md, "past-due items given up when
+// their turn cannot come").
 //
 // Dropping too early refuses requests that could have been answered late; dropping too
 // late holds those that cannot be.
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -4,16 +4,18 @@
 	"time"
 )
 
-// maxConcurrentInspections bounds the inspections of spare targets that run at once: each takes some
-// 4 ms, most of it a new connection, so that a coordinator begins with thousands of
-// targets a second; many more at once take it longer than inspectTimeout to read.
+// maxConcurrentInspections bounds the inspections of spare targets that run at once. An
+// inspection takes about 4 ms, most of it for a new connection, so a coordinator can put
+// thousands of targets per second into use. It could not read the answers to many more at
+// once within inspectTimeout.
 const maxConcurrentInspections = 32
 
-// dispatch starts batches as long as there are items and targets that may take them.
+// dispatch starts batches as long as there are queued items and eligible targets.
 //
-// A target that took nothing speaks for the others in its data centre that have no more
-// memory: items differ for them by nothing else. Without that each item that waits for a
-// target near it was offered to all idle targets elsewhere at each event.
+// A target that takes no item rules out the others in its data centre that have no more
+// free memory, since nothing else makes a difference to which items fit. Otherwise each
+// item that waits for a local target would be checked against all idle targets elsewhere
+// at each event.
 func (c *Core) dispatch(now time.Time) {
 	if c.spec == nil || len(c.queue) == 0 {
 		return
@@ -42,12 +44,12 @@
 	c.inspectSpares(loc)
 }
 
-// isCoordinator is why the core gives out the calls of cold targets: it assembles all
-// batches of its service.
+// isCoordinator tells the warm-up limits that this core may use the allowance of cold
+// targets. It always may, since it assembles all batches of its service.
 func isCoordinator() bool { return true }
 
-// startBatch sends a target a batch of the first items of the queue that fit; false when none
-// do.
+// startBatch sends a target the first items of the queue that fit into a batch. It
+// returns false when none fit.
 func (c *Core) startBatch(loc *locality, t *target) bool {
 	now := loc.now
 	filler := newBatchFiller(loc, t)
@@ -83,12 +85,13 @@
 	return true
 }
 
-// inspectSpares has spare targets inspected for the groups that found no target: one for
-// each group, in its data centre where there is one, else, unless a target there takes
-// the group in time, where most are spare.
+// inspectSpares requests inspections of spare targets for the groups that found no
+// target, one per group. It is in the group's own data centre if that has targets that
+// were not inspected; otherwise, unless a local target can take the group in time, where
+// most targets are spare.
 //
-// Too few leave groups waiting for some milliseconds more; too many cost a call and a
-// connection each.
+// Too few inspections leave groups waiting for some milliseconds more; too many cost a
+// call and a connection each.
 func (c *Core) inspectSpares(loc *locality) {
 	spare, inspecting := 0, 0
 	for _, dc := range c.pool.dataCentres {
@@ -96,7 +99,8 @@
 		inspecting += len(dc.inspecting.targets)
 	}
 	if spare == 0 || inspecting >= maxConcurrentInspections {
-		// A full service has a long queue, which need not be looked through at each event.
+		// With all targets in use the queue is long and not worth traversing at each
+		// event.
 		return
 	}
 	wanted := map[*dataCentreTargets]int{}
@@ -116,7 +120,7 @@
 			inspecting++
 		}
 	}
-	// Other data centres stand in for one whose spare targets may get no call.
+	// Make up for inspections that the gate denied with spare targets in any data centre.
 	for _, dc := range c.pool.dataCentres {
 		for unmet > 0 && inspecting < maxConcurrentInspections && c.inspectSpare(dc) {
 			unmet--
@@ -125,8 +129,8 @@
 	}
 }
 
-// inspectSpare has one spare target of a data centre inspected; false when none may get a
-// call.
+// inspectSpare requests the inspection of one spare target of a data centre. It returns
+// false when the gate allows no call to any of them.
 func (c *Core) inspectSpare(dc *dataCentreTargets) bool {
 	for i := len(dc.spare.targets) - 1; i >= 0; i-- {
 		t := dc.spare.targets[i]
@@ -141,7 +145,8 @@
 	return false
 }
 
-// dataCentreToInspect returns the data centre in which a group needs a spare target; nil for none.
+// dataCentreToInspect returns the data centre in which to inspect a spare target for a
+// group; nil for none.
 func (p *pool) dataCentreToInspect(loc *locality, q *queuedItem) *dataCentreTargets {
 	own := p.byDataCentre[q.DataCentre]
 	switch {
@@ -153,7 +158,8 @@
 	return p.mostSpare()
 }
 
-// mostSpare returns the data centre with most spare targets; nil without data centres.
+// mostSpare returns the data centre with the most spare targets; nil if there are no data
+// centres.
 func (p *pool) mostSpare() *dataCentreTargets {
 	var most *dataCentreTargets
 	for _, dc := range p.dataCentres {
@@ -164,7 +170,8 @@
 	return most
 }
 
-// reinspect has known targets inspected whose turn it is, while there is work for them.
+// reinspect requests the inspections that are due at idle and busy targets, as long as
+// items are queued.
 func (c *Core) reinspect(now time.Time) {
 	if c.spec == nil || len(c.queue) == 0 {
 		return
@@ -180,7 +187,7 @@
 	}
 }
 
-// recordInspection takes in what a target reports, or that it gave no answer.
+// recordInspection records a target's report, or that it gave none.
 func (c *Core) recordInspection(now time.Time, ev Inspected) {
 	t := c.pool.byLife[ev.Target]
 	if t == nil {
@@ -197,7 +204,7 @@
 	c.pool.reclassify(t)
 }
 
-// firstPerGroup returns the first item of each group of a queue, in its order.
+// firstPerGroup returns the first item of each group, in the order of the queue.
 func firstPerGroup(queue []*queuedItem) []*queuedItem {
 	seen := make(map[groupKey]bool, len(queue))
 	var first []*queuedItem
--- a/internal/gateway/batching/eligible.go
+++ b/internal/gateway/batching/eligible.go
@@ -7,15 +7,14 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// speedClassRatio is the factor by which the learnt slowdowns of two targets differ that count
-// as one faster than the other, about a fifth of a batch's time. The way to a target and
-// the time of its connection are in what was learnt, so that the used targets of one
-// speed differ by some percent; taking the fastest of them all prefers those that were
-// never used, each at a new connection.
+// speedClassRatio is the ratio of two slowdowns from which on one target counts as faster
+// than the other, about a fifth of a batch's duration. Slowdowns include network latency
+// and connection setup, so targets of equal speed differ by a few per cent once used.
+// Picking the very fastest would prefer targets that were never used, each at the cost of
+// a new connection.
 const speedClassRatio = 1.2
 
-// candidates returns the targets that may take a batch now, as far as they say themselves
-// (eligible), in no particular order.
+// candidates returns the targets that are eligible for a batch, in no particular order.
 func (p *pool) candidates(now time.Time) []*target {
 	var list []*target
 	for _, dc := range p.dataCentres {
@@ -29,22 +28,23 @@
 	return list
 }
 
-// speedClassOf numbers the classes of slowdowns; the middle of class 0 is the catalog's
-// speed.
+// speedClassOf returns the speed class of a slowdown. Class 0 is centred on the speed in
+// the catalog; higher classes are slower.
 func speedClassOf(slowdown float64) int {
 	return int(math.Round(math.Log(slowdown) / math.Log(speedClassRatio)))
 }
 
-// popBest takes the candidate out of a list that gets its batch first: the fastest by
-// speedClassRatio, of those the one that has been idle for longest, and then the first listed.
-// The first gets the first items of the queue, and the batch of a fast one ends sooner.
-// Speeds are learnt (slowdown) and as old as the target's last batch.
+// popBest removes the target that gets the next batch from a list of candidates: the one
+// of the fastest speed class, among those the one that has been idle the longest, then
+// the one that was listed first. The next batch takes the first items of the queue, and a
+// fast target finishes them sooner. A speed class is as old as the target's last batch.
 //
-// Candidates were all inspected or used lately, so that their connections are open: a
-// service opens as many as its load needs. With the fastest first, and all targets
-// candidates, almost each call went to a target that had never been called: 3,600 calls
-// of a service to 1,152 targets opened some 3,000 connections. The longest idle one first
-// spreads the calls over data centres, and leaves results the time to be released.
+// Every candidate was inspected or used recently, so its connection is open and a service
+// opens only as many connections as its load needs. When all targets were candidates and
+// the fastest went first, almost every call went to a target that had never been called:
+// 3,600 calls of a service with 1,152 targets opened about 3,000 connections. Preferring
+// the longest idle target spreads calls over the data centres and leaves time for results
+// to be released.
 func popBest(list []*target) (*target, []*target) {
 	best := 0
 	for i := range list {
@@ -57,7 +57,7 @@
 	return chosen, list[:last]
 }
 
-// precedes says whether the target gets its batch before another one.
+// precedes reports whether the target gets a batch before another one.
 func (t *target) precedes(other *target) bool {
 	if t.speedClass != other.speedClass {
 		return t.speedClass < other.speedClass
@@ -68,29 +68,30 @@
 	return t.seq < other.seq
 }
 
-// eligible decides whether a target may take a batch now: when it is listed and does not
-// drain, runs no batch, not even a stuck one, does not back off (targetBackoff), and is
-// known not to work for others (inspection).
+// eligible reports whether a target may take a batch now: it is usable, runs no batch,
+// not even a stuck one, is not backing off (targetBackoff), and is known not to work for
+// another coordinator (inspection).
 //
-// A second batch at a busy target would only wait there, out of reach of targets
-// that fall idle meanwhile. Taking a target that should be left out costs retries
-// or late items; leaving one out costs its capacity.
+// A second batch would only queue at a busy target, where targets that become idle in the
+// meantime cannot take its items. Using a target that should be skipped costs retries or
+// late items; skipping one that could be used wastes its capacity.
 func (t *target) eligible(now time.Time) bool {
 	return t.usable && t.running == nil && !t.backoff.active(now) && !t.inspection.blocksBatches()
 }
 
-// fasterTargetsSuffice says whether the queue is better off without a slow idle target:
-// targets that are busy now would end their batch and one more item before the idle
-// one ends a batch of one item, and their next batches can take all that is queued.
+// fasterTargetsSuffice reports whether the queue is better served without a slow idle
+// target: faster targets that are busy now would finish their batch and one more item
+// before the idle one finishes a batch of one item, and their next batches can take
+// everything that is queued.
 //
-// Its inputs are the learnt slowdowns, the expected ends of the running batches and
-// the number of queued items. Targets that are stuck do not count, as nobody knows
-// when they end. While more is queued than the faster ones can take next, the slow
-// one is used: before, a coordinator left 14 of 18 targets idle while 591 items
-// waited.
+// Its inputs are the estimated slowdowns, the expected ends of the running batches and
+// the number of queued items. Targets with a stuck batch are not counted, as it is
+// unknown when they become idle. The slow target is used while more is queued than the
+// next batches of the faster ones can take: without this condition a coordinator left 14
+// of 18 targets idle while 591 items waited.
 //
-// With a wrong yes a target idles while items wait, with a wrong no items wait for
-// a batch that ends later than it had to.
+// If it wrongly returns true, a target idles while items wait; if it wrongly returns
+// false, items go into a batch that ends later than necessary.
 func (p *pool) fasterTargetsSuffice(now time.Time, spec *catalog.Batch, idle *target, queued int) bool {
 	idleEnd := idle.expectedSingle(now, spec)
 	capacity := 0
--- a/internal/gateway/batching/estimate.go
+++ b/internal/gateway/batching/estimate.go
@@ -8,53 +8,54 @@
 )
 
 const (
-	// memoryUtilisation is the fraction of the result memory that is used on average when it
-	// bounds the rate; the rest is free between batches, whose memory is reserved and
-	// released as a whole. In the logged states of a service that was short of memory 0.8
-	// was in use. A higher figure admits more than the service carries.
+	// memoryUtilisation is the average fraction of the result memory in use when memory
+	// bounds the rate. The rest is free between batches, because a batch's memory is
+	// reserved and released as a whole. Logs of a service that was short of memory showed
+	// 0.8. A higher value admits more than the service can carry.
 	memoryUtilisation = 0.8
-	// retentionWeight is the weight of the newest released result in the learnt retention,
-	// as a fraction: twenty releases, a second or less of a busy service, make up two
-	// thirds of it. Twice as much follows single batches, half as much lags behind a burst
-	// by seconds.
+	// retentionWeight is the weight of the newest released result in the moving averages
+	// of retention: twenty releases, a second or less of a busy service, make up two
+	// thirds of the average. Twice the weight follows single batches; half of it lags
+	// behind a burst by seconds.
 	retentionWeight = 0.05
 )
 
-// State is what a core holds, for admission, logs and the state dump.
+// State describes a core, for admission, logs and the state dump.
 type State struct {
 	Stats
-	// Waiting counts the queued items, PastDue those of them that cannot be ready
-	// when they are due.
+	// Waiting counts the queued items, PastDue those of them that cannot be ready when
+	// they are due.
 	Waiting, PastDue int
-	// Targets counts the usable targets, Busy those of them with a batch and
-	// BackingOff those that are left unused after trouble, with a batch or not.
+	// Targets counts the usable targets, Busy those of them with a running batch that do
+	// not back off, and BackingOff those that back off, with or without a batch.
 	Targets, Busy, BackingOff int
-	// Examined counts the targets that decisions have looked at: what events cost.
+	// Examined counts the targets that were looked at to make decisions, as a measure of
+	// the cost of events.
 	Examined int
 	// UsedBytes is the result memory that is stored or reserved at all targets,
-	// MemoryBytes all that the usable targets have.
+	// MemoryBytes the total result memory of the usable targets.
 	UsedBytes, MemoryBytes int64
-	// ItemsPerSecond estimates how many items all targets can compute.
+	// ItemsPerSecond estimates the throughput of all targets.
 	ItemsPerSecond float64
 	// Planned counts the announced items that have not been submitted.
 	Planned int
-	// Wait estimates how long a new item waits for its batch, Backlog how long it
-	// takes until all that is queued on time or announced is in a batch. Both are 0
-	// while each target is unusable or backs off.
+	// Wait estimates how long a new item waits for its batch, Backlog how long it takes
+	// until everything that is queued on time or announced is in a batch. Both are 0
+	// while every target is unusable or backs off.
 	Wait, Backlog time.Duration
 }
 
-// State describes the core and estimates how long its work takes.
+// State returns the state of the core with estimates of how long its work takes.
 //
-// The estimate decides nothing here; admission refuses requests by Backlog
-// (docs/decisions/0013-planning-stages.md). It is the time until the first target
-// falls idle, and the time for the items at the rate of all targets: full batches
-// at their learnt slowdowns, bound by the result memory. Targets that back off
-// count for nothing, and past-due items are left out, as they go last. Without a
-// catalog, and while each target is unusable or backs off, the estimate is 0, so
-// that admission does not refuse by it.
+// The estimates decide nothing here; admission refuses requests by Backlog
+// (docs/decisions/0013-planning-stages.md). Backlog is the time until the first target
+// becomes idle, plus the time for the items at the combined rate of all targets: full
+// batches at their estimated slowdowns, bounded by the result memory. Targets that back
+// off do not count, and past-due items are left out because they go last. Without a
+// catalog, and while every target is unusable or backs off, the estimates are 0, so that
+// admission does not refuse by them.
 //
-// An estimate that is too high refuses requests that would fit, one that is too low
+// An estimate that is too high refuses requests that would fit. One that is too low
 // admits requests that become late and whose items then use up result memory.
 func (c *Core) State(now time.Time) State {
 	s := State{Stats: c.stats, Waiting: len(c.queue), Examined: c.pool.examined}
@@ -85,9 +86,9 @@
 	return time.Duration(float64(items) / perSecond * float64(time.Second))
 }
 
-// addTargets counts the targets and adds up their rates, and returns how long it
-// takes until the first of them that does not back off is idle; the longest duration
-// when there is none. Targets of which nothing is known are as fast as the catalog says.
+// addTargets adds the counts and rates of all targets to a state, and returns the time
+// until the first target that does not back off is idle; the longest duration if there is
+// none. Targets that were not inspected count with the speed in the catalog.
 func (c *Core) addTargets(now time.Time, spec *catalog.Batch, s *State) time.Duration {
 	firstIdle := time.Duration(math.MaxInt64)
 	for _, t := range c.pool.unusable.targets {
@@ -108,8 +109,8 @@
 	return firstIdle
 }
 
-// addTarget counts a usable target and returns how long it takes until it is idle; the
-// longest duration for one that backs off.
+// addTarget adds a usable target to a state and returns the time until it is idle; the
+// longest duration if it backs off.
 func (c *Core) addTarget(now time.Time, spec *catalog.Batch, s *State, t *target) time.Duration {
 	s.Targets++
 	s.UsedBytes += t.memory.used()
@@ -125,22 +126,22 @@
 	return max(t.running.expectedEnd.Sub(now), 0)
 }
 
-// rate is how many items a second the target can compute in full batches.
+// rate returns the target's throughput in full batches, in items per second.
 func (t *target) rate(now time.Time, spec *catalog.Batch) float64 {
 	return float64(spec.MaxItems) / t.expectedFull(now, spec).Seconds()
 }
 
-// capacity is the most that a service's targets can do.
+// capacity is an upper bound of what the targets of a service can do.
 type capacity struct {
-	// itemsPerSecond is the rate of full batches at all usable targets, bound by the
-	// result memory; 0 when there are none.
+	// itemsPerSecond is the rate of full batches at all usable targets, bounded by the
+	// result memory; 0 without usable targets.
 	itemsPerSecond float64
-	// firstIdle is how long it takes until one of them is idle.
+	// firstIdle is the time until the first of them is idle.
 	firstIdle time.Duration
 }
 
-// capacity returns the most that the targets can do from now on. In contrast to State
-// it counts targets that back off, as they will be back soon.
+// capacity returns the capacity of the targets from now on. Unlike State it counts
+// targets that back off, as they will be back soon.
 func (c *Core) capacity(now time.Time) capacity {
 	unknown := c.pool.uninspected()
 	most := capacity{firstIdle: math.MaxInt64, itemsPerSecond: nominalRate(c.spec, unknown)}
@@ -166,32 +167,32 @@
 	return most
 }
 
-// retention is the learnt use of result memory by one result. The zero value knows
-// nothing.
+// retention holds moving averages of how long results occupy memory and how large they
+// are. The zero value has no samples.
 //
-// It decides how many results the memory of all targets lets them compute in a
-// second (itemsPerSecond). Its inputs are the results that are released: the time
-// from the sending of their batch to their release, in seconds, and the estimate of
-// their size, in bytes. Results that expire do not count. What was learnt does not
-// age, but each further release outweighs it a little. Both averages start at 0 and
-// are at two thirds after about twenty releases; until then the bound is too high.
+// They bound the rate at which the combined memory of all targets lets them compute
+// results (itemsPerSecond). Each released result is a sample: the time from the sending
+// of its batch to its release, in seconds, and its estimated size, in bytes. Results that
+// expire do not count. Samples do not decay with time; each further release reduces their
+// weight. Both averages start at 0 and reach two thirds of their value after about twenty
+// releases; until then the bound is too high.
 //
-// Without the bound a service that stores results for long seemed faster than it
-// was, and admission accepted more than the later stages could carry
+// Without the bound a service that stores results for long seemed faster than it was, and
+// admission accepted more than the later stages could carry
 // (docs/decisions/0013-planning-stages.md).
 type retention struct {
 	seconds float64
 	bytes   float64
 }
 
-// observe takes in a released result.
+// observe adds a released result to the averages.
 func (r *retention) observe(now time.Time, released storedResult) {
 	r.seconds += retentionWeight * (now.Sub(released.sentAt).Seconds() - r.seconds)
 	r.bytes += retentionWeight * (float64(released.bytes) - r.bytes)
 }
 
-// itemsPerSecond returns how many results an amount of memory lets targets compute;
-// 0 for unknown.
+// itemsPerSecond returns the rate of results that an amount of memory allows; 0 if
+// unknown.
 func (r *retention) itemsPerSecond(memoryBytes int64) float64 {
 	if r.seconds <= 0 || r.bytes <= 0 {
 		return 0
--- a/internal/gateway/batching/fill.go
+++ b/internal/gateway/batching/fill.go
@@ -6,28 +6,28 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// onTimeMemoryReserve is the fraction of a target's result memory that past-due items leave
-// available for others, meant to end an overload with its cause. Switched off alone it
-// made no difference that 15 days showed; a trial in which items that are merely due
-// late left it too cost 0.075 of worth.
+// onTimeMemoryReserve is the fraction of a target's result memory that past-due items
+// leave to other items, so that an overload ends when its cause does. Removing only this
+// reserve made no difference in 15 load tests. Applying it to items that are due late but
+// not past due lowered the load-test score by 0.075.
 const onTimeMemoryReserve = 0.5
 
-// partialGroupThreshold is the fraction of the most items from which on a batch takes no parts of
-// groups. Worth rose by 0.020 with a half, by 0.019 when parts were taken only into an
-// empty batch, and by 0.015 when they filled any (docs/MEASUREMENTS.md, "groups taken
-// whole").
+// partialGroupThreshold is the fraction of the maximum number of items from which on a
+// batch takes no parts of groups. The load-test score rose by 0.020 with 0.5, by 0.019
+// with parts only in otherwise empty batches, and by 0.015 with parts in any batch
+// (docs/MEASUREMENTS.md, "groups taken whole").
 const partialGroupThreshold = 0.5
 
-// batchFiller is the state of the rule that decides which queued items one batch takes.
+// batchFiller selects the queued items for one batch.
 type batchFiller struct {
 	spec     *catalog.Batch
 	target   *target
 	locality *locality
 	// earliest is when an item that is sent now can be ready.
 	earliest time.Time
-	// items counts the items that were taken.
+	// items counts the selected items.
 	items int
-	// available is the result memory in bytes that is left.
+	// available is the result memory that is left, in bytes.
 	available int64
 	suspects  suspectFilter
 }
@@ -39,24 +39,24 @@
 	}
 }
 
-// available returns how much result memory a new batch may use there, in bytes.
+// available returns how much result memory a new batch may use at the target, in bytes.
 func (t *target) available(now time.Time, spec *catalog.Batch) int64 {
 	return t.memory.available(spec) - t.inspection.foreign(now)
 }
 
-// groupKey names the items of one stage of one request.
+// groupKey identifies the items of one stage of one request.
 type groupKey struct {
 	request string
 	stage   int
 }
 
-// footprint is a number of items and the bytes of their results.
+// footprint is a number of items and the size of their results.
 type footprint struct {
 	items int
 	bytes int64
 }
 
-// groupFootprints returns how much of each group waits.
+// groupFootprints returns the footprint of the queued items of each group.
 func groupFootprints(queue []*queuedItem) map[groupKey]footprint {
 	groups := make(map[groupKey]footprint)
 	for _, q := range queue {
@@ -70,14 +70,14 @@
 
 func (q *queuedItem) group() groupKey { return groupKey{q.Request, q.Stage} }
 
-// selectItems parts a queue into the items that the batch takes and the others, each in
-// the order of the queue.
+// selectItems partitions a queue into the items that the batch takes and the rest, both
+// in the order of the queue.
 //
-// Groups are taken whole: a group is done when its last item is, and the results of
-// those before it occupy memory until then. Parts of groups are taken only where the
-// batch would otherwise be less than partialGroupThreshold, so that no target stands idle for a
-// group that fits nowhere. Before, each batch began with the rest of a group and ended
-// with the beginning of another.
+// Groups are taken whole: a group is done only when its last item is, and until then the
+// results of the others occupy memory. When every batch was filled up, each began with
+// the rest of one group and ended with the beginning of another. Parts of groups are
+// taken only if the batch would otherwise be filled below partialGroupThreshold, so that
+// no target idles because of a group that fits nowhere.
 func (f *batchFiller) selectItems(queue []*queuedItem) (taken, rest []*queuedItem) {
 	chosen := f.addWholeGroups(queue)
 	if float64(f.items) < partialGroupThreshold*float64(f.spec.MaxItems) {
@@ -93,7 +93,7 @@
 	return taken, rest
 }
 
-// addWholeGroups takes the groups that fit, in the order of their first items.
+// addWholeGroups selects the groups that fit, in the order of their first items.
 func (f *batchFiller) addWholeGroups(queue []*queuedItem) map[*queuedItem]bool {
 	groups := groupFootprints(queue)
 	fits := make(map[groupKey]bool, len(groups))
@@ -114,7 +114,7 @@
 	return chosen
 }
 
-// addSingleItems takes items that fit, of whatever group.
+// addSingleItems selects single items that fit, of any group.
 func (f *batchFiller) addSingleItems(queue []*queuedItem, chosen map[*queuedItem]bool) {
 	for _, q := range queue {
 		one := footprint{items: 1, bytes: q.Bytes}
@@ -126,29 +126,29 @@
 	}
 }
 
-// add adds an amount of an item's group.
+// add accounts for the selected items of a group.
 func (f *batchFiller) add(q *queuedItem, size footprint) {
 	f.suspects.add(q)
 	f.items += size.items
 	f.available -= size.bytes
 }
 
-// fits decides whether an item of the queue goes into the batch with an amount of its
-// group, which has the same times and data centre: the whole of it, or itself.
+// fits reports whether items of a group fit into the batch: size is that of the whole
+// group or of the item q alone. All items of a group have the same times and data centre.
 //
-// Its inputs are, in the order in which they count: the number of items taken and
-// the most that the catalog allows; the target's available result memory and the
-// results' size, both estimates in bytes; whether the item is past due; whether another
-// request in the batch is suspected; and the nearness of other targets (locality). What does not fit stays in the queue, and
-// smaller or nearer ones behind it may be taken. The batch is sent at
-// once, full or not: a target that waits for more items does nothing meanwhile.
+// It considers, in this order: the maximum number of items in the catalog; the target's
+// available result memory and the estimated size of the results; whether the item is past
+// due; whether the batch has a suspect of another request; and whether a local target can
+// take the item in time (locality). What does not fit stays in the queue, and smaller or
+// more local items behind it may be taken. The batch is sent at once, full or not,
+// because a target that waits for more items does nothing in the meantime.
 //
-// Past-due items that took all of the result memory kept others from being in time,
-// and the overload went on after its cause was over. See
+// When past-due items could use all of the result memory, they kept others from being in
+// time, and an overload continued after its cause was over. See
 // docs/decisions/0012-batches.md and 0013-planning-stages.md.
 //
-// Taking too much makes the target refuse items for lack of memory, which costs
-// retries; taking too little costs the fixed time of a further batch.
+// Selecting too much makes the target refuse items for lack of memory, which costs
+// retries; selecting too little costs the fixed time of another batch.
 func (f *batchFiller) fits(q *queuedItem, size footprint) bool {
 	need := size.bytes
 	if q.pastDue(f.earliest) {
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -9,8 +9,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// finishBatch takes in the end of a batch, also of one that got stuck before. An answer
-// that is not for the items that were sent counts as a failure.
+// finishBatch handles the end of a batch, including one that became stuck. An answer with
+// a different number of outcomes than items were sent counts as a failure.
 func (c *Core) finishBatch(now time.Time, ev Finished) {
 	done := c.running[ev.Batch]
 	if done == nil {
@@ -46,9 +46,9 @@
 	}
 }
 
-// applyOutcome takes in the outcome of one item and says whether its result is used. An
-// item whose input is gone or whose time is over at the target is not retried: no
-// target could compute it.
+// applyOutcome applies the outcome of one item and reports whether its result is used. An
+// item is not retried if an input is gone or if its deadline passed at the target, since
+// no other target could compute it.
 func (c *Core) applyOutcome(now time.Time, done *batch, item Item, out Outcome) bool {
 	t := done.target
 	q := c.items[item.Token]
@@ -65,16 +65,16 @@
 		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input is gone at %s", t.ID))
+		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "target %s no longer has an input of the item", t.ID))
 	case PastDeadline:
 		c.stats.Expired++
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
+		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline had passed when target %s reached the item", t.ID))
 	case NoMemory:
 		t.backoff.recordNoMemory(now)
 		t.inspection.inspectNow(now)
-		c.requeue(now, q, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
+		c.requeue(now, q, verdict.New(verdict.NotRun, verdict.ReasonOverload, "target %s had no memory for the result", t.ID))
 	case Failed:
-		c.requeue(now, q, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s failed", t.ID))
+		c.requeue(now, q, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "target %s failed to compute the result", t.ID))
 	}
 	return false
 }
@@ -85,9 +85,9 @@
 	c.emit(Resolve{Token: token, Err: err})
 }
 
-// recordCrash notes that the target of a batch ended with its items, also of one that got
-// stuck before. A group fails as a whole with an item that ends its targets: what of it
-// waits is not sent first.
+// recordCrash records that the target of a batch, which may be stuck, crashed while it
+// had the items. If an item has crashed too many targets, its whole group fails, so that
+// the queued items of the group are not sent first.
 func (c *Core) recordCrash(ended *batch) {
 	for _, item := range ended.items {
 		q := c.items[item.Token]
@@ -101,7 +101,7 @@
 	}
 }
 
-// failGroup fails the items of a group because they end their targets.
+// failGroup fails the items of a group because they crash targets.
 func (c *Core) failGroup(group groupKey) {
 	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.Token, b.Token) }) {
 		if q.group() == group {
@@ -111,7 +111,8 @@
 	}
 }
 
-// clearCrashes notes that the target of a batch outlived its items.
+// clearCrashes resets the crash counts of a batch's items, since its target survived
+// them.
 func (c *Core) clearCrashes(answered *batch) {
 	for _, item := range answered.items {
 		if q := c.items[item.Token]; q != nil {
@@ -120,14 +121,14 @@
 	}
 }
 
-// retryItems takes the items of a batch that failed or is stuck out of it, and retries
-// them; those of a batch that got stuck before have been.
+// retryItems takes the items out of a failed or stuck batch and retries them. Those of a
+// batch that became stuck earlier were retried then.
 func (c *Core) retryItems(now time.Time, failed *batch, err *verdict.Error) {
 	if failed.stuck {
 		return
 	}
 	if err == nil {
-		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s answered for other items", failed.target.ID)
+		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "target %s answered with another number of items than were sent", failed.target.ID)
 	}
 	for _, item := range failed.items {
 		if q := c.items[item.Token]; q != nil {
@@ -137,7 +138,7 @@
 	}
 }
 
-// requeue queues an item again, or fails it with a cause, by the rule of retries.
+// requeue puts an item back into the queue, or fails it with cause, as decideRetry says.
 func (c *Core) requeue(now time.Time, q *queuedItem, cause *verdict.Error) {
 	switch decideRetry(q, func() bool { return c.budget.Spend(now) }) {
 	case retry:
@@ -151,10 +152,10 @@
 	}
 }
 
-// markStuck takes in that a batch is stuck.
+// markStuck marks a batch as stuck and retries its items.
 func (c *Core) markStuck(now time.Time, b *batch) {
 	b.target.recordFailure(now)
 	b.target.slowdown.observe(now, now.Sub(b.sentAt), b.nominal)
-	c.retryItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", b.target.ID))
+	c.retryItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "target %s did not answer in time", b.target.ID))
 	b.stuck = true
 }
--- a/internal/gateway/batching/gate.go
+++ b/internal/gateway/batching/gate.go
@@ -8,25 +8,27 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// Gate says which targets may get a call, a batch or an inspection, by what they ask for;
-// backpressure.Gate implements it.
+// Gate bounds the calls to targets, batches and inspections alike, by the limits that the
+// targets ask for. backpressure.Gate implements it.
 type Gate interface {
-	// Allows says whether a target may get a call now.
+	// Allows reports whether a target may get a call now.
 	Allows(target directory.Life) bool
-	// Take is Allows, and counts the call.
+	// Take is like Allows, and counts the call if it is allowed.
 	Take(target directory.Life) bool
-	// Bound returns how many calls a second a target takes; false for no bound.
+	// Bound returns how many calls per second a target accepts; false if it is not
+	// limited.
 	Bound(target directory.Life) (perSecond float64, limited bool)
 }
 
-// allowAllGate is that of targets which ask for nothing.
+// allowAllGate is a Gate that bounds nothing.
 type allowAllGate struct{}
 
 func (allowAllGate) Allows(directory.Life) bool           { return true }
 func (allowAllGate) Take(directory.Life) bool             { return true }
 func (allowAllGate) Bound(directory.Life) (float64, bool) { return 0, false }
 
-// limitedRate is how many items a second a target computes in full batches, as many as it takes.
+// limitedRate returns the target's throughput in full batches, in items per second,
+// bounded by the calls that it accepts.
 func (c *Core) limitedRate(now time.Time, spec *catalog.Batch, t *target) float64 {
 	takes := math.Inf(1)
 	if calls, limited := c.gate.Bound(t.Life()); limited {
--- a/internal/gateway/batching/inspection.go
+++ b/internal/gateway/batching/inspection.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// busyReinspectInterval is how long after a target was found busy with the batch of another
-	// coordinator it is inspected again: less than a third of the shortest batch, so that
-	// it idles for little, at a probe each time.
+	// busyReinspectInterval is the time until the next inspection of a target that was
+	// busy with the batch of another coordinator. It is less than a third of the shortest
+	// batch, which bounds the target's idle time at the cost of one call each.
 	busyReinspectInterval = 60 * time.Millisecond
-	// memoryReinspectInterval is how long after results of others were found at a target it is
-	// inspected again: they go when they expire, after seconds, or when their owner
-	// releases them.
+	// memoryReinspectInterval is the time until the next inspection of a target that
+	// holds results of other coordinators. These go when they expire, after seconds, or
+	// when their owner releases them.
 	memoryReinspectInterval = 500 * time.Millisecond
 )
 
-// inspection is what is known of the work of others at one target. The zero value
-// knows nothing.
+// inspection holds what is known of the work of other coordinators at a target. The zero
+// value knows nothing.
 //
-// A coordinator knows only what it did itself. One that takes a service over, for
-// instance after a fault of all nodes, finds targets that still work for the one
-// before it, and memory full of results that nobody will read: batches sent there were
-// refused, and their requests with them (72 of 270 in the four seconds after such a
-// fault). So a target is inspected before its first batch, again while others work
-// there or hold results, and when it had no memory for a result that this coordinator
-// had counted on.
+// A coordinator sees only its own work. One that takes a service over, such as after a
+// fault of all nodes, finds targets that still work for its predecessor and memory full
+// of results that nobody will read. Batches sent to these were refused, and their
+// requests with them: 72 of 270 in the four seconds after such a fault. Therefore a
+// target is inspected before its first batch, again while others use it or hold results
+// there, and when it lacks memory that this coordinator counted on.
 //
-// An inspection costs a call. Without an answer the target counts as free of others'
-// work: its next batch shows whether it is. Results of others count until they must
-// have expired.
+// An inspection costs a call. A target that does not answer counts as unused by others;
+// its next batch shows whether it is. Results of others count until they must have
+// expired.
 type inspection struct {
-	// completed says that the target was inspected, or gave no answer.
+	// completed reports whether an inspection has ended, with or without an answer.
 	completed bool
-	// running says that an answer is awaited.
+	// running reports whether an inspection is in progress.
 	running bool
-	// busy says that the target works for others.
+	// busy reports whether the target works for another coordinator.
 	busy bool
-	// foreignBytes are the results of others, until foreignExpiresAt.
+	// foreignBytes is the size of the results of other coordinators, which counts until
+	// foreignExpiresAt.
 	foreignBytes     int64
 	foreignExpiresAt time.Time
 	// nextAt is when the target is to be inspected again; zero for never.
 	nextAt time.Time
 }
 
-// due says whether the target is to be inspected now.
+// due reports whether the target should be inspected now.
 func (i *inspection) due(now time.Time) bool {
 	if i.running {
 		return false
@@ -53,14 +53,15 @@
 	return !i.completed || (!i.nextAt.IsZero() && !now.Before(i.nextAt))
 }
 
-// blocksBatches says whether the target gets no batch: nothing is known of it yet, or it
-// works for others.
+// blocksBatches reports whether the target gets no batch because it was never inspected
+// or works for another coordinator.
 func (i *inspection) blocksBatches() bool { return !i.completed || i.busy }
 
-// noForeignWork says whether nothing of others is known there, and no answer is awaited.
+// noForeignWork reports whether no work of other coordinators is known and no inspection
+// is in progress.
 func (i *inspection) noForeignWork() bool { return !i.running && !i.busy && i.nextAt.IsZero() }
 
-// foreign returns how much memory results of others take.
+// foreign returns how much memory the results of other coordinators use, in bytes.
 func (i *inspection) foreign(now time.Time) int64 {
 	if !now.Before(i.foreignExpiresAt) {
 		return 0
@@ -68,22 +69,22 @@
 	return i.foreignBytes
 }
 
-// inspectNow has the target inspected at once.
+// inspectNow makes an inspection due at once.
 func (i *inspection) inspectNow(now time.Time) { i.nextAt = now }
 
-// ownWork is what this coordinator has a target do and hold.
+// ownWork is the work of this coordinator at a target.
 type ownWork struct {
 	running bool
 	bytes   int64
 }
 
-// recordFailure takes in that a target gave no answer.
+// recordFailure records that the target did not answer.
 func (i *inspection) recordFailure() {
 	i.completed, i.running, i.busy, i.nextAt = true, false, false, time.Time{}
 }
 
-// recordReport takes in a target's report. What it does and holds beyond this
-// coordinator's own work is others'.
+// recordReport records a target's report. Whatever exceeds the coordinator's own work
+// belongs to others.
 func (i *inspection) recordReport(now time.Time, report Report, spec *catalog.Batch, own ownWork) {
 	i.completed, i.running = true, false
 	i.busy = report.Busy && !own.running
--- a/internal/gateway/batching/locality.go
+++ b/internal/gateway/batching/locality.go
@@ -6,34 +6,33 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// maxLocalityWait is how long an item may wait for a target in its data centre to fall
-// idle: about one batch. Without any waiting the worth of a day fell by 0.043, all of
-// it for results between data centres; no other time was run.
+// maxLocalityWait is how long an item may wait for a target in its data centre to become
+// idle, about one batch. Without any wait the load-test score fell by 0.043, all of it
+// because of results sent between data centres.
 const maxLocalityWait = 300 * time.Millisecond
 
-// locality decides whether items should not go to a target, as one in their data centre
-// can take them in time. It remembers what each data centre can do until forget; create
-// it with newNearness.
+// locality decides whether items wait for a target in their data centre that can take
+// them in time. It caches the result for each data centre until reset. Create it with
+// newLocality.
 //
-// Its inputs are an item's data centre, where its inputs are or its result will be
-// used (empty for anywhere), its due time, and for each target in that data centre
-// whether it is usable and not backing off, when its running batch should end, and
-// how long a full batch should take there by its learnt slowdown. A near target
-// counts when it is idle, or idle within maxNearWait, and a full batch from then on
-// ends before the item is due. A batch that is overdue or stuck does not count, as
-// nobody knows when it ends.
+// Its inputs are an item's data centre, where its inputs are or its result will be used
+// (empty for any), and its due time; and for each target in that data centre whether it
+// is usable and not backing off, when its running batch should end, and how long a full
+// batch should take at its estimated slowdown. A local target counts if it is idle now or
+// within maxLocalityWait, and a full batch from then on ends before the item is due. A
+// target whose batch is overdue or stuck does not count, as it is unknown when it becomes
+// idle.
 //
-// Results that cross data centres take time and are among the largest costs of a day
+// Results that cross data centres are slow and among the largest costs of a load test
 // (docs/MEASUREMENTS.md); a short wait costs less. See docs/decisions/0012-batches.md.
 //
-// Going far too readily costs transfers between data centres; waiting too readily
-// leaves targets idle and makes items late.
+// Too little waiting costs transfers between data centres; too much leaves targets idle
+// and makes items late.
 type locality struct {
 	now  time.Time
 	spec *catalog.Batch
 	pool *pool
-	// localEnds is when a full batch would end first in a data centre; zero where no target
-	// counts.
+	// localEnds caches earliestLocalEnd by data centre.
 	localEnds map[string]time.Time
 }
 
@@ -41,15 +40,15 @@
 	return &locality{now: now, spec: spec, pool: p, localEnds: make(map[string]time.Time, len(p.dataCentres))}
 }
 
-// reset has the data centres looked at again, after a target got a batch.
+// reset clears the cache; call it after a target got a batch.
 func (l *locality) reset() { clear(l.localEnds) }
 
-// shouldWait says whether an item should not go to a data centre.
+// shouldWait reports whether an item should not go to a target in a data centre.
 func (l *locality) shouldWait(q *queuedItem, dataCentre string) bool {
 	return q.DataCentre != "" && q.DataCentre != dataCentre && l.localInTime(q)
 }
 
-// localInTime says whether a target in an item's own data centre can take it in time.
+// localInTime reports whether a target in the item's own data centre can take it in time.
 func (l *locality) localInTime(q *queuedItem) bool {
 	end, known := l.localEnds[q.DataCentre]
 	if !known {
@@ -59,8 +58,8 @@
 	return !end.IsZero() && end.Before(q.Due)
 }
 
-// earliestLocalEnd returns when a full batch would end first in a data centre; zero where no
-// target counts.
+// earliestLocalEnd returns the earliest end of a full batch in a data centre; zero if no
+// target there counts.
 func (l *locality) earliestLocalEnd(dataCentre string) time.Time {
 	dc := l.pool.byDataCentre[dataCentre]
 	if dc == nil {
@@ -81,8 +80,8 @@
 	return first
 }
 
-// localEnd returns when a full batch would end at the target; false when it does not take
-// one within maxNearWait, or nobody knows.
+// localEnd returns when a full batch would end at the target. It returns false if the
+// target cannot start one within maxLocalityWait or if that is unknown.
 func (t *target) localEnd(now time.Time, spec *catalog.Batch) (end time.Time, counts bool) {
 	if !t.usable || t.backoff.active(now) {
 		return time.Time{}, false
--- a/internal/gateway/batching/memory.go
+++ b/internal/gateway/batching/memory.go
@@ -6,37 +6,37 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// usableMemoryFraction is the fraction of a target's result memory that is planned with: the
-// size of a result is only an estimate. With all of it worth fell by 0.012, as targets
-// refused items for want of memory.
+// usableMemoryFraction is the fraction of a target's result memory that batches may use;
+// the rest allows for results that are larger than estimated. With all of it the
+// load-test score fell by 0.012, because targets refused items for lack of memory.
 const usableMemoryFraction = 0.95
 
 // storedResult is a result in the memory of the target that computed it.
 type storedResult struct {
-	// bytes is the estimate that the item came with.
+	// bytes is the estimated size that the item was submitted with.
 	bytes int64
-	// sentAt is when the batch that computed it was sent.
+	// sentAt is when the batch that computed the result was sent.
 	sentAt time.Time
-	// expiresAt is when the target drops it by itself.
+	// expiresAt is when the target drops the result by itself.
 	expiresAt time.Time
 }
 
-// resultMemory is the account of one target's memory for results. Create it with
+// resultMemory tracks the use of one target's result memory. Create it with
 // newResultMemory.
 //
-// It decides how many bytes a new batch may use: a share of what the catalog says,
-// less the results that are stored, less the reservation of the batch that runs.
-// A result uses memory from the sending of its batch until it is released or its
-// time to live, counted from the batch's answer, is over. Sizes are estimates in
-// bytes; targets do not report what is in use, so what other coordinators store at
-// a target is not seen. See docs/decisions/0012-batches.md.
+// It determines how many bytes a new batch may use: a fraction of the size in the
+// catalog, less the stored results and the reservation of the running batch. A result
+// uses memory from the sending of its batch until it is released or its time to live
+// ends, counted from the batch's answer. Sizes are estimates in bytes. Answers to batches
+// do not tell what is in use, so the results of other coordinators are not counted here
+// (see inspection). See docs/decisions/0012-batches.md.
 //
-// Counting too little makes targets refuse items for lack of memory, which costs
-// retries; counting too much leaves targets idle.
+// Counting too little makes targets refuse items for lack of memory, which costs retries;
+// counting too much leaves targets idle.
 type resultMemory struct {
-	// stored is by handle.
+	// stored holds the results by handle.
 	stored map[string]storedResult
-	// storedBytes is the sum of stored.
+	// storedBytes is the total size of stored.
 	storedBytes int64
 	// reservedBytes is what the results of the running batch will use.
 	reservedBytes int64
@@ -54,17 +54,17 @@
 // used returns how many bytes are stored or reserved.
 func (m *resultMemory) used() int64 { return m.storedBytes + m.reservedBytes }
 
-// empty says whether no result is stored.
+// empty reports whether no result is stored.
 func (m *resultMemory) empty() bool { return len(m.stored) == 0 }
 
-// reserve sets aside what the results of a batch will use.
+// reserve reserves memory for the results of a batch.
 func (m *resultMemory) reserve(items []Item) {
 	for _, item := range items {
 		m.reservedBytes += item.Bytes
 	}
 }
 
-// endReservation ends the reservation of the batch that ended.
+// endReservation releases the reservation when the batch ends.
 func (m *resultMemory) endReservation() { m.reservedBytes = 0 }
 
 func (m *resultMemory) store(handle string, r storedResult) {
@@ -72,14 +72,13 @@
 	m.storedBytes += r.bytes
 }
 
-// dropAll drops all results.
+// dropAll forgets all results, when the target has lost them.
 func (m *resultMemory) dropAll() {
 	clear(m.stored)
 	m.storedBytes = 0
 }
 
-// release drops a result; it is not an error when none is stored, since it may
-// have expired.
+// release drops a result. A missing one is not an error, since it may have expired.
 func (m *resultMemory) release(handle string) {
 	r, ok := m.stored[handle]
 	if !ok {
@@ -89,7 +88,7 @@
 	m.storedBytes -= r.bytes
 }
 
-// expire drops the results that the target has dropped by itself.
+// expire drops the results that have expired at the target.
 func (m *resultMemory) expire(now time.Time) {
 	for handle, r := range m.stored {
 		if !now.Before(r.expiresAt) {
--- a/internal/gateway/batching/plans.go
+++ b/internal/gateway/batching/plans.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// planGrace is how long after its items are due a plan is kept, for requests that are
-// late: about the time of two batches. Longer keeps plans of nodes that are lost in the
-// backlog, by which others are refused.
+// planGrace is how long after its due time a plan is kept, for requests that are late:
+// about two batches. With a longer time, plans of lost nodes stay in the backlog and
+// cause other requests to be refused.
 const planGrace = 500 * time.Millisecond
 
-// planKey names the plan of one stage of one request.
+// planKey identifies the plan for one stage of a request.
 type planKey struct {
 	request string
 	stage   int
 }
 
-// plans are the announced items that have not been submitted. They count in the
+// plans holds the announced items that have not been submitted. They count towards the
 // backlog (State), by which later requests are admitted, and decide nothing else.
 //
-// A plan is kept until the first items of its stage are submitted, until it is
-// cancelled, or until planGrace after its due time: a node that was lost cancels
-// nothing. See docs/decisions/0013-planning-stages.md.
+// A plan is kept until the first items of its stage are submitted, until it is cancelled,
+// or until planGrace after its due time, since a node that is lost does not cancel its
+// plans. See docs/decisions/0013-planning-stages.md.
 //
-// A plan kept too long makes admission refuse requests that would fit; one dropped
-// too early admits more than the service can carry.
+// A plan that is kept too long makes admission refuse requests that would fit; one that
+// is dropped too early admits more than the service can carry.
 type plans map[planKey]Plan
 
-// add takes in an announcement, in place of an earlier one for the same stage.
+// add adds a plan, replacing an earlier one for the same stage.
 func (p plans) add(ev Plan) {
 	p[planKey{ev.Request, ev.Stage}] = ev
 }
 
-// remove ends the plan of a stage, if there is one.
+// remove removes the plan for a stage, if there is one.
 func (p plans) remove(request string, stage int) {
 	delete(p, planKey{request, stage})
 }
 
-// expire drops the plans that are long due.
+// expire drops the plans whose planGrace is over.
 func (p plans) expire(now time.Time) {
 	maps.DeleteFunc(p, func(_ planKey, announced Plan) bool {
 		return now.After(announced.Due.Add(planGrace))
 	})
 }
 
-// items returns how many items are announced.
+// items returns the number of announced items.
 func (p plans) items() int {
 	n := 0
 	for _, announced := range p {
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -7,45 +7,46 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// spareAfter is how long a target may stay idle before it is a spare one again: three
-// half-lives of what was learnt of its speed, of which an eighth is left then, and less
-// than targets keep an idle connection open.
+// spareAfter is how long a target is idle before it becomes spare again: three half-lives
+// of its slowdown, of which an eighth is left by then, and less than targets keep an idle
+// connection open.
 const spareAfter = 3 * slowdownHalfLife
 
-// pool holds the targets of the service, and the usable ones by data centre and by what
-// they do.
+// pool holds the targets of a service, and its usable ones by data centre and activity.
 //
-// Most targets of a large service are spare: its load needs a few of them, and those are
-// used again before any other (candidates). An event then costs what the service's load
-// is and not how many targets it has (BenchmarkFleetService).
+// Most targets of a large service are spare: its load needs only some of them, and those
+// are reused before any other (candidates). So the cost of an event depends on the load
+// of the service and not on its number of targets (BenchmarkFleetService).
 //
-// It owns which list a target is in; whoever changes what that depends on calls reclassify.
+// The pool decides which list a target is in. Call reclassify after any change to the
+// state that this depends on.
 type pool struct {
-	// targets are all, in the order in which they were first listed.
+	// targets holds all targets, in the order in which they were first listed.
 	targets []*target
 	byLife  map[directory.Life]*target
-	// latestByID is the newest life of each identity.
+	// latestByID holds the newest life of each target ID.
 	latestByID map[string]*target
-	// unusable are those that get no batch.
+	// unusable holds the targets that get no batch.
 	unusable targetList
-	// dataCentres are the usable targets of each data centre, in the order in which the data
-	// centres were first listed.
+	// dataCentres holds the usable targets of each data centre, in the order in which the
+	// data centres were first seen.
 	dataCentres  []*dataCentreTargets
 	byDataCentre map[string]*dataCentreTargets
-	// examined counts the targets that decisions looked at: what events cost.
+	// examined counts the targets that were looked at to make decisions, as a measure of
+	// the cost of events.
 	examined int
 }
 
 // dataCentreTargets holds the usable targets of one data centre.
 type dataCentreTargets struct {
-	// spare targets are idle, and nothing is known of them: they are inspected before
-	// their first batch, and hold no result. Those that are being inspected are in inspecting.
+	// spare targets are idle, hold no result and have to be inspected before their first
+	// batch; inspecting holds those whose inspection is in progress.
 	spare, inspecting targetList
-	// idle targets have no batch, busy ones have one, which may be stuck.
+	// idle targets have no batch; busy ones have one, which may be stuck.
 	idle, busy targetList
 }
 
-// targetList is a set of targets in no particular order; a target is in one at most.
+// targetList is an unordered set of targets. A target is in at most one list.
 type targetList struct{ targets []*target }
 
 func (l *targetList) add(t *target) {
@@ -66,8 +67,8 @@
 	return &pool{byLife: map[directory.Life]*target{}, latestByID: map[string]*target{}, byDataCentre: map[string]*dataCentreTargets{}}
 }
 
-// add takes in a target. One that started again under its identity is another: the
-// results of its earlier life are gone.
+// add adds a target. A target that restarted under the same ID is a new one; the results
+// of its earlier life are lost.
 func (p *pool) add(t *target) {
 	t.seq = len(p.targets)
 	if earlier := p.latestByID[t.ID]; earlier != nil {
@@ -79,7 +80,7 @@
 	p.reclassify(t)
 }
 
-// prune drops the targets of which nothing matters any more.
+// prune drops the targets that are no longer needed.
 func (p *pool) prune() {
 	kept := p.targets[:0]
 	for _, t := range p.targets {
@@ -98,7 +99,7 @@
 	p.targets = kept
 }
 
-// reclassify puts a target into the list where it belongs now.
+// reclassify moves a target into the list that matches its state.
 func (p *pool) reclassify(t *target) {
 	list := p.listFor(t)
 	if t.list == list {
@@ -126,7 +127,7 @@
 	return &dc.spare
 }
 
-// inDataCentre returns the targets of a data centre.
+// inDataCentre returns the usable targets of a data centre.
 func (p *pool) inDataCentre(dataCentre string) *dataCentreTargets {
 	found := p.byDataCentre[dataCentre]
 	if found == nil {
@@ -137,7 +138,8 @@
 	return found
 }
 
-// inspectedLists returns the usable targets that are neither spare nor being inspected, in lists.
+// inspectedLists returns the lists of usable targets that are neither spare nor being
+// inspected for the first time.
 func (p *pool) inspectedLists() []*targetList {
 	lists := make([]*targetList, 0, 2*len(p.dataCentres))
 	for _, dc := range p.dataCentres {
@@ -146,7 +148,8 @@
 	return lists
 }
 
-// uninspected counts the usable targets that are spare or being inspected.
+// uninspected counts the usable targets that are spare or being inspected for the first
+// time.
 func (p *pool) uninspected() int {
 	n := 0
 	for _, dc := range p.dataCentres {
@@ -159,8 +162,8 @@
 	return len(dc.spare.targets) + len(dc.inspecting.targets)
 }
 
-// expireIdle makes spare what has been idle for spareAfter: what is known of it has aged, and
-// another coordinator may have used it meanwhile.
+// expireIdle makes targets spare that have been idle for spareAfter: their state is
+// outdated, and another coordinator may have used them in the meantime.
 func (p *pool) expireIdle(now time.Time) {
 	for _, dc := range p.dataCentres {
 		p.examined += len(dc.idle.targets)
@@ -173,7 +176,8 @@
 	}
 }
 
-// nominalRate is how many items a second n targets can compute at the catalog's speed.
+// nominalRate returns the throughput of n targets at the speed in the catalog, in items
+// per second.
 func nominalRate(spec *catalog.Batch, n int) float64 {
 	return float64(n*spec.MaxItems) / nominalDuration(spec, spec.MaxItems).Seconds()
 }
--- a/internal/gateway/batching/slowdown.go
+++ b/internal/gateway/batching/slowdown.go
@@ -7,49 +7,48 @@
 )
 
 const (
-	// slowdownWeight is the weight of the newest batch in a learnt slowdown, as a
-	// fraction: two batches make up two thirds of it, so that a target that turns slow is
-	// passed over after two of its batches.
+	// slowdownWeight is the weight of the newest batch in a slowdown. Two batches make up
+	// two thirds of it, so that a target that becomes slow is avoided after two of its
+	// batches.
 	slowdownWeight = 0.4
-	// slowdownHalfLife is the time in which a learnt slowdown loses half of its distance
-	// from 1: a target that was five times as slow is tried again after some seconds. Half
-	// of it sends a slow target a batch twice as often; twice as long leaves a target idle
-	// that has recovered.
+	// slowdownHalfLife is the time in which a slowdown loses half of its distance from 1.
+	// A target that was five times as slow is tried again after some seconds. Half of
+	// this time would send a slow target batches twice as often; twice this time would
+	// leave a recovered target idle.
 	slowdownHalfLife = 4 * time.Second
-	// decayPerHalfLife is what a half-life leaves, by its definition.
+	// decayPerHalfLife is the fraction of the distance from 1 that is left after a
+	// half-life.
 	decayPerHalfLife = 0.5
-	// minSlowdown is the least that one batch may teach, as a factor of the catalog's
-	// time, so that a single odd measurement, such as an answer of refused items, does not
-	// decide for long.
+	// minSlowdown is the lower bound of the sample of one batch, so that an outlier, such
+	// as an answer with refused items only, has no lasting effect.
 	minSlowdown = 0.3
-	// maxSlowdown is the most, for the same reason: a batch that was stuck for seconds.
+	// maxSlowdown is the upper bound for the same reason, such as for a batch that was
+	// stuck for seconds.
 	maxSlowdown = 20
 )
 
-// slowdown is the learnt speed of one target: how many times as long as the
-// catalog says its batches take. 1 is as fast as the catalog says, more is
-// slower. Create it with newSlowdown.
+// slowdown is a moving average of a target's speed: how many times as long as in the
+// catalog its batches take. 1 is the speed in the catalog; more is slower. Create it with
+// newSlowdown.
 //
-// It decides how long a batch should take at a target (expectedDuration), and through
-// that which target is preferred, when a batch counts as stuck and how large the
-// backlog is. Its input is the time that batches took, from their sending to
-// their answer; a batch that counts as stuck teaches the time that it has
-// outlasted. What was learnt counts less with its age: after one half-life half
-// of its distance from 1 is left. Without a measurement it is 1. Targets do not
-// report their speed, and one that was slow is used less, so without the ageing
-// it would never be measured again.
+// It determines how long a batch should take at a target (expectedDuration), and with
+// that which target is preferred, when a batch counts as stuck and how large the backlog
+// is. Its samples are the times from the sending of batches to their answers; a batch
+// that becomes stuck counts with the time that has passed. It decays towards 1, by half
+// per half-life. Without samples it is 1. Targets do not report their speed, and slow
+// ones are used less, so without the decay a slow target would never be measured again.
 //
-// A value that is too high leaves a target idle and detects a stuck batch late;
-// one that is too low sends items to a slow target and retries them for nothing.
+// A value that is too high leaves a target idle and detects stuck batches late; one that
+// is too low sends items to a slow target and retries them needlessly.
 type slowdown struct {
-	// factor is the value at learntAt.
+	// factor is the value at updatedAt.
 	factor    float64
 	updatedAt time.Time
 }
 
 func newSlowdown() slowdown { return slowdown{factor: 1} }
 
-// at returns the slowdown as of now.
+// at returns the slowdown at a time.
 func (s *slowdown) at(now time.Time) float64 {
 	age := now.Sub(s.updatedAt)
 	if s.updatedAt.IsZero() || age <= 0 {
@@ -60,13 +59,12 @@
 		kept *= decayPerHalfLife
 		age -= slowdownHalfLife
 	}
-	// Within a half-life it is linear.
+	// The decay within a half-life is linear.
 	kept *= 1 - (1-decayPerHalfLife)*float64(age)/float64(slowdownHalfLife)
 	return 1 + (s.factor-1)*kept
 }
 
-// observe takes in a batch that took a time and should have taken another by the
-// catalog.
+// observe adds a sample: how long a batch took, and its nominal duration.
 func (s *slowdown) observe(now time.Time, took, nominal time.Duration) {
 	newest := min(max(float64(took)/float64(nominal), minSlowdown), maxSlowdown)
 	s.factor = s.at(now)*(1-slowdownWeight) + newest*slowdownWeight
--- a/internal/gateway/batching/suspects.go
+++ b/internal/gateway/batching/suspects.go
@@ -6,12 +6,12 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// maxCrashes is how many targets may end with an item: the second one ends it. Targets end
-// for other reasons too, so that one may be chance; each further one costs a target and
-// a batch of other requests' items.
+// maxCrashes is how many targets may crash while they have an item before the item fails.
+// One crash may be a coincidence, since targets crash for other reasons too; each further
+// one costs a target and a batch of other requests' items.
 const maxCrashes = 2
 
-// priorCrashes is how many targets an item counts as having ended when it is submitted.
+// priorCrashes returns the crash count that an item is submitted with.
 func priorCrashes(item Item) int {
 	if item.Suspect {
 		return maxCrashes - 1
@@ -19,37 +19,39 @@
 	return 0
 }
 
-// isSuspect says whether a target ended with the item.
+// isSuspect reports whether a target crashed while it had the item.
 func (q *queuedItem) isSuspect() bool { return q.crashes > 0 }
 
-// crashesTargets decides whether an item fails because targets ended with it.
+// crashesTargets reports whether the item fails because targets crash with it.
 //
-// Its input is the number of targets that ended while they had the item, with the one of
-// an earlier request that asked for the same. A batch has items of many requests, and its
-// target ends with all of them; those of two requests that are suspected never share a
-// batch again (suspectFilter.allows), so that the second end speaks against one request alone.
+// It counts the crashes of targets that had the item, plus one if an earlier request
+// asked for the same and a target crashed with it. A batch holds items of many requests,
+// and a crash affects all of them. Items of two suspected requests never share a batch
+// again (suspectFilter.allows), so that the second crash incriminates a single request.
 //
-// A wrong yes fails a request that another target could have served; a wrong no costs one
-// more target, and one more attempt of up to a whole batch of others.
+// If it wrongly returns true, a request fails that another target could have served; if
+// it wrongly returns false, one more target crashes and up to a whole batch of other
+// items loses an attempt.
 func (q *queuedItem) crashesTargets() bool { return q.crashes >= maxCrashes }
 
-// errCrashesTargets is the failure of an item that ends its targets.
+// errCrashesTargets returns the error of an item that crashes targets.
 func errCrashesTargets() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets ended when they had the item", maxCrashes)
+	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets crashed while they had the item", maxCrashes)
 }
 
-// suspectFilter decides which suspected items one batch takes.
+// suspectFilter decides which suspected items a batch may take.
 type suspectFilter struct {
-	// request is that whose suspected items the batch has; empty for none.
+	// request is the request whose suspected items the batch has; empty for none.
 	request string
-	// running are the batches that have not ended.
+	// running holds the batches that have not ended.
 	running map[BatchID]*batch
 }
 
-// allows says whether an item may go into the batch. A suspected one may not where another
-// request's are, nor while another batch has items of its request: of fourteen items of
-// four requests, one of them bad, all were part of up to four batches that failed, and
-// four targets ended for each of the bad one's items.
+// allows reports whether an item may go into the batch. A suspected item may not join
+// suspected items of another request, nor be sent while another batch has items of its
+// request. Without these rules, fourteen items of four requests, one of them bad, were
+// all part of up to four failed batches, and four targets crashed for each item of the
+// bad request.
 func (s suspectFilter) allows(q *queuedItem) bool {
 	if !q.isSuspect() {
 		return true
@@ -66,7 +68,7 @@
 	return false
 }
 
-// add notes an item that goes into the batch.
+// add records an item that goes into the batch.
 func (s *suspectFilter) add(q *queuedItem) {
 	if q.isSuspect() {
 		s.request = q.Request
--- a/internal/gateway/batching/target.go
+++ b/internal/gateway/batching/target.go
@@ -6,30 +6,31 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// target is what is known of one target of the service.
+// target is the state of one target of the service.
 type target struct {
 	directory.Target
-	// usable targets are listed, and neither drain nor are in an evacuated data centre.
+	// usable reports whether the target is listed, not draining and not in an evacuated
+	// data centre.
 	usable bool
-	// listed says that the newest list of the service names the target.
+	// listed reports whether the newest target list of the service includes the target.
 	listed bool
 	// running is the batch that was sent and has not ended; nil for none.
 	running *batch
-	// lastBatchAnswered says that the target's last batch ended with its answer. Otherwise the
-	// target may still run a batch that got stuck, or one of another coordinator.
+	// lastBatchAnswered reports whether the target answered its last batch. If not, it
+	// may still run that batch, or one of another coordinator.
 	lastBatchAnswered bool
 	slowdown          slowdown
 	backoff           targetBackoff
 	memory            resultMemory
-	// inspection is what is known of others' work there.
+	// inspection tracks the work of other coordinators at the target.
 	inspection inspection
-	// speedClass is the class of its slowdown when that was last looked at: lower is faster.
+	// speedClass is the class of its slowdown at the last update; lower is faster.
 	speedClass int
 	// idleSince is when its last batch ended or, before the first, its inspection.
 	idleSince time.Time
-	// seq is its number in the list of all targets.
+	// seq is its index in the list of all targets.
 	seq int
-	// list is where the pool holds the target, at index.
+	// list is the pool's list that holds the target, at position index.
 	list  *targetList
 	index int
 }
@@ -38,20 +39,20 @@
 	return &target{Target: t, slowdown: newSlowdown(), memory: newResultMemory()}
 }
 
-// recordFailure takes in a batch that failed or is stuck.
+// recordFailure records a batch that failed or became stuck.
 func (t *target) recordFailure(now time.Time) {
 	t.backoff.recordFailure(now)
 	t.lastBatchAnswered = false
 }
 
-// removable says whether nothing of the target matters any more: it is not
-// listed or drains, runs no batch, stores no result and is not being inspected.
+// removable reports whether the target is no longer needed: it is unusable, runs no
+// batch, stores no result and is not being inspected.
 func (t *target) removable() bool {
 	return !t.usable && t.running == nil && t.memory.empty() && !t.inspection.running
 }
 
-// idleExpired says whether what is known of the target no longer matters: it has been idle for
-// spareAfter, holds nothing, and nobody works there.
+// idleExpired reports whether the target's state is outdated: it has been idle for
+// spareAfter, stores no result, does not back off and is not known to work for others.
 func (t *target) idleExpired(now time.Time) bool {
 	return now.Sub(t.idleSince) >= spareAfter && t.memory.empty() && t.inspection.noForeignWork() && !t.backoff.active(now)
 }
@@ -62,12 +63,13 @@
 	target *target
 	items  []Item
 	sentAt time.Time
-	// nominal is how long it should take by the catalog.
+	// nominal is how long the batch should take by the catalog.
 	nominal time.Duration
 	// expectedEnd is when it should end at its target.
 	expectedEnd time.Time
 	// stuckAt is when it counts as stuck.
 	stuckAt time.Time
-	// stuck batches were given up: their items are queued again or have ended.
+	// stuck reports whether the batch became stuck, so that its items were queued again
+	// or failed.
 	stuck bool
 }
--- a/internal/gateway/batching/targetbackoff.go
+++ b/internal/gateway/batching/targetbackoff.go
@@ -6,44 +6,44 @@
 	"github.com/honeydyke/honeydyke/internal/backoff"
 )
 
-// failureBackoff is how long a target is left unused after a failed or stuck batch,
-// doubling with each one in a row: the first time half a batch, at most what a target
-// takes to be listed anew.
+// failureBackoff is how long a target is left unused after a failed or stuck batch. It
+// doubles with each consecutive failure, from half a batch up to the time in which a
+// target is listed again.
 var failureBackoff = backoff.Doubling{First: 150 * time.Millisecond, Max: 2 * time.Second}
 
 // noMemoryBackoff is how long a target is left unused after it had no memory for a
-// result: time for some results to be released, which are gathered for 25 ms and take a
-// round trip.
+// result. This allows for the release of results, which are collected for 25 ms and take
+// a round trip.
 const noMemoryBackoff = 80 * time.Millisecond
 
-// targetBackoff decides until when a target gets no batch after trouble. The zero
-// value is a target without trouble.
+// targetBackoff tracks until when a target gets no batch after failures. The zero value
+// does not back off.
 //
-// Its inputs are the ends of batches, in their order: a batch that failed or is
-// stuck, one that the target refused items of for lack of memory, one that ended
-// with its answer. The last one decides, also when it ends a longer backoff. A
-// restarting or overloaded target would fail the next batch as well, and each
-// failed batch uses up attempts and the retry budget; a target that lacks memory
-// is well, so its backoff is short and does not double.
+// Its inputs are the ends of batches, in order: a batch that failed or became stuck, one
+// with items that the target refused for lack of memory, one that was answered. The
+// latest one decides, even if it shortens the backoff. A restarting or overloaded target
+// would fail the next batch as well, and each failed batch uses up attempts and the retry
+// budget. A target that lacks memory is healthy, so its backoff is short and does not
+// double.
 //
-// Too short a backoff costs retries, too long a one the target's capacity.
+// Too short a backoff costs retries; too long a one wastes the target's capacity.
 type targetBackoff struct {
-	// failures counts the batches in a row that failed or got stuck.
+	// failures counts the consecutive batches that failed or became stuck.
 	failures int
 	until    time.Time
 }
 
-// active says whether the target is to be left unused.
+// active reports whether the target backs off.
 func (b *targetBackoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// recordFailure takes in a batch that failed or is stuck.
+// recordFailure records a batch that failed or became stuck.
 func (b *targetBackoff) recordFailure(now time.Time) {
 	b.until = now.Add(failureBackoff.After(b.failures))
 	b.failures++
 }
 
-// recordSuccess takes in a batch that ended with its answer.
+// recordSuccess records a batch that was answered.
 func (b *targetBackoff) recordSuccess() { b.failures = 0 }
 
-// recordNoMemory takes in an item that the target had no memory for.
+// recordNoMemory records an item that the target had no memory for.
 func (b *targetBackoff) recordNoMemory(now time.Time) { b.until = now.Add(noMemoryBackoff) }
