--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-// reportIdle has targets report that they do and hold nothing.
+// reportIdle delivers reports of idle targets without results.
 func reportIdle(c *batching.Core, list []directory.Target) {
 	for _, t := range list {
 		c.Handle(start, batching.Inspected{Target: t.Life(), Report: batching.Report{FreeBytes: 1000}})
@@ -77,7 +77,7 @@
 }
 
 func TestBatchSelection(t *testing.T) {
-	convey.Convey("Items of many requests gather for one batch while the target is busy", t, func() {
+	convey.Convey("Items gather for one batch while the target is busy", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
 		convey.So(first, convey.ShouldHaveLength, 1)
@@ -86,11 +86,11 @@
 		second := sends(c.Handle(start.Add(300*time.Millisecond), answered(first[0])))
 		convey.So(second, convey.ShouldHaveLength, 1)
 		convey.So(second[0].Items, convey.ShouldHaveLength, 4)
-		convey.Convey("and what is due first goes first", func() {
+		convey.Convey("and the earliest due items go first", func() {
 			convey.So(second[0].Items[0].Token, convey.ShouldEqual, 4)
 		})
 	})
-	convey.Convey("A batch never needs more result memory than the target has", t, func() {
+	convey.Convey("A batch never needs more result memory than its target has", t, func() {
 		c := newCore(1)
 		big := items(1, 3, 2*time.Second)
 		for i := range big {
@@ -104,14 +104,14 @@
 			convey.So(sends(released), convey.ShouldHaveLength, 1)
 		})
 	})
-	convey.Convey("A target that drains gets no batch", t, func() {
+	convey.Convey("A draining target gets no batch", t, func() {
 		c := newCore(1)
 		leaving := targets(1)
 		leaving[0].State = directory.Draining
 		c.Handle(start, batching.Configure{Service: service(), Targets: leaving})
 		convey.So(sends(c.Handle(start, batching.Submit{Items: items(1, 1, time.Second)})), convey.ShouldBeEmpty)
 	})
-	convey.Convey("Items wait for a target in the data centre of their inputs, but not beyond their due time", t, func() {
+	convey.Convey("Items wait for a target in the data centre of their inputs, but not past their due time", t, func() {
 		c := newCore(2)
 		busy := items(1, 1, 2*time.Second)
 		busy[0].DataCentre = "d0"
@@ -135,16 +135,16 @@
 		fast := sends(c.Handle(now, batching.Submit{Items: items(10, 4, 4*time.Second)}))
 		convey.So(fast, convey.ShouldHaveLength, 1)
 		convey.So(fast[0].Target.ID, convey.ShouldEqual, "t0")
-		convey.Convey("a few items wait for the fast one", func() {
+		convey.Convey("a few items wait for the fast target", func() {
 			convey.So(sends(c.Handle(now, batching.Submit{Items: items(14, 4, 4*time.Second)})), convey.ShouldBeEmpty)
 		})
-		convey.Convey("more than that one can take next go to the slow one too", func() {
+		convey.Convey("more items than the fast target can take next also go to the slow one", func() {
 			slow := sends(c.Handle(now, batching.Submit{Items: items(14, 6, 4*time.Second)}))
 			convey.So(slow, convey.ShouldHaveLength, 1)
 			convey.So(slow[0].Target.ID, convey.ShouldEqual, "t1")
 		})
 	})
-	convey.Convey("Items that cannot be in time go last", t, func() {
+	convey.Convey("Past-due items go last", t, func() {
 		c := newCore(1)
 		s := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
 		back := items(2, 3, time.Second)
@@ -160,7 +160,7 @@
 }
 
 func TestTargetFailures(t *testing.T) {
-	convey.Convey("A target counts as idle only after its last batch ended with its answer", t, func() {
+	convey.Convey("A target counts as idle only after it answered its last batch", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)}))
 		convey.So(first[0].TargetIdle, convey.ShouldBeFalse)
@@ -183,7 +183,7 @@
 		convey.So(late, convey.ShouldHaveLength, 1)
 		convey.So(late[0], convey.ShouldHaveSameTypeAs, batching.Discard{})
 	})
-	convey.Convey("An item that cannot finish before its deadline fails at once", t, func() {
+	convey.Convey("An item that cannot finish before its deadline fails immediately", t, func() {
 		c := newCore(1)
 		c.Handle(start, batching.Submit{Items: items(1, 1, 2*time.Second)})
 		short := items(2, 1, time.Second)
@@ -200,7 +200,7 @@
 		convey.So(out, convey.ShouldHaveLength, 1)
 		convey.So(out[0].(batching.Resolve).Err.Reason(), convey.ShouldEqual, verdict.ReasonInputGone)
 	})
-	convey.Convey("An answer with another number of items than were sent counts as a failure", t, func() {
+	convey.Convey("An answer with a different number of outcomes counts as a failure", t, func() {
 		c := newCore(1)
 		s := sends(c.Handle(start, batching.Submit{Items: items(1, 2, 2*time.Second)}))
 		out := c.Handle(start.Add(300*time.Millisecond), batching.Finished{Batch: s[0].Batch, Outcomes: []batching.Outcome{{Handle: "h"}}})
@@ -211,7 +211,7 @@
 	})
 }
 
-// oracle follows a core from outside and knows what must hold.
+// oracle runs a core and checks its invariants from the outside.
 type oracle struct {
 	t          *rapid.T
 	core       *batching.Core
@@ -220,12 +220,11 @@
 	running    map[batching.BatchID]batching.Send
 	busy       map[string]batching.BatchID
 	draining   map[string]bool
-	// unclaimed are results that a target computed and that are neither used nor
-	// discarded yet.
+	// unclaimed holds computed results that are neither used nor discarded yet.
 	unclaimed map[string]bool
-	// used maps the results of ended items to their targets.
+	// used maps the results of resolved items to their targets.
 	used map[string]string
-	// inspected are the targets whose report is awaited.
+	// inspected holds the targets whose inspection is in progress.
 	inspected map[string]bool
 	next      int
 	handles   int
@@ -238,12 +237,12 @@
 			o.start(e)
 		case batching.Inspect:
 			if o.inspected[e.Target.ID] {
-				o.t.Fatalf("target %s is inspected twice at once", e.Target.ID)
+				o.t.Fatalf("target %s has two concurrent inspections", e.Target.ID)
 			}
 			o.inspected[e.Target.ID] = true
 		case batching.Resolve:
 			if !o.unresolved[e.Token] {
-				o.t.Fatalf("item %d ended twice or after it was withdrawn", e.Token)
+				o.t.Fatalf("item %d was resolved twice or after it was withdrawn", e.Token)
 			}
 			delete(o.unresolved, e.Token)
 			if e.Err == nil {
@@ -267,24 +266,24 @@
 
 func (o *oracle) start(e batching.Send) {
 	if o.busy[e.Target.ID] != 0 {
-		o.t.Fatalf("target %s got a second batch", e.Target.ID)
+		o.t.Fatalf("target %s got a second concurrent batch", e.Target.ID)
 	}
 	if o.draining[e.Target.ID] {
-		o.t.Fatalf("target %s drains and got a batch", e.Target.ID)
+		o.t.Fatalf("draining target %s got a batch", e.Target.ID)
 	}
 	if len(e.Items) == 0 || len(e.Items) > 4 {
 		o.t.Fatalf("a batch has %d items", len(e.Items))
 	}
 	for _, item := range e.Items {
 		if !o.unresolved[item.Token] {
-			o.t.Fatalf("item %d was sent after its end", item.Token)
+			o.t.Fatalf("item %d was sent after it was resolved or withdrawn", item.Token)
 		}
 	}
 	o.busy[e.Target.ID] = e.Batch
 	o.running[e.Batch] = e
 }
 
-// report answers an inspection, if any awaits that.
+// report answers one of the inspections in progress, if there is any.
 func (o *oracle) report(r batching.Report, err *verdict.Error) {
 	for id := range o.inspected {
 		delete(o.inspected, id)
@@ -293,7 +292,7 @@
 	}
 }
 
-// oldestBatch returns the oldest running batch.
+// oldestBatch returns the running batch with the lowest ID.
 func (o *oracle) oldestBatch() (batching.Send, bool) {
 	var oldest batching.Send
 	for id, s := range o.running {
@@ -369,7 +368,8 @@
 			"release": func(*rapid.T) {
 				for h, target := range o.used {
 					o.handle(batching.Release{Target: directory.ParseLife(target), Handles: []string{h}})
-					// The core may have forgotten the target; its results then expire there.
+					// The core may have dropped the target; its results then expire
+					// there.
 					delete(o.used, h)
 					return
 				}
@@ -389,7 +389,7 @@
 				o.handle(batching.Configure{Service: service(), Targets: list})
 			},
 		})
-		// In the end every item has ended.
+		// In the end every item must be resolved.
 		for range 200 {
 			o.now = o.now.Add(100 * time.Millisecond)
 			for len(o.inspected) > 0 {
@@ -401,19 +401,19 @@
 			o.handle(batching.Tick{})
 		}
 		if len(o.unresolved) > 0 {
-			t.Fatalf("items %v never ended", o.unresolved)
+			t.Fatalf("items %v were never resolved", o.unresolved)
 		}
 	})
 }
 
 func TestDeterministicEffects(t *testing.T) {
-	convey.Convey("Batches that get stuck at once are given up in the order of their targets", t, func() {
+	convey.Convey("Batches that become stuck at the same time are retried in the order of their targets", t, func() {
 		for range 20 {
 			c := batching.New(retrybudget.Policy{Extra: 4, MaxNodes: 1, Window: 10 * time.Second})
 			c.Handle(start, batching.Configure{Service: service(), Targets: targets(3)})
 			reportIdle(c, targets(3))
 			convey.So(sends(c.Handle(start, batching.Submit{Items: items(1, 12, 5*time.Second)})), convey.ShouldHaveLength, 3)
-			// The budget has 4 retries: they go to the items of the first target.
+			// The budget has 4 retries; they go to the items of the first target.
 			effects := c.Handle(start.Add(2*time.Second), batching.Tick{})
 			convey.So(effects, convey.ShouldHaveLength, 8)
 			for i, e := range effects {
--- a/internal/gateway/batching/bench_test.go
+++ b/internal/gateway/batching/bench_test.go
@@ -15,8 +15,8 @@
 	benchGroup   = 4
 )
 
-// newBenchCore returns a core with all targets at work and a full queue, and the
-// batches that run, the oldest first.
+// newBenchCore returns a core with all targets busy and a full queue, and the running
+// batches, oldest first.
 func newBenchCore(now time.Time) (*batching.Core, []batching.Send) {
 	c := batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 32, MaxNodes: 16})
 	c.Handle(now, batching.Configure{Service: service(), Targets: targets(benchTargets)})
@@ -38,7 +38,7 @@
 	return list
 }
 
-// BenchmarkSubmitAndFinish submits a group, ends the oldest batch and releases its
+// BenchmarkSubmitAndFinish submits a group, finishes the oldest batch and releases its
 // results, with a queue of about 200 items and 12 targets.
 func BenchmarkSubmitAndFinish(b *testing.B) {
 	now := start
--- a/internal/gateway/batching/deadline_test.go
+++ b/internal/gateway/batching/deadline_test.go
@@ -19,10 +19,10 @@
 		left time.Duration
 		want bool
 	}{
-		{"An item with the time of a batch of one left can finish", testSpec(), 260 * time.Millisecond, true},
-		{"With less it cannot", testSpec(), 260*time.Millisecond - 1, false},
-		{"Before the catalog is known any time left is enough", nil, 0, true},
-		{"but a deadline that is over is not", nil, -1, false},
+		{"An item can finish in the duration of a batch of one", testSpec(), 260 * time.Millisecond, true},
+		{"An item cannot finish in less", testSpec(), 260*time.Millisecond - 1, false},
+		{"Without a catalog any remaining time is enough", nil, 0, true},
+		{"but a deadline that has passed is not", nil, -1, false},
 	} {
 		convey.Convey(c.name, t, func() {
 			convey.So(canFinish(testNow, c.spec, testNow.Add(c.left)), convey.ShouldEqual, c.want)
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestCanStartInTime goes through when a past-due item is given up before its deadline:
-// the targets take 20 items a second from 100 ms on, and a batch of one takes 260 ms.
+// TestCanStartInTime covers when a past-due item is dropped before its deadline: the
+// targets process 20 items per second from 100 ms on, and a batch of one takes 260 ms.
 func TestCanStartInTime(t *testing.T) {
 	rate := capacity{itemsPerSecond: 20, firstIdle: 100 * time.Millisecond}
 	for _, c := range []struct {
@@ -42,9 +42,9 @@
 		want   bool
 	}{
 		{"The first item needs an idle target and a batch", rate, 0, 360 * time.Millisecond, true},
-		{"With less time it is given up", rate, 0, 360*time.Millisecond - 1, false},
-		{"One behind ten others needs half a second more", rate, 10, 860 * time.Millisecond, true},
-		{"and is given up with less", rate, 10, 860*time.Millisecond - 1, false},
+		{"With less time it is dropped", rate, 0, 360*time.Millisecond - 1, false},
+		{"An item behind ten others needs half a second more", rate, 10, 860 * time.Millisecond, true},
+		{"and is dropped with less", rate, 10, 860*time.Millisecond - 1, false},
 		{"Without a rate it waits", capacity{}, 10, 0, true},
 	} {
 		convey.Convey(c.name, t, func() {
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestUnschedulableItemsAreDropped holds that past-due items end as soon as their turn cannot
-// come, while those that are on time wait.
+// TestUnschedulableItemsAreDropped checks that past-due items fail as soon as they cannot
+// start in time, while items that are on time wait.
 func TestUnschedulableItemsAreDropped(t *testing.T) {
 	submit := func(due time.Duration) []Effect {
 		c := New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second})
@@ -77,10 +77,10 @@
 		}
 		return n
 	}
-	convey.Convey("Of 30 past-due items with a second left those are given up that cannot be reached", t, func() {
+	convey.Convey("Of 30 past-due items with a second left, those that cannot start in time are dropped", t, func() {
 		convey.So(givenUp(submit(0)), convey.ShouldBeBetween, 15, 30)
 	})
-	convey.Convey("None that is on time is", t, func() {
+	convey.Convey("No item that is on time is dropped", t, func() {
 		convey.So(givenUp(submit(time.Second)), convey.ShouldEqual, 0)
 	})
 }
--- a/internal/gateway/batching/eligible_test.go
+++ b/internal/gateway/batching/eligible_test.go
@@ -18,7 +18,7 @@
 	stuck.running.stuck = true
 	gone := busyTarget("u", "d0", 0)
 	gone.usable = false
-	// A batch of one takes 260 ms at a target of the catalog's speed, 520 ms at the slow one.
+	// A batch of one takes 260 ms at the speed in the catalog, 520 ms at the slow target.
 	slow := slowTarget("t", 2)
 	for _, c := range []struct {
 		name   string
@@ -27,21 +27,21 @@
 		queued int
 		want   bool
 	}{
-		{"An idle target may take a batch", testTarget("t", "d0"), nil, 1, true},
-		{"A target that drains or is gone may not", drains, nil, 1, false},
-		{"A target with a batch may not", busyTarget("t", "d0", time.Second), nil, 1, false},
-		{"A target that has just failed may not", failed, nil, 1, false},
-		{"A target may again once its backoff is over", recovered, nil, 1, true},
-		{"A slow target with no other may", slow, nil, 1, true},
-		{"A slow target beside an idle fast one may, after it", slow, []*target{testTarget("u", "d0")}, 1, true},
-		{"A slow target waits while a busy one will take the whole queue sooner", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 4, false},
-		{"not when more is queued than that one takes", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 5, true},
-		{"two busy ones take twice as much", slow, []*target{busyTarget("u", "d0", 0), busyTarget("v", "d0", 0)}, 8, false},
-		{"not when the busy one would end no sooner", slow, []*target{busyTarget("u", "d0", 260*time.Millisecond)}, 1, true},
-		{"A busy target that is overdue is expected to end now", slow, []*target{busyTarget("u", "d0", -time.Minute)}, 1, false},
-		{"One that works for others may not", foreignBusyTarget("t"), nil, 1, false},
-		{"One of which nothing is known may not", uninspectedTarget("t"), nil, 1, false},
-		{"A stuck target is not waited for", slow, []*target{stuck}, 1, true},
+		{"An idle target is eligible", testTarget("t", "d0"), nil, 1, true},
+		{"A target that drains or is gone is not eligible", drains, nil, 1, false},
+		{"A target with a batch is not eligible", busyTarget("t", "d0", time.Second), nil, 1, false},
+		{"A target that has just failed is not eligible", failed, nil, 1, false},
+		{"A target is eligible again after its backoff", recovered, nil, 1, true},
+		{"A slow target is eligible if it is the only one", slow, nil, 1, true},
+		{"A slow target is eligible beside an idle fast one, which goes first", slow, []*target{testTarget("u", "d0")}, 1, true},
+		{"A slow target is not eligible while a busy one will finish the whole queue sooner", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 4, false},
+		{"but it is if more is queued than the busy one takes", slow, []*target{busyTarget("u", "d0", 259*time.Millisecond)}, 5, true},
+		{"and not if two busy ones take twice as much", slow, []*target{busyTarget("u", "d0", 0), busyTarget("v", "d0", 0)}, 8, false},
+		{"and it is if the busy one would finish no sooner", slow, []*target{busyTarget("u", "d0", 260*time.Millisecond)}, 1, true},
+		{"A busy target with an overdue batch is expected to finish now", slow, []*target{busyTarget("u", "d0", -time.Minute)}, 1, false},
+		{"A target that works for another coordinator is not eligible", foreignBusyTarget("t"), nil, 1, false},
+		{"A target that was not inspected is not eligible", uninspectedTarget("t"), nil, 1, false},
+		{"A target with a stuck batch is not waited for", slow, []*target{stuck}, 1, true},
 		{"A busy target that drains is not waited for", slow, []*target{gone}, 1, true},
 	} {
 		convey.Convey(c.name, t, func() {
@@ -50,7 +50,7 @@
 			convey.So(may, convey.ShouldEqual, c.want)
 		})
 	}
-	convey.Convey("The fastest target comes first, equal ones in the order of the list", t, func() {
+	convey.Convey("The fastest target comes first, equal ones in listing order", t, func() {
 		list := []*target{slowTarget("slow", 1.5), testTarget("a", "d0"), testTarget("b", "d0"), slowTarget("fast", 0.5)}
 		var ids []string
 		var next *target
@@ -62,14 +62,14 @@
 	})
 }
 
-// uninspectedTarget is a usable target that was not inspected.
+// uninspectedTarget returns a usable target that was not inspected.
 func uninspectedTarget(id string) *target {
 	t := testTarget(id, "d0")
 	t.inspection = inspection{}
 	return t
 }
 
-// foreignBusyTarget is a usable target that works for another coordinator.
+// foreignBusyTarget returns a usable target that works for another coordinator.
 func foreignBusyTarget(id string) *target {
 	t := testTarget(id, "d0")
 	t.inspection.busy = true
--- a/internal/gateway/batching/estimate_test.go
+++ b/internal/gateway/batching/estimate_test.go
@@ -9,7 +9,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// coreOf is a core with some targets and nothing to do.
+// coreOf returns an idle core with the given targets.
 func coreOf(targets ...*target) *Core {
 	c := New(retrybudget.Policy{})
 	c.spec = testSpec()
@@ -24,7 +24,7 @@
 }
 
 func TestBacklogEstimate(t *testing.T) {
-	// A full batch of 4 takes 320 ms: 12.5 items a second at each target.
+	// A full batch of 4 takes 320 ms: 12.5 items per second at each target.
 	shouldEstimate := func(c *Core, wait, backlog time.Duration) {
 		s := c.State(testNow)
 		convey.So(s.Wait, convey.ShouldEqual, wait)
@@ -34,7 +34,7 @@
 	backsOff.recordFailure(testNow)
 	drains := testTarget("d", "d0")
 	drains.usable = false
-	convey.Convey("Without a catalog nothing is known", t, func() {
+	convey.Convey("Without a catalog there is no estimate", t, func() {
 		c := New(retrybudget.Policy{})
 		queueItems(c, 3, time.Second)
 		convey.So(c.State(testNow), convey.ShouldResemble, State{Waiting: 3})
@@ -42,13 +42,13 @@
 	convey.Convey("An idle target takes new items at once", t, func() {
 		shouldEstimate(coreOf(testTarget("a", "d0")), 0, 0)
 	})
-	convey.Convey("A busy one takes them once its batch ends", t, func() {
+	convey.Convey("A busy target takes them once its batch ends", t, func() {
 		shouldEstimate(coreOf(busyTarget("a", "d0", 100*time.Millisecond)), 100*time.Millisecond, 100*time.Millisecond)
 	})
-	convey.Convey("one whose batch is overdue, now", t, func() {
+	convey.Convey("one with an overdue batch, now", t, func() {
 		shouldEstimate(coreOf(busyTarget("a", "d0", -time.Second)), 0, 0)
 	})
-	convey.Convey("and of several the first that is idle", t, func() {
+	convey.Convey("and of several, the first to become idle", t, func() {
 		shouldEstimate(coreOf(busyTarget("a", "d0", 200*time.Millisecond), busyTarget("b", "d0", 100*time.Millisecond)), 100*time.Millisecond, 100*time.Millisecond)
 	})
 	convey.Convey("Queued items count in both, planned ones in the backlog", t, func() {
@@ -64,7 +64,7 @@
 		shouldEstimate(c, 0, 0)
 		convey.So(c.State(testNow).PastDue, convey.ShouldEqual, 5)
 	})
-	convey.Convey("Targets that drain or back off carry nothing", t, func() {
+	convey.Convey("Targets that drain or back off do not count", t, func() {
 		c := coreOf(testTarget("a", "d0"), backsOff, drains)
 		queueItems(c, 5, time.Second)
 		shouldEstimate(c, 400*time.Millisecond, 400*time.Millisecond)
@@ -73,12 +73,12 @@
 		convey.So(s.BackingOff, convey.ShouldEqual, 1)
 		convey.So(s.MemoryBytes, convey.ShouldEqual, 2000)
 	})
-	convey.Convey("Without any other target there is no estimate", t, func() {
+	convey.Convey("Without other targets there is no estimate", t, func() {
 		c := coreOf(backsOff, drains)
 		queueItems(c, 5, time.Second)
 		shouldEstimate(c, 0, 0)
 	})
-	convey.Convey("A slow target carries less", t, func() {
+	convey.Convey("A slow target has a lower rate", t, func() {
 		c := coreOf(slowTarget("a", 2))
 		queueItems(c, 5, time.Second)
 		shouldEstimate(c, 800*time.Millisecond, 800*time.Millisecond)
@@ -93,20 +93,20 @@
 }
 
 func TestRetentionEstimate(t *testing.T) {
-	convey.Convey("Nothing is known before a release", t, func() {
+	convey.Convey("The rate is unknown before a release", t, func() {
 		var r retention
 		shouldBeAbout(r.itemsPerSecond(1000), 0)
 	})
-	convey.Convey("A released result weighs a twentieth, in time and size", t, func() {
+	convey.Convey("A released result has a weight of a twentieth, in time and size", t, func() {
 		r := retention{seconds: 1, bytes: 100}
 		r.observe(testNow, storedResult{bytes: 300, sentAt: testNow.Add(-3 * time.Second)})
 		shouldBeAbout(r.seconds, 1.1)
 		shouldBeAbout(r.bytes, 110)
-		convey.Convey("and 0.8 of the memory serves results of that time and size", func() {
+		convey.Convey("and 0.8 of the memory is available for results of that time and size", func() {
 			shouldBeAbout(r.itemsPerSecond(1210), 8)
 		})
 	})
-	convey.Convey("A result that was released as its batch was sent tells no rate", t, func() {
+	convey.Convey("Without a retention time the rate is unknown", t, func() {
 		r := retention{bytes: 100}
 		shouldBeAbout(r.itemsPerSecond(1000), 0)
 	})
--- a/internal/gateway/batching/evacuated_test.go
+++ b/internal/gateway/batching/evacuated_test.go
@@ -13,7 +13,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// evacuatedConfig configures a core's targets anew, some of them in evacuated data centres.
+// evacuatedConfig returns a configuration with n targets in which the given data centres
+// are evacuated.
 func evacuatedConfig(n int, dataCentres ...string) batching.Configure {
 	edit := directory.New(targets(n)...).Edit()
 	set := map[string]bool{}
@@ -36,24 +37,24 @@
 }
 
 func TestEvacuatedDataCentre(t *testing.T) {
-	convey.Convey("Given two targets, of which one works on a batch", t, func() {
+	convey.Convey("Given two targets, one of them with a batch", t, func() {
 		c := newCore(2)
 		near := items(1, 1, 2*time.Second)
 		near[0].DataCentre = "d0"
 		running := sends(c.Handle(start, batching.Submit{Items: near}))
 		convey.So(running[0].Target.ID, convey.ShouldEqual, "t0")
 		convey.So(c.State(start).Targets, convey.ShouldEqual, 2)
-		convey.Convey("the evacuation of its data centre leaves the batch alone, and its result is used", func() {
+		convey.Convey("the evacuation of its data centre does not affect the batch, and its result is used", func() {
 			convey.So(resolved(c.Handle(start, evacuatedConfig(2, "d0"))), convey.ShouldBeEmpty)
 			done := resolved(c.Handle(start.Add(260*time.Millisecond), answered(running[0])))
 			convey.So(done, convey.ShouldHaveLength, 1)
 			convey.So(done[0].Err, convey.ShouldBeNil)
 		})
-		convey.Convey("the estimate counts the other one alone in the same moment", func() {
+		convey.Convey("the estimate immediately counts only the other target", func() {
 			c.Handle(start, evacuatedConfig(2, "d0"))
 			convey.So(c.State(start).Targets, convey.ShouldEqual, 1)
 		})
-		convey.Convey("what waits goes to the other one at once, also what would wait for a near target", func() {
+		convey.Convey("queued items go to the other target at once, even if they prefer the evacuated data centre", func() {
 			c.Handle(start, evacuatedConfig(2, "d0"))
 			next := items(2, 1, 2*time.Second)
 			next[0].DataCentre = "d0"
@@ -61,7 +62,7 @@
 			convey.So(s, convey.ShouldHaveLength, 1)
 			convey.So(s[0].Target.ID, convey.ShouldEqual, "t1")
 		})
-		convey.Convey("what waits is refused as not run when all are evacuated", func() {
+		convey.Convey("queued items fail as not run when all data centres are evacuated", func() {
 			c.Handle(start, batching.Submit{Items: items(2, 4, 2*time.Second)})
 			c.Handle(start, batching.Submit{Items: items(6, 1, 2*time.Second)})
 			ended := resolved(c.Handle(start, evacuatedConfig(2, "d0", "d1")))
@@ -72,10 +73,10 @@
 	})
 }
 
-// TestColdBatchTarget holds that a coordinator gives a cold target no more calls than its
-// part of the bound.
+// TestColdBatchTarget checks that a coordinator gives a cold target no more calls than
+// its share of the bound.
 func TestColdBatchTarget(t *testing.T) {
-	convey.Convey("A cold target gets its part of the calls, and a warm one all", t, func() {
+	convey.Convey("A cold target gets its share of the calls, and a warm one all", t, func() {
 		calls := func(coldUntil time.Time) int {
 			list := targets(1)
 			list[0].ColdUntil = coldUntil
--- a/internal/gateway/batching/fill_test.go
+++ b/internal/gateway/batching/fill_test.go
@@ -13,8 +13,8 @@
 	for _, c := range []struct {
 		name string
 		item Item
-		// taken and stored say what the batch and the target's memory hold: of 1000
-		// bytes 950 are planned with.
+		// taken and stored are the items in the batch and the bytes in the target's
+		// memory, of whose 1000 bytes 950 are usable.
 		taken  int
 		stored int64
 		want   bool
@@ -23,11 +23,11 @@
 		{"No item goes into a full batch", Item{Bytes: 100, Due: onTime}, 4, 0, false},
 		{"An item may use the last of the memory", Item{Bytes: 100, Due: onTime}, 0, 850, true},
 		{"and not more", Item{Bytes: 101, Due: onTime}, 0, 850, false},
-		{"A past-due item leaves half of the memory to others", Item{Bytes: 100, Due: late}, 0, 350, true},
-		{"and waits when it could not", Item{Bytes: 101, Due: late}, 0, 350, false},
-		{"A past-due item lacks memory like others", Item{Bytes: 101, Due: late}, 0, 850, false},
+		{"A past-due item leaves half of the memory free", Item{Bytes: 100, Due: late}, 0, 350, true},
+		{"and waits if it cannot", Item{Bytes: 101, Due: late}, 0, 350, false},
+		{"A past-due item does not fit into a full memory either", Item{Bytes: 101, Due: late}, 0, 850, false},
 		{"An item waits for a target in its data centre", Item{Bytes: 100, Due: onTime, DataCentre: "d1"}, 0, 0, false},
-		{"An item of another data centre without targets does not", Item{Bytes: 100, Due: onTime, DataCentre: "d9"}, 0, 0, true},
+		{"An item does not wait for a data centre without targets", Item{Bytes: 100, Due: onTime, DataCentre: "d9"}, 0, 0, true},
 	} {
 		convey.Convey(c.name, t, func() {
 			at := testTarget("t", "d0")
@@ -49,12 +49,12 @@
 	})
 }
 
-// TestBatchTakesWholeGroups goes through which of several groups share a batch of four
-// items at a target whose memory takes nine results.
+// TestBatchTakesWholeGroups covers which of several groups share a batch of four items at
+// a target with memory for nine results.
 func TestBatchTakesWholeGroups(t *testing.T) {
 	at := testTarget("t", "d0")
-	// split queues groups of the given sizes, the most urgent first, and returns how
-	// many items of each are taken.
+	// split queues groups of the given sizes, the most urgent first, and returns how many
+	// items of each are taken.
 	split := func(sizes ...int) []int {
 		var queue []*queuedItem
 		for group, size := range sizes {
@@ -77,8 +77,8 @@
 		{"Groups that fit together share a batch", []int{1, 3}, []int{1, 3}},
 		{"A group that does not fit waits as a whole", []int{3, 2}, []int{3, 0}},
 		{"and one behind it that fits goes first", []int{3, 2, 1}, []int{3, 0, 1}},
-		{"A batch that is half full takes no part of a group", []int{2, 3}, []int{2, 0}},
-		{"One that is not takes what fits", []int{1, 4}, []int{1, 3}},
+		{"A half full batch takes no part of a group", []int{2, 3}, []int{2, 0}},
+		{"A batch below that takes the items that fit", []int{1, 4}, []int{1, 3}},
 		{"A group larger than a batch is taken in parts", []int{6}, []int{4}},
 	} {
 		convey.Convey(c.name, t, func() { convey.So(split(c.sizes...), convey.ShouldResemble, c.want) })
--- a/internal/gateway/batching/fleet_bench_test.go
+++ b/internal/gateway/batching/fleet_bench_test.go
@@ -11,15 +11,16 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// A service of a whole fleet: far more targets than its load needs, in six data centres.
-// Groups come as fast as eighty busy targets answer them; twice the fleet has twice of all.
+// A service with the targets of a whole fleet, far more than its load needs, in six data
+// centres. Groups arrive as fast as eighty busy targets process them. Twice the targets
+// get twice the load.
 const (
 	fleetTargets   = 1152
-	fleetGroups    = 313 // a second
+	fleetGroups    = 313 // per second
 	fleetGroupSize = 3
 )
 
-// fleetRun is a core with the batches that run.
+// fleetRun is a core with its running batches.
 type fleetRun struct {
 	core     *batching.Core
 	now      time.Time
@@ -29,7 +30,7 @@
 	used     map[string]bool
 }
 
-// newFleetRun returns a run over some targets, with so many groups a second.
+// newFleetRun returns a run with a number of targets and of groups per second.
 func newFleetRun(targets, groups int) *fleetRun {
 	r := &fleetRun{
 		core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, MaxNodes: 16}),
@@ -60,7 +61,7 @@
 	}
 }
 
-// step submits a group and ends the batches that are due, whose results are released.
+// step submits a group, finishes the batches that have ended and releases their results.
 func (r *fleetRun) step() {
 	r.now = r.now.Add(r.interval)
 	var items []batching.Item
@@ -88,8 +89,8 @@
 	}
 }
 
-// BenchmarkFleetService is a coordinator's part of one group of a service with the targets
-// of a whole fleet, and of twice that: its submission, the end of a batch and the release
+// BenchmarkFleetService measures a coordinator's cost of one group, with the targets of a
+// whole fleet and with twice as many: its submission, the end of a batch and the release
 // of its results.
 func BenchmarkFleetService(b *testing.B) {
 	for _, x := range []int{1, 2} {
--- a/internal/gateway/batching/fleet_test.go
+++ b/internal/gateway/batching/fleet_test.go
@@ -9,10 +9,11 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/batching"
 )
 
-// TestEventCostScalesWithLoad holds that what a coordinator does, and how many targets it
-// uses, grows with the load of its service and not with its targets.
+// TestEventCostScalesWithLoad checks that the work of a coordinator and the number of
+// targets that it uses depend on the load of its service and not on the number of
+// targets.
 func TestEventCostScalesWithLoad(t *testing.T) {
-	// 700 groups are more than two seconds of the load. Half of them settle the run.
+	// 700 groups are more than two seconds of load; the first half is the warm-up.
 	const groups = 700
 	run := func(targets int) (examined, used int, s batching.State) {
 		r := newFleetRun(targets, fleetGroups)
@@ -26,27 +27,28 @@
 		s = r.core.State(r.now)
 		return s.Examined - begun, len(r.used), s
 	}
-	convey.Convey("Given the load of some hundred targets on 300 and on 2,400", t, func() {
+	convey.Convey("Given a load for about a hundred targets on 300 and on 2,400 targets", t, func() {
 		few, _, _ := run(300)
 		many, used, s := run(2400)
-		convey.Convey("an event looks at about as many", func() {
-			// Four times leaves room for what is done for each target some times a second.
+		convey.Convey("an event examines about as many targets", func() {
+			// A factor of four allows for the work that is done for each target several
+			// times per second.
 			convey.So(few, convey.ShouldBeGreaterThan, groups)
 			convey.So(many, convey.ShouldBeLessThan, 4*few)
 		})
-		convey.Convey("no target is called that the load does not need", func() {
+		convey.Convey("only as many targets are called as the load needs", func() {
 			convey.So(used, convey.ShouldBeBetween, s.Busy, 2*s.Busy)
 		})
 		convey.Convey("and no group waits", func() { convey.So(s.Waiting, convey.ShouldBeLessThan, 2*fleetGroupSize) })
 	})
 }
 
-// TestLateCoordinatorKeepsBatches holds that batches do not count as stuck
-// because their coordinator is late: the answers wait for their turn behind the tick.
+// TestLateCoordinatorKeepsBatches checks that batches do not count as stuck because their
+// coordinator is late, when their answers are queued behind the tick.
 func TestLateCoordinatorKeepsBatches(t *testing.T) {
-	// A batch of four takes 320 ms; it is stuck after twice that and 250 ms.
+	// A batch of four takes 320 ms; it is stuck after twice that plus 250 ms.
 	const stuck = 890 * time.Millisecond
-	convey.Convey("Given a batch whose answer came while its coordinator was late", t, func() {
+	convey.Convey("Given a batch that was answered while its coordinator was late", t, func() {
 		c := newCore(2)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		convey.So(first, convey.ShouldHaveLength, 1)
@@ -57,14 +59,14 @@
 			c.Handle(now, answered(first[0]))
 			convey.So(c.State(now).Retries, convey.ShouldEqual, 0)
 		})
-		convey.Convey("a coordinator that is on time again takes it for stuck", func() {
+		convey.Convey("without an answer it is stuck once the coordinator is on time again", func() {
 			convey.So(sends(c.Handle(start.Add(stuck+540*time.Millisecond), batching.Tick{})), convey.ShouldHaveLength, 1)
 		})
 	})
 }
 
-// TestIdleTargetsAreReinspected holds that a target which was idle for long is
-// asked before its next batch: another coordinator may have used it.
+// TestIdleTargetsAreReinspected checks that a target that was idle for a long time is
+// inspected before its next batch, because another coordinator may have used it.
 func TestIdleTargetsAreReinspected(t *testing.T) {
 	convey.Convey("Given a target that has been idle for 12 s", t, func() {
 		c := newCore(1)
@@ -84,7 +86,7 @@
 			convey.So(inspections(effects), convey.ShouldResemble, []string{"t0"})
 			convey.So(sends(effects), convey.ShouldBeEmpty)
 		})
-		convey.Convey("a little earlier it gets one at once", func() {
+		convey.Convey("just before that it gets one immediately", func() {
 			convey.So(sends(after(12*time.Second-1)), convey.ShouldHaveLength, 1)
 		})
 	})
--- a/internal/gateway/batching/gate_test.go
+++ b/internal/gateway/batching/gate_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// fakeGate lets one target get so many calls more, and all others any number.
+// fakeGate allows one target a number of further calls, and all others any number.
 type fakeGate struct {
 	target string
 	left   int
@@ -31,15 +31,15 @@
 
 func (g *fakeGate) Bound(l directory.Life) (float64, bool) { return 1, l.ID == g.target }
 
-// TestLimitedBatchTarget holds that batches and inspections count as calls of a target that
-// takes few, and that admission hears of what it takes.
+// TestLimitedBatchTarget checks that batches and inspections count as calls of a limited
+// target, and that the estimates for admission account for its limit.
 func TestLimitedBatchTarget(t *testing.T) {
 	newCore := func(left int) *batching.Core {
 		c := batching.New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second}, batching.WithGate(&fakeGate{target: "t0", left: left}))
 		c.Handle(start, batching.Configure{Service: service(), Targets: targets(2)})
 		return c
 	}
-	convey.Convey("A target without calls left is neither inspected nor given a batch", t, func() {
+	convey.Convey("A target with no calls left gets neither inspections nor batches", t, func() {
 		c := newCore(0)
 		convey.So(inspections(c.Handle(start, batching.Submit{Items: items(1, 3, 5*time.Second)})), convey.ShouldResemble, []string{"t1"})
 		reportIdle(c, targets(2))
@@ -47,7 +47,7 @@
 			convey.So(s.Target.ID, convey.ShouldEqual, "t1")
 		}
 	})
-	convey.Convey("A batch takes a call", t, func() {
+	convey.Convey("A batch counts as a call", t, func() {
 		c := newCore(1)
 		reportIdle(c, targets(2))
 		calls := 0
@@ -63,7 +63,7 @@
 		}
 		convey.So(calls, convey.ShouldEqual, 1)
 	})
-	convey.Convey("The estimate counts what the target takes", t, func() {
+	convey.Convey("The estimate accounts for the limit", t, func() {
 		limited, free := newCore(9), batching.New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second})
 		free.Handle(start, batching.Configure{Service: service(), Targets: targets(2)})
 		reportIdle(limited, targets(2))
--- a/internal/gateway/batching/inspection_test.go
+++ b/internal/gateway/batching/inspection_test.go
@@ -23,8 +23,8 @@
 	return list
 }
 
-// TestTargetsAreInspectedBeforeTheirFirstBatch goes through what a new coordinator
-// learns of targets that worked for another one.
+// TestTargetsAreInspectedBeforeTheirFirstBatch covers what a new coordinator learns about
+// targets that worked for another one.
 func TestTargetsAreInspectedBeforeTheirFirstBatch(t *testing.T) {
 	newCore := func() *batching.Core {
 		c := batching.New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second})
@@ -38,7 +38,7 @@
 	tick := func(c *batching.Core, after time.Duration) []batching.Effect {
 		return c.Handle(start.Add(after), batching.Tick{})
 	}
-	convey.Convey("A target that nobody needs is not inspected", t, func() {
+	convey.Convey("A target that is not needed is not inspected", t, func() {
 		convey.So(inspections(tick(newCore(), 0)), convey.ShouldBeEmpty)
 	})
 	convey.Convey("Given items for a new target", t, func() {
@@ -50,26 +50,26 @@
 		convey.Convey("it gets a batch once it reports that it is idle", func() {
 			convey.So(sends(report(c, 0, batching.Report{FreeBytes: 1000}, nil)), convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("it gets one when it gives no report", func() {
+		convey.Convey("it gets a batch when it gives no report", func() {
 			err := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 			convey.So(sends(report(c, 0, batching.Report{}, err)), convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("while it works for another it is waited for, and inspected again", func() {
+		convey.Convey("it gets none while it works for another coordinator, and is inspected again", func() {
 			convey.So(sends(report(c, 0, batching.Report{Busy: true, FreeBytes: 1000}, nil)), convey.ShouldBeEmpty)
 			convey.So(inspections(tick(c, 59*time.Millisecond)), convey.ShouldBeEmpty)
 			convey.So(inspections(tick(c, 60*time.Millisecond)), convey.ShouldHaveLength, 1)
 			convey.So(sends(report(c, 60*time.Millisecond, batching.Report{FreeBytes: 1000}, nil)), convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("results of others leave less memory, until they must have expired", func() {
+		convey.Convey("results of other coordinators reduce its free memory until they must have expired", func() {
 			batch := sends(report(c, 0, batching.Report{FreeBytes: 300}, nil))
 			convey.So(batch[0].Items, convey.ShouldHaveLength, 2)
-			convey.Convey("and it is inspected again for the rest", func() {
+			convey.Convey("and it is inspected again", func() {
 				convey.So(inspections(tick(c, 499*time.Millisecond)), convey.ShouldBeEmpty)
 				convey.So(inspections(tick(c, 500*time.Millisecond)), convey.ShouldHaveLength, 1)
 			})
 		})
 	})
-	convey.Convey("A target that had no memory for a result is inspected at once", t, func() {
+	convey.Convey("A target that had no memory for a result is inspected immediately", t, func() {
 		c := newCore()
 		c.Handle(start, submitted)
 		batch := sends(report(c, 0, batching.Report{FreeBytes: 1000}, nil))
--- a/internal/gateway/batching/large_bench_test.go
+++ b/internal/gateway/batching/large_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// A large service: 42 targets in six data centres, 256 groups of 6 items a second.
+// A large service: 42 targets in six data centres, 256 groups of 6 items per second.
 const (
 	largeTargets     = 42
 	largeDataCentres = 6
@@ -19,7 +19,7 @@
 	largeInterval    = time.Second / 256
 )
 
-// largeRun is a core of a large service with the batches that run, by when they end.
+// largeRun is a core of a large service with its running batches.
 type largeRun struct {
 	core       *batching.Core
 	now        time.Time
@@ -62,7 +62,7 @@
 	}
 }
 
-// step submits a group, ends the batches that are due and releases older results.
+// step submits a group, finishes the batches that have ended and releases older results.
 func (r *largeRun) step() {
 	r.now = r.now.Add(largeInterval)
 	var items []batching.Item
@@ -94,8 +94,8 @@
 	}
 }
 
-// BenchmarkLargeService is one coordinator's part of a group of a large service: its
-// submission, and its share of the ends of batches and of released results.
+// BenchmarkLargeService measures a coordinator's cost of one group of a large service:
+// its submission and its share of finished batches and released results.
 func BenchmarkLargeService(b *testing.B) {
 	r := newLargeRun()
 	for range 1000 {
--- a/internal/gateway/batching/life_test.go
+++ b/internal/gateway/batching/life_test.go
@@ -11,17 +11,17 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// restartedTargets lists the targets of newCore, the first of which has started again.
+// restartedTargets returns the targets of newCore after a restart of the first one.
 func restartedTargets(n int) []directory.Target {
 	list := targets(n)
 	list[0].Born = 2
 	return list
 }
 
-// TestRestartedTarget holds that results, back-off and the batch of a target end with its
-// life, when it starts again under its identity.
+// TestRestartedTarget checks that a target that restarts under its ID starts without the
+// results, backoff and batch of its earlier life.
 func TestRestartedTarget(t *testing.T) {
-	convey.Convey("Given a target that holds results, and starts again", t, func() {
+	convey.Convey("Given a target that holds results and restarts", t, func() {
 		c := newCore(1)
 		sent := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		convey.So(sent, convey.ShouldHaveLength, 1)
@@ -33,13 +33,13 @@
 		convey.So(c.State(start.Add(300*time.Millisecond)).UsedBytes, convey.ShouldBeGreaterThan, 0)
 		now := start.Add(400 * time.Millisecond)
 		c.Handle(now, batching.Configure{Service: service(), Targets: restartedTargets(1)})
-		convey.Convey("the results take no memory any more, and a release of them changes nothing", func() {
+		convey.Convey("the results no longer use memory, and their release has no effect", func() {
 			convey.So(c.State(now).UsedBytes, convey.ShouldEqual, 0)
 			effects := c.Handle(now, batching.Release{Target: targets(1)[0].Life(), Handles: []string{"a"}})
 			convey.So(effects, convey.ShouldBeEmpty)
 		})
 	})
-	convey.Convey("A target that backs off takes a batch at once when it has started again", t, func() {
+	convey.Convey("A target that backs off takes a batch immediately after a restart", t, func() {
 		c := newCore(1)
 		sent := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
@@ -48,7 +48,7 @@
 		report := batching.Inspected{Target: restartedTargets(1)[0].Life(), Report: batching.Report{FreeBytes: 1000}}
 		convey.So(sends(c.Handle(start, report)), convey.ShouldHaveLength, 1)
 	})
-	convey.Convey("The batch of the earlier life does not keep the new one from work, and its items are retried when it ends", t, func() {
+	convey.Convey("The batch of the earlier life does not block the new one, and its items are retried when it ends", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		c.Handle(start, batching.Configure{Service: service(), Targets: restartedTargets(1)})
--- a/internal/gateway/batching/memory_test.go
+++ b/internal/gateway/batching/memory_test.go
@@ -14,7 +14,7 @@
 	}
 	convey.Convey("A target's result memory", t, func() {
 		m := newResultMemory()
-		convey.Convey("is planned with up to 95 per cent", func() { shouldLeave(&m, 950, 0) })
+		convey.Convey("is used up to 95 per cent", func() { shouldLeave(&m, 950, 0) })
 		convey.Convey("is reserved from the sending of a batch", func() {
 			m.reserve([]Item{{Bytes: 100}, {Bytes: 200}})
 			shouldLeave(&m, 650, 300)
@@ -27,13 +27,13 @@
 			m.store("h", storedResult{bytes: 400, sentAt: testNow, expiresAt: testNow.Add(time.Second)})
 			shouldLeave(&m, 550, 400)
 			convey.So(m.empty(), convey.ShouldBeFalse)
-			convey.Convey("until it is released, which counts once", func() {
+			convey.Convey("until its first release", func() {
 				m.release("h")
 				m.release("h")
 				shouldLeave(&m, 950, 0)
 				convey.So(m.empty(), convey.ShouldBeTrue)
 			})
-			convey.Convey("while its time to live lasts", func() {
+			convey.Convey("until its time to live ends", func() {
 				m.expire(testNow.Add(time.Second - 1))
 				shouldLeave(&m, 550, 400)
 			})
@@ -42,7 +42,7 @@
 				shouldLeave(&m, 950, 0)
 			})
 		})
-		convey.Convey("can be exceeded by results of other batches, and then takes nothing", func() {
+		convey.Convey("can be exceeded by results of other batches, and then has none available", func() {
 			m.store("h", storedResult{bytes: 1200})
 			shouldLeave(&m, -250, 1200)
 		})
--- a/internal/gateway/batching/order_test.go
+++ b/internal/gateway/batching/order_test.go
@@ -7,7 +7,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// dueItem is an item that is due some time after noon.
+// dueItem returns an item that is due some time after testNow.
 func dueItem(token Token, due time.Duration, priority int) *queuedItem {
 	return &queuedItem{Item: Item{Token: token, Due: testNow.Add(due), Priority: priority}}
 }
@@ -23,19 +23,19 @@
 		name          string
 		first, second *queuedItem
 	}{
-		{"The item that is due first goes first", dueItem(1, onTime, 0), dueItem(2, onTime+1, 0)},
-		{"A step of priority weighs less than 200 ms", dueItem(1, onTime, 1), dueItem(2, onTime+201*time.Millisecond, 0)},
-		{"A step of priority weighs more than 199 ms", dueItem(1, onTime+199*time.Millisecond, 0), dueItem(2, onTime, 1)},
-		{"Two steps weigh twice as much", dueItem(1, onTime+399*time.Millisecond, 0), dueItem(2, onTime, 2)},
-		{"An item that can still be in time goes before one that is past due", dueItem(1, onTime, 0), dueItem(2, 100*time.Millisecond, 0)},
-		{"whatever their priorities", dueItem(1, onTime, 9), dueItem(2, 100*time.Millisecond, 0)},
-		{"An item is not past due while a batch of one can end by then", dueItem(1, 260*time.Millisecond, 0), dueItem(2, onTime, 0)},
+		{"The item with the earlier due time goes first", dueItem(1, onTime, 0), dueItem(2, onTime+1, 0)},
+		{"A priority step counts for less than 201 ms", dueItem(1, onTime, 1), dueItem(2, onTime+201*time.Millisecond, 0)},
+		{"A priority step counts for more than 199 ms", dueItem(1, onTime+199*time.Millisecond, 0), dueItem(2, onTime, 1)},
+		{"Two steps count for twice as much", dueItem(1, onTime+399*time.Millisecond, 0), dueItem(2, onTime, 2)},
+		{"An item that can be in time goes before one that is past due", dueItem(1, onTime, 0), dueItem(2, 100*time.Millisecond, 0)},
+		{"regardless of their priorities", dueItem(1, onTime, 9), dueItem(2, 100*time.Millisecond, 0)},
+		{"An item is not past due while a batch of one can finish in time", dueItem(1, 260*time.Millisecond, 0), dueItem(2, onTime, 0)},
 		{"and is when it cannot", dueItem(1, onTime, 0), dueItem(2, 260*time.Millisecond-1, 0)},
-		{"Among past-due items the due time counts", dueItem(1, -time.Second, 0), dueItem(2, 0, 0)},
+		{"Past-due items are ordered by due time", dueItem(1, -time.Second, 0), dueItem(2, 0, 0)},
 	} {
 		convey.Convey(c.name, t, func() { shouldGoFirst(c.first, c.second) })
 	}
-	convey.Convey("Equal items stay in the order in which they were queued", t, func() {
+	convey.Convey("Equal items stay in queueing order", t, func() {
 		queue := []*queuedItem{dueItem(1, onTime, 0), dueItem(2, onTime, 0), dueItem(3, onTime, 0)}
 		sortQueue(queue, earliestEnd(testNow, testSpec()))
 		for i, q := range queue {
--- a/internal/gateway/batching/plans_test.go
+++ b/internal/gateway/batching/plans_test.go
@@ -17,11 +17,11 @@
 			p.add(Plan{Request: "s", Stage: 1, Items: 5, Due: testNow})
 			shouldCount(p, 12)
 		})
-		convey.Convey("takes the place of an earlier one for its stage", func() {
+		convey.Convey("replaces an earlier one for its stage", func() {
 			p.add(Plan{Request: "r", Stage: 1, Items: 1, Due: testNow})
 			shouldCount(p, 1)
 		})
-		convey.Convey("ends when it is removed, and no other does", func() {
+		convey.Convey("ends only when it is removed itself", func() {
 			p.remove("r", 2)
 			p.remove("s", 1)
 			shouldCount(p, 3)
--- a/internal/gateway/batching/rules_test.go
+++ b/internal/gateway/batching/rules_test.go
@@ -7,11 +7,11 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// testNow is the time at which the rules are asked.
+// testNow is the current time in the tests of single rules.
 var testNow = time.Unix(1_000_000, 0)
 
-// testSpec is a service whose batches take 240 ms and 20 ms an item: 260 ms for one
-// item, 320 ms for a full batch.
+// testSpec returns a service whose batches take 240 ms plus 20 ms per item: 260 ms for
+// one item, 320 ms for a full batch.
 func testSpec() *catalog.Batch {
 	return &catalog.Batch{
 		MaxItems: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond,
@@ -19,21 +19,21 @@
 	}
 }
 
-// testTarget is a usable target without work in a data centre.
+// testTarget returns a usable, idle and inspected target.
 func testTarget(id, dataCentre string) *target {
 	t := newTarget(directory.Target{ID: id, DataCentre: dataCentre})
 	t.usable, t.inspection.completed = true, true
 	return t
 }
 
-// busyTarget is a usable target whose batch should end after a while.
+// busyTarget returns a usable target whose batch should end after the given time.
 func busyTarget(id, dataCentre string, left time.Duration) *target {
 	t := testTarget(id, dataCentre)
 	t.running = &batch{target: t, expectedEnd: testNow.Add(left)}
 	return t
 }
 
-// slowTarget is a usable target without work that was just found to be slow.
+// slowTarget returns a usable idle target that was just found to be slow.
 func slowTarget(id string, factor float64) *target {
 	t := testTarget(id, "d0")
 	t.slowdown = slowdown{factor: factor, updatedAt: testNow}
@@ -41,8 +41,8 @@
 	return t
 }
 
-// poolOf is a pool of some targets, each for itself: those of several lives may have one
-// identity.
+// poolOf returns a pool of the given targets. Those with the same ID count as lives of
+// one target.
 func poolOf(targets ...*target) *pool {
 	p := newPool()
 	for _, t := range targets {
--- a/internal/gateway/batching/slowdown_test.go
+++ b/internal/gateway/batching/slowdown_test.go
@@ -7,13 +7,13 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// shouldBeAbout compares fractions up to rounding.
+// shouldBeAbout asserts that two numbers are equal up to rounding.
 func shouldBeAbout(got, want float64) {
 	convey.So(got, convey.ShouldAlmostEqual, want, 1e-9)
 }
 
 func TestSlowdown(t *testing.T) {
-	const asPlanned = 300 * time.Millisecond
+	const nominal = 300 * time.Millisecond
 	convey.Convey("A target without a measurement is as fast as the catalog says", t, func() {
 		s := newSlowdown()
 		shouldBeAbout(s.at(testNow), 1)
@@ -23,15 +23,15 @@
 		took time.Duration
 		want float64
 	}{
-		{"A batch as long as planned changes nothing", asPlanned, 1},
-		{"A batch of twice the time weighs 0.4", 2 * asPlanned, 1.4},
-		{"A batch of half the time weighs 0.4", asPlanned / 2, 0.8},
-		{"A batch of a hundred times the time counts as twenty", 100 * asPlanned, 0.6 + 20*0.4},
-		{"A batch without any time counts as three tenths", 0, 0.6 + 0.3*0.4},
+		{"A batch of the nominal duration changes nothing", nominal, 1},
+		{"A batch of twice the duration has a weight of 0.4", 2 * nominal, 1.4},
+		{"A batch of half the duration has a weight of 0.4", nominal / 2, 0.8},
+		{"A batch of a hundred times the duration counts as twenty", 100 * nominal, 0.6 + 20*0.4},
+		{"A batch of no duration counts as three tenths", 0, 0.6 + 0.3*0.4},
 	} {
 		convey.Convey(c.name, t, func() {
 			s := newSlowdown()
-			s.observe(testNow, c.took, asPlanned)
+			s.observe(testNow, c.took, nominal)
 			shouldBeAbout(s.at(testNow), c.want)
 		})
 	}
@@ -40,11 +40,11 @@
 		age  time.Duration
 		want float64
 	}{
-		{"A slowdown of 3 stays at once", 0, 3},
-		{"After half of a half-life a quarter of the distance from 1 is gone", 2 * time.Second, 2.5},
-		{"After a half-life half of it is gone", 4 * time.Second, 2},
-		{"After two half-lives three quarters are gone", 8 * time.Second, 1.5},
-		{"A clock that went back ages nothing", -time.Second, 3},
+		{"A slowdown of 3 has not decayed initially", 0, 3},
+		{"After half of a half-life it has decayed by a quarter of its distance from 1", 2 * time.Second, 2.5},
+		{"After a half-life it has decayed by half", 4 * time.Second, 2},
+		{"After two half-lives it has decayed by three quarters", 8 * time.Second, 1.5},
+		{"A clock that went back causes no decay", -time.Second, 3},
 	} {
 		convey.Convey(c.name, t, func() {
 			s := slowdown{factor: 3, updatedAt: testNow}
--- a/internal/gateway/batching/stuck_test.go
+++ b/internal/gateway/batching/stuck_test.go
@@ -15,12 +15,12 @@
 	} {
 		convey.Convey("A batch that should take "+c.expected.String(), t, func() {
 			convey.So(stuckAfter(c.expected), convey.ShouldEqual, c.stuck)
-			convey.Convey("is awaited for three times as long as until it counts as stuck", func() {
+			convey.Convey("times out after three times the time until it counts as stuck", func() {
 				convey.So(sendTimeout(c.expected), convey.ShouldEqual, c.timeout)
 			})
 		})
 	}
-	convey.Convey("At a node that is late itself it does by as much later", t, func() {
+	convey.Convey("A late node waits longer by its own delay", t, func() {
 		b := &batch{stuckAt: testNow}
 		convey.So(b.becomesStuck(testNow.Add(time.Second-1), time.Second), convey.ShouldBeFalse)
 		convey.So(b.becomesStuck(testNow.Add(time.Second), time.Second), convey.ShouldBeTrue)
--- a/internal/gateway/batching/suspects_test.go
+++ b/internal/gateway/batching/suspects_test.go
@@ -11,21 +11,21 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// crashingService is a service whose targets end when they get an item of one request, and
-// answer others. An ended target is replaced.
+// crashingService simulates a service whose targets crash when they get an item of
+// crashingRequest and answer all others. A crashed target is replaced.
 type crashingService struct {
 	core *batching.Core
 	now  time.Time
-	// crashes counts the targets that crashed, and failures those of each request's items.
+	// crashes counts the crashed targets; results and failures are by request.
 	crashes  int
 	results  map[string]int
 	failures map[string]*verdict.Error
 	requests map[batching.Token]string
 }
 
-const crashingRequest = "ends its targets"
+const crashingRequest = "crashes its targets"
 
-// run submits four items of each request and plays until nothing is left to do.
+// run submits four items per request and runs until no work is left.
 func (s *crashingService) run(requests ...string) {
 	var list []batching.Item
 	for _, request := range requests {
@@ -47,7 +47,7 @@
 	}
 }
 
-// apply carries effects out and returns those that follow.
+// apply carries out effects and returns those that follow.
 func (s *crashingService) apply(effects []batching.Effect) []batching.Effect {
 	var next []batching.Effect
 	for _, e := range append([]batching.Effect(nil), effects...) {
@@ -70,7 +70,7 @@
 	s.results[request]++
 }
 
-// finish is how a batch ends.
+// finish returns how a batch ends.
 func (s *crashingService) finish(e batching.Send) batching.Finished {
 	for _, item := range e.Items {
 		if item.Request == crashingRequest {
@@ -92,27 +92,27 @@
 	}
 }
 
-// TestItemsThatCrashTargets holds that a request whose items end the targets of a stage
-// ends two of them, and that the items of others which shared their batches are computed.
-// Without a memory of ends each of its items was part of four batches, and so were those
-// that shared them.
+// TestItemsThatCrashTargets checks that a request whose items crash the targets of a
+// stage crashes two of them, and that items of other requests in the same batches are
+// computed. When crashes were not counted, each item of the request was part of four
+// batches, and so were the items that shared them.
 func TestItemsThatCrashTargets(t *testing.T) {
-	convey.Convey("Given a request among others whose items end each target that gets them", t, func() {
+	convey.Convey("Given a request among others whose items crash each target that gets them", t, func() {
 		s := newCrashingService()
 		s.run("a", "b", crashingRequest, "c", "d")
-		convey.Convey("it fails after the second target", func() {
+		convey.Convey("it fails after the second crash", func() {
 			convey.So(s.crashes, convey.ShouldEqual, 2)
 			convey.So(s.failures[crashingRequest].Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
 			convey.So(s.failures[crashingRequest].Verdict(), convey.ShouldEqual, verdict.NotRun)
 		})
-		convey.Convey("and all others get their results", func() {
+		convey.Convey("and all other requests get their results", func() {
 			convey.So(s.failures, convey.ShouldHaveLength, 1)
 			for _, request := range []string{"a", "b", "c", "d"} {
 				convey.So(s.results[request], convey.ShouldEqual, 4)
 			}
 		})
 	})
-	convey.Convey("A request that ended a target before, at another time, ends one more", t, func() {
+	convey.Convey("A request that was suspect when it was submitted crashes one target", t, func() {
 		s := newCrashingService()
 		s.run("a")
 		list := items(1, 4, 20*time.Second)
@@ -129,7 +129,7 @@
 		convey.So(s.crashes, convey.ShouldEqual, 1)
 		convey.So(s.failures[crashingRequest].Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
 	})
-	convey.Convey("Items of two suspected requests do not share a batch, those of one and of others do", t, func() {
+	convey.Convey("Suspected items of two requests do not share a batch; those of one request and other items do", t, func() {
 		list := append(items(1, 2, 5*time.Second), items(3, 2, 5*time.Second)...)
 		for i := range list {
 			list[i].Request, list[i].Suspect = fmt.Sprint("suspect-", i/2), true
