--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -51,7 +51,7 @@
 	var list []batching.Item
 	for i := range n {
 		list = append(list, batching.Item{
-			Token: batching.Token(first + i), Request: "r", Index: i, Bytes: 100,
+			Token: batching.ItemID(first + i), Request: "r", Index: i, Bytes: 100,
 			Due: start.Add(due), Deadline: start.Add(10 * time.Second),
 		})
 	}
@@ -216,7 +216,7 @@
 	t          *rapid.T
 	core       *batching.Core
 	now        time.Time
-	unresolved map[batching.Token]bool
+	unresolved map[batching.ItemID]bool
 	running    map[batching.BatchID]batching.Send
 	busy       map[string]batching.BatchID
 	draining   map[string]bool
@@ -329,7 +329,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
 			t: t, core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 5, MaxNodes: 1}), now: start,
-			unresolved: map[batching.Token]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
+			unresolved: map[batching.ItemID]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
 			draining: map[string]bool{}, unclaimed: map[string]bool{}, used: map[string]string{}, inspected: map[string]bool{},
 		}
 		o.handle(batching.Configure{Service: service(), Targets: targets(3)})
@@ -347,9 +347,9 @@
 				o.handle(batching.Submit{Items: list})
 			},
 			"withdraw": func(t *rapid.T) {
-				token := batching.Token(rapid.IntRange(1, o.next+1).Draw(t, "token"))
+				token := batching.ItemID(rapid.IntRange(1, o.next+1).Draw(t, "token"))
 				delete(o.unresolved, token)
-				o.handle(batching.Withdraw{Tokens: []batching.Token{token}})
+				o.handle(batching.Withdraw{Tokens: []batching.ItemID{token}})
 			},
 			"finish": func(t *rapid.T) {
 				if s, ok := o.oldestBatch(); ok {
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -35,7 +35,7 @@
 	spec *catalog.Batch
 	pool *pool
 	// items holds every item without a result, queue those of them that wait for a batch.
-	items     map[Token]*queuedItem
+	items     map[ItemID]*queuedItem
 	queue     []*queuedItem
 	plans     plans
 	running   map[BatchID]*batch
@@ -77,7 +77,7 @@
 	c := &Core{
 		gate:    allowAllGate{},
 		pool:    newPool(),
-		items:   map[Token]*queuedItem{},
+		items:   map[ItemID]*queuedItem{},
 		running: map[BatchID]*batch{},
 		plans:   plans{},
 		limits:  warmup.New(),
@@ -184,7 +184,7 @@
 }
 
 // removeItem drops an item and takes it out of the queue.
-func (c *Core) removeItem(token Token) {
+func (c *Core) removeItem(token ItemID) {
 	q := c.items[token]
 	if q == nil {
 		return
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -43,15 +43,15 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// Token identifies a submitted item within a core.
-type Token uint64
+// ItemID identifies a submitted item within a core.
+type ItemID uint64
 
 // BatchID identifies a batch within a core; 0 is none.
 type BatchID uint64
 
 // Item is a unit of a stage's work that yields one result.
 type Item struct {
-	Token   Token
+	Token   ItemID
 	Request string
 	Stage   int
 	Index   int
@@ -145,7 +145,7 @@
 
 // Withdraw removes items that are no longer wanted. The results of those in a batch are
 // discarded when it ends.
-type Withdraw struct{ Tokens []Token }
+type Withdraw struct{ Tokens []ItemID }
 
 // Finished reports the end of a batch.
 type Finished struct {
@@ -214,7 +214,7 @@
 
 // Resolve ends an item with a result or an error.
 type Resolve struct {
-	Token  Token
+	Token  ItemID
 	Result Result
 	Err    *verdict.Error
 }
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -80,7 +80,7 @@
 }
 
 // fail ends an item with an error.
-func (c *Core) fail(token Token, err *verdict.Error) {
+func (c *Core) fail(token ItemID, err *verdict.Error) {
 	c.removeItem(token)
 	c.emit(Resolve{Token: token, Err: err})
 }
--- a/internal/gateway/batching/order_test.go
+++ b/internal/gateway/batching/order_test.go
@@ -8,7 +8,7 @@
 )
 
 // dueItem returns an item that is due some time after testNow.
-func dueItem(token Token, due time.Duration, priority int) *queuedItem {
+func dueItem(token ItemID, due time.Duration, priority int) *queuedItem {
 	return &queuedItem{Item: Item{Token: token, Due: testNow.Add(due), Priority: priority}}
 }
 
--- a/internal/gateway/batching/suspects_test.go
+++ b/internal/gateway/batching/suspects_test.go
@@ -20,7 +20,7 @@
 	crashes  int
 	results  map[string]int
 	failures map[string]*verdict.Error
-	requests map[batching.Token]string
+	requests map[batching.ItemID]string
 }
 
 const crashingRequest = "crashes its targets"
@@ -30,7 +30,7 @@
 	var list []batching.Item
 	for _, request := range requests {
 		for _, item := range items(1, 4, 20*time.Second) {
-			item.Token = batching.Token(len(s.requests) + 1)
+			item.Token = batching.ItemID(len(s.requests) + 1)
 			item.Request = request
 			s.requests[item.Token] = request
 			list = append(list, item)
@@ -88,7 +88,7 @@
 
 func newCrashingService() *crashingService {
 	return &crashingService{
-		core: newCore(3), now: start, results: map[string]int{}, failures: map[string]*verdict.Error{}, requests: map[batching.Token]string{},
+		core: newCore(3), now: start, results: map[string]int{}, failures: map[string]*verdict.Error{}, requests: map[batching.ItemID]string{},
 	}
 }
 
@@ -117,7 +117,7 @@
 		s.run("a")
 		list := items(1, 4, 20*time.Second)
 		for i := range list {
-			list[i].Token = batching.Token(100 + i)
+			list[i].Token = batching.ItemID(100 + i)
 			list[i].Request, list[i].Suspect = crashingRequest, true
 			s.requests[list[i].Token] = crashingRequest
 		}
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -61,8 +61,8 @@
 	core    *batching.Core
 	// gate says what targets ask for.
 	gate    backpressure.Gate
-	last    batching.Token
-	items   map[batching.Token]*pendingItem
+	last    batching.ItemID
+	items   map[batching.ItemID]*pendingItem
 	ticking bool
 	// leaving says that another node runs what has not started.
 	leaving bool
@@ -81,7 +81,7 @@
 	return &coordinator{
 		coordinatorConfig: cfg, service: service, gate: gate,
 		core:     batching.New(cfg.retries, batching.WithGate(gate)),
-		items:    map[batching.Token]*pendingItem{},
+		items:    map[batching.ItemID]*pendingItem{},
 		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Life]*batching.Discard{}},
 	}
 }
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -12,7 +12,7 @@
 		return
 	}
 	items := g.items(c.last, c.quarantine.Suspected)
-	c.last += batching.Token(len(items))
+	c.last += batching.ItemID(len(items))
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -13,7 +13,7 @@
 	group   relay.Group
 	results []batching.Result
 	err     *verdict.Error
-	tokens  []batching.Token
+	tokens  []batching.ItemID
 	// pending counts the items without a result.
 	pending int
 	// onInputsRead is called once all items count as having read their inputs; nil
@@ -65,10 +65,10 @@
 
 // items returns the group's items, with the tokens that follow last. suspected says that a
 // target ended with one before.
-func (g *pendingGroup) items(last batching.Token, suspected func(quarantine.Digest) bool) []batching.Item {
+func (g *pendingGroup) items(last batching.ItemID, suspected func(quarantine.Digest) bool) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
 	for i := range items {
-		token := last + 1 + batching.Token(i)
+		token := last + 1 + batching.ItemID(i)
 		g.tokens = append(g.tokens, token)
 		items[i] = batching.Item{
 			Token: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
