--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -51,7 +51,7 @@
 	var list []batching.Item
 	for i := range n {
 		list = append(list, batching.Item{
-			Token: batching.ItemID(first + i), Request: "r", Index: i, Bytes: 100,
+			ID: batching.ItemID(first + i), Request: "r", Index: i, Bytes: 100,
 			Due: start.Add(due), Deadline: start.Add(10 * time.Second),
 		})
 	}
@@ -71,7 +71,7 @@
 func answered(s batching.Send) batching.Finished {
 	f := batching.Finished{Batch: s.Batch}
 	for _, item := range s.Items {
-		f.Outcomes = append(f.Outcomes, batching.Outcome{Handle: fmt.Sprintf("h%d-%d", s.Batch, item.Token)})
+		f.Outcomes = append(f.Outcomes, batching.Outcome{Handle: fmt.Sprintf("h%d-%d", s.Batch, item.ID)})
 	}
 	return f
 }
@@ -87,7 +87,7 @@
 		convey.So(second, convey.ShouldHaveLength, 1)
 		convey.So(second[0].Items, convey.ShouldHaveLength, 4)
 		convey.Convey("and the earliest due items go first", func() {
-			convey.So(second[0].Items[0].Token, convey.ShouldEqual, 4)
+			convey.So(second[0].Items[0].ID, convey.ShouldEqual, 4)
 		})
 	})
 	convey.Convey("A batch never needs more result memory than its target has", t, func() {
@@ -154,8 +154,8 @@
 		c.Handle(start, batching.Submit{Items: back})
 		c.Handle(start, batching.Submit{Items: items(5, 4, 2*time.Second)})
 		next := sends(c.Handle(start.Add(300*time.Millisecond), answered(s[0])))
-		convey.So(next[0].Items[0].Token, convey.ShouldEqual, 5)
-		convey.So(next[0].Items[3].Token, convey.ShouldEqual, 8)
+		convey.So(next[0].Items[0].ID, convey.ShouldEqual, 5)
+		convey.So(next[0].Items[3].ID, convey.ShouldEqual, 8)
 	})
 }
 
@@ -275,8 +275,8 @@
 		o.t.Fatalf("a batch has %d items", len(e.Items))
 	}
 	for _, item := range e.Items {
-		if !o.unresolved[item.Token] {
-			o.t.Fatalf("item %d was sent after it was resolved or withdrawn", item.Token)
+		if !o.unresolved[item.ID] {
+			o.t.Fatalf("item %d was sent after it was resolved or withdrawn", item.ID)
 		}
 	}
 	o.busy[e.Target.ID] = e.Batch
@@ -341,7 +341,7 @@
 					list[i].Due = o.now.Add(list[i].Due.Sub(start))
 					list[i].Deadline = o.now.Add(time.Duration(rapid.IntRange(100, 5000).Draw(t, "deadline")) * time.Millisecond)
 					list[i].DataCentre = rapid.SampledFrom([]string{"", "d0", "d1", "gone"}).Draw(t, "near")
-					o.unresolved[list[i].Token] = true
+					o.unresolved[list[i].ID] = true
 				}
 				o.next += n
 				o.handle(batching.Submit{Items: list})
--- a/internal/gateway/batching/bench_test.go
+++ b/internal/gateway/batching/bench_test.go
@@ -31,7 +31,7 @@
 	list := make([]batching.Item, benchGroup)
 	for i := range list {
 		list[i] = batching.Item{
-			Token: batching.ItemID(token + i), Request: "r", Index: i, Bytes: 100, Priority: token % 3,
+			ID: batching.ItemID(token + i), Request: "r", Index: i, Bytes: 100, Priority: token % 3,
 			Due: now.Add(2 * time.Second), Deadline: now.Add(10 * time.Second), DataCentre: fmt.Sprintf("d%d", token%benchTargets),
 		}
 	}
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -170,7 +170,7 @@
 func (c *Core) submit(now time.Time, ev Submit) {
 	for _, item := range ev.Items {
 		q := &queuedItem{Item: item, queued: true, crashes: priorCrashes(item)}
-		c.items[item.Token] = q
+		c.items[item.ID] = q
 		c.queue = append(c.queue, q)
 		c.plans.remove(item.Request, item.Stage)
 		c.budget.First(now)
@@ -219,7 +219,7 @@
 	for _, q := range slices.Clone(c.queue) {
 		if q.runningBatches == 0 && !canFinish(now, c.spec, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline"))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline"))
 		}
 	}
 }
@@ -246,7 +246,7 @@
 func (c *Core) failEvacuated() {
 	for _, q := range slices.Clone(c.queue) {
 		if q.runningBatches == 0 {
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of the service are evacuated"))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of the service are evacuated"))
 		}
 	}
 }
@@ -262,7 +262,7 @@
 	for ahead, q := range slices.Clone(c.queue) {
 		if q.runningBatches == 0 && q.pastDue(earliest) && !canStartInTime(now, c.spec, rate(), ahead, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline behind %d others", ahead))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline behind %d others", ahead))
 		}
 	}
 }
--- a/internal/gateway/batching/deadline_test.go
+++ b/internal/gateway/batching/deadline_test.go
@@ -63,7 +63,7 @@
 		var items []Item
 		for i := range 30 {
 			items = append(items, Item{
-				Token: ItemID(i), Request: "r", Stage: i, Bytes: 10, Due: testNow.Add(due), Deadline: testNow.Add(time.Second),
+				ID: ItemID(i), Request: "r", Stage: i, Bytes: 10, Due: testNow.Add(due), Deadline: testNow.Add(time.Second),
 			})
 		}
 		return c.Handle(testNow, Submit{Items: items})
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -51,7 +51,7 @@
 
 // Item is a unit of a stage's work that yields one result.
 type Item struct {
-	Token   ItemID
+	ID      ItemID
 	Request string
 	Stage   int
 	Index   int
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -51,7 +51,7 @@
 // no other target could compute it.
 func (c *Core) applyOutcome(now time.Time, done *batch, item Item, out Outcome) bool {
 	t := done.target
-	q := c.items[item.Token]
+	q := c.items[item.ID]
 	if q == nil {
 		return false
 	}
@@ -61,14 +61,14 @@
 	switch out.Status {
 	case Done:
 		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, sentAt: done.sentAt, expiresAt: now.Add(c.spec.ResultTTL)})
-		c.removeItem(item.Token)
-		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
+		c.removeItem(item.ID)
+		c.emit(Resolve{Token: item.ID, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "target %s no longer has an input of the item", t.ID))
+		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "target %s no longer has an input of the item", t.ID))
 	case PastDeadline:
 		c.stats.Expired++
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline had passed when target %s reached the item", t.ID))
+		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline had passed when target %s reached the item", t.ID))
 	case NoMemory:
 		t.backoff.recordNoMemory(now)
 		t.inspection.inspectNow(now)
@@ -90,7 +90,7 @@
 // the queued items of the group are not sent first.
 func (c *Core) recordCrash(ended *batch) {
 	for _, item := range ended.items {
-		q := c.items[item.Token]
+		q := c.items[item.ID]
 		if q == nil {
 			continue
 		}
@@ -103,10 +103,10 @@
 
 // failGroup fails the items of a group because they crash targets.
 func (c *Core) failGroup(group groupKey) {
-	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.Token, b.Token) }) {
+	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.ID, b.ID) }) {
 		if q.group() == group {
 			c.stats.Refused++
-			c.fail(q.Token, errCrashesTargets())
+			c.fail(q.ID, errCrashesTargets())
 		}
 	}
 }
@@ -115,7 +115,7 @@
 // them.
 func (c *Core) clearCrashes(answered *batch) {
 	for _, item := range answered.items {
-		if q := c.items[item.Token]; q != nil {
+		if q := c.items[item.ID]; q != nil {
 			q.crashes = 0
 		}
 	}
@@ -131,7 +131,7 @@
 		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "target %s answered with another number of items than were sent", failed.target.ID)
 	}
 	for _, item := range failed.items {
-		if q := c.items[item.Token]; q != nil {
+		if q := c.items[item.ID]; q != nil {
 			q.runningBatches--
 			c.requeue(now, q, err)
 		}
@@ -147,7 +147,7 @@
 		c.queue = append(c.queue, q)
 	case fail:
 		c.stats.Refused++
-		c.fail(q.Token, cause.WithVerdict(verdict.NotRun))
+		c.fail(q.ID, cause.WithVerdict(verdict.NotRun))
 	case leave:
 	}
 }
--- a/internal/gateway/batching/fleet_bench_test.go
+++ b/internal/gateway/batching/fleet_bench_test.go
@@ -68,7 +68,7 @@
 	for i := range fleetGroupSize {
 		r.token++
 		items = append(items, batching.Item{
-			Token: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/fleetGroupSize), Index: i, Bytes: 8000,
+			ID: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/fleetGroupSize), Index: i, Bytes: 8000,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
 			DataCentre: []string{"", "d0", "d1", "d2", "d3", "d4", "d5"}[r.token/fleetGroupSize%7],
 		})
--- a/internal/gateway/batching/large_bench_test.go
+++ b/internal/gateway/batching/large_bench_test.go
@@ -69,7 +69,7 @@
 	for i := range largeGroup {
 		r.token++
 		items = append(items, batching.Item{
-			Token: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/largeGroup), Index: i, Bytes: 6000, Priority: r.token % 3,
+			ID: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/largeGroup), Index: i, Bytes: 6000, Priority: r.token % 3,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
 			DataCentre: fmt.Sprint("d", r.token/largeGroup%largeDataCentres),
 		})
--- a/internal/gateway/batching/order_test.go
+++ b/internal/gateway/batching/order_test.go
@@ -9,7 +9,7 @@
 
 // dueItem returns an item that is due some time after testNow.
 func dueItem(token ItemID, due time.Duration, priority int) *queuedItem {
-	return &queuedItem{Item: Item{Token: token, Due: testNow.Add(due), Priority: priority}}
+	return &queuedItem{Item: Item{ID: token, Due: testNow.Add(due), Priority: priority}}
 }
 
 func TestQueueOrder(t *testing.T) {
@@ -17,7 +17,7 @@
 	shouldGoFirst := func(first, second *queuedItem) {
 		queue := []*queuedItem{second, first}
 		sortQueue(queue, earliestEnd(testNow, testSpec()))
-		convey.So(queue[0].Token, convey.ShouldEqual, first.Token)
+		convey.So(queue[0].ID, convey.ShouldEqual, first.ID)
 	}
 	for _, c := range []struct {
 		name          string
@@ -39,7 +39,7 @@
 		queue := []*queuedItem{dueItem(1, onTime, 0), dueItem(2, onTime, 0), dueItem(3, onTime, 0)}
 		sortQueue(queue, earliestEnd(testNow, testSpec()))
 		for i, q := range queue {
-			convey.So(q.Token, convey.ShouldEqual, i+1)
+			convey.So(q.ID, convey.ShouldEqual, i+1)
 		}
 	})
 }
--- a/internal/gateway/batching/suspects_test.go
+++ b/internal/gateway/batching/suspects_test.go
@@ -30,9 +30,9 @@
 	var list []batching.Item
 	for _, request := range requests {
 		for _, item := range items(1, 4, 20*time.Second) {
-			item.Token = batching.ItemID(len(s.requests) + 1)
+			item.ID = batching.ItemID(len(s.requests) + 1)
 			item.Request = request
-			s.requests[item.Token] = request
+			s.requests[item.ID] = request
 			list = append(list, item)
 		}
 	}
@@ -81,7 +81,7 @@
 	}
 	outcomes := make([]batching.Outcome, len(e.Items))
 	for i, item := range e.Items {
-		outcomes[i].Handle = fmt.Sprint("result-", item.Token)
+		outcomes[i].Handle = fmt.Sprint("result-", item.ID)
 	}
 	return batching.Finished{Batch: e.Batch, Outcomes: outcomes}
 }
@@ -117,9 +117,9 @@
 		s.run("a")
 		list := items(1, 4, 20*time.Second)
 		for i := range list {
-			list[i].Token = batching.ItemID(100 + i)
+			list[i].ID = batching.ItemID(100 + i)
 			list[i].Request, list[i].Suspect = crashingRequest, true
-			s.requests[list[i].Token] = crashingRequest
+			s.requests[list[i].ID] = crashingRequest
 		}
 		effects := s.core.Handle(s.now, batching.Submit{Items: list})
 		for range 50 {
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -16,7 +16,7 @@
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
-		c.items[item.Token] = &pendingItem{group: g, index: i}
+		c.items[item.ID] = &pendingItem{group: g, index: i}
 	}
 	c.handle(batching.Submit{Items: items})
 }
@@ -25,7 +25,7 @@
 // are being read report that their read time later.
 func (c *coordinator) noteStarted(e batching.Send) {
 	for _, item := range e.Items {
-		p, known := c.items[item.Token]
+		p, known := c.items[item.ID]
 		if !known {
 			continue
 		}
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -71,7 +71,7 @@
 		token := last + 1 + batching.ItemID(i)
 		g.tokens = append(g.tokens, token)
 		items[i] = batching.Item{
-			Token: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
+			ID: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
 			Source: g.group.Source, Inputs: g.group.Inputs, Bytes: g.group.Bytes,
 			Due: g.group.Due, Deadline: g.group.Deadline, Priority: g.group.Priority,
 			DataCentre: g.group.DataCentre, Digest: g.group.Digest.Item(i),
