--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -241,10 +241,10 @@
 			}
 			o.inspected[e.Target.ID] = true
 		case batching.Resolve:
-			if !o.unresolved[e.Token] {
-				o.t.Fatalf("item %d was resolved twice or after it was withdrawn", e.Token)
+			if !o.unresolved[e.ItemID] {
+				o.t.Fatalf("item %d was resolved twice or after it was withdrawn", e.ItemID)
 			}
-			delete(o.unresolved, e.Token)
+			delete(o.unresolved, e.ItemID)
 			if e.Err == nil {
 				o.used[e.Result.Handle] = e.Result.Target
 				delete(o.unclaimed, e.Result.Handle)
@@ -417,7 +417,7 @@
 			effects := c.Handle(start.Add(2*time.Second), batching.Tick{})
 			convey.So(effects, convey.ShouldHaveLength, 8)
 			for i, e := range effects {
-				convey.So(e.(batching.Resolve).Token, convey.ShouldEqual, i+5)
+				convey.So(e.(batching.Resolve).ItemID, convey.ShouldEqual, i+5)
 			}
 		}
 	})
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -214,7 +214,7 @@
 
 // Resolve ends an item with a result or an error.
 type Resolve struct {
-	Token  ItemID
+	ItemID ItemID
 	Result Result
 	Err    *verdict.Error
 }
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -62,7 +62,7 @@
 	case Done:
 		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, sentAt: done.sentAt, expiresAt: now.Add(c.spec.ResultTTL)})
 		c.removeItem(item.ID)
-		c.emit(Resolve{Token: item.ID, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
+		c.emit(Resolve{ItemID: item.ID, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
 		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "target %s no longer has an input of the item", t.ID))
@@ -82,7 +82,7 @@
 // fail ends an item with an error.
 func (c *Core) fail(token ItemID, err *verdict.Error) {
 	c.removeItem(token)
-	c.emit(Resolve{Token: token, Err: err})
+	c.emit(Resolve{ItemID: token, Err: err})
 }
 
 // recordCrash records that the target of a batch, which may be stuck, crashed while it
--- a/internal/gateway/batching/suspects_test.go
+++ b/internal/gateway/batching/suspects_test.go
@@ -62,7 +62,7 @@
 }
 
 func (s *crashingService) resolve(e batching.Resolve) {
-	request := s.requests[e.Token]
+	request := s.requests[e.ItemID]
 	if e.Err != nil {
 		s.failures[request] = e.Err
 		return
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -42,11 +42,11 @@
 
 // resolve ends an item; the last one ends its group, and so does one that failed.
 func (c *coordinator) resolve(e batching.Resolve) {
-	p, known := c.items[e.Token]
+	p, known := c.items[e.ItemID]
 	if !known {
 		return
 	}
-	delete(c.items, e.Token)
+	delete(c.items, e.ItemID)
 	if e.Err != nil {
 		c.closeGroup(p.group, e.Err)
 		return
