--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -349,7 +349,7 @@
 			"withdraw": func(t *rapid.T) {
 				token := batching.ItemID(rapid.IntRange(1, o.next+1).Draw(t, "token"))
 				delete(o.unresolved, token)
-				o.handle(batching.Withdraw{Tokens: []batching.ItemID{token}})
+				o.handle(batching.Withdraw{ItemIDs: []batching.ItemID{token}})
 			},
 			"finish": func(t *rapid.T) {
 				if s, ok := o.oldestBatch(); ok {
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -178,7 +178,7 @@
 }
 
 func (c *Core) withdraw(ev Withdraw) {
-	for _, token := range ev.Tokens {
+	for _, token := range ev.ItemIDs {
 		c.removeItem(token)
 	}
 }
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -145,7 +145,7 @@
 
 // Withdraw removes items that are no longer wanted. The results of those in a batch are
 // discarded when it ends.
-type Withdraw struct{ Tokens []ItemID }
+type Withdraw struct{ ItemIDs []ItemID }
 
 // Finished reports the end of a batch.
 type Finished struct {
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -80,7 +80,7 @@
 		finished := g.finished()
 		g.results = nil
 		sendReleases(c.system, c.self, finished)
-		c.system.Root.Send(c.self, batching.Withdraw{Tokens: g.tokens})
+		c.system.Root.Send(c.self, batching.Withdraw{ItemIDs: g.tokens})
 	}
 	close(g.done)
 }
