--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -154,8 +154,8 @@
 	// as a failure. They are ignored if Err is set.
 	Outcomes []Outcome
 	Err      *verdict.Error
-	// Ended reports whether the target's process ended while it had the batch.
-	Ended bool
+	// TargetCrashed reports whether the target's process ended while it had the batch.
+	TargetCrashed bool
 }
 
 // Release ends the use of results that have been read or are not needed.
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -24,7 +24,7 @@
 	t.memory.endReservation()
 	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
 		t.recordFailure(now)
-		if ev.Ended {
+		if ev.TargetCrashed {
 			c.recordCrash(done)
 		}
 		c.retryItems(now, done, ev.Err)
--- a/internal/gateway/batching/suspects_test.go
+++ b/internal/gateway/batching/suspects_test.go
@@ -76,7 +76,7 @@
 		if item.Request == crashingRequest {
 			s.crashes++
 			lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
-			return batching.Finished{Batch: e.Batch, Err: lost, Ended: true}
+			return batching.Finished{Batch: e.Batch, Err: lost, TargetCrashed: true}
 		}
 	}
 	outcomes := make([]batching.Outcome, len(e.Items))
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -213,7 +213,7 @@
 		c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Int("items", len(e.Items)).
 			Dur("took", c.now().Sub(now)).Err(err).Msg("items: call failed")
 	}
-	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, Ended: c.noteEnd(e, now, err)}
+	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, TargetCrashed: c.noteEnd(e, now, err)}
 }
 
 // mayCall is asked just before the first byte of a batch is written.
