--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -113,7 +113,7 @@
 	case Release:
 		c.release(now, ev.Target, ev.Handles)
 	case Tick:
-		c.tickDelay = ev.Late
+		c.tickDelay = ev.Delay
 	}
 	if c.scanDue(now, ev) {
 		c.lastScan = now
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -182,9 +182,9 @@
 
 // Tick reports that time has passed.
 type Tick struct {
-	// Late is how much later than scheduled the core got the tick. Answers that arrived
+	// Delay is how much later than scheduled the core got the tick. Answers that arrived
 	// in the meantime may be as late.
-	Late time.Duration
+	Delay time.Duration
 }
 
 func (Configure) isEvent()  {}
--- a/internal/gateway/batching/fleet_test.go
+++ b/internal/gateway/batching/fleet_test.go
@@ -52,7 +52,7 @@
 		c := newCore(2)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		convey.So(first, convey.ShouldHaveLength, 1)
-		late := c.Handle(start.Add(stuck+500*time.Millisecond), batching.Tick{Late: 600 * time.Millisecond})
+		late := c.Handle(start.Add(stuck+500*time.Millisecond), batching.Tick{Delay: 600 * time.Millisecond})
 		convey.So(sends(late), convey.ShouldBeEmpty)
 		convey.Convey("its answer counts", func() {
 			now := start.Add(stuck + 510*time.Millisecond)
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -110,7 +110,7 @@
 		c.discards.flush()
 	case tick:
 		c.ticking = false
-		c.handle(batching.Tick{Late: max(c.now().Sub(msg.due), 0)})
+		c.handle(batching.Tick{Delay: max(c.now().Sub(msg.due), 0)})
 	case batching.Event:
 		c.handle(msg)
 	}
