--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -347,9 +347,9 @@
 				o.handle(batching.Submit{Items: list})
 			},
 			"withdraw": func(t *rapid.T) {
-				token := batching.ItemID(rapid.IntRange(1, o.next+1).Draw(t, "token"))
-				delete(o.unresolved, token)
-				o.handle(batching.Withdraw{ItemIDs: []batching.ItemID{token}})
+				id := batching.ItemID(rapid.IntRange(1, o.next+1).Draw(t, "token"))
+				delete(o.unresolved, id)
+				o.handle(batching.Withdraw{ItemIDs: []batching.ItemID{id}})
 			},
 			"finish": func(t *rapid.T) {
 				if s, ok := o.oldestBatch(); ok {
--- a/internal/gateway/batching/bench_test.go
+++ b/internal/gateway/batching/bench_test.go
@@ -21,18 +21,18 @@
 	c := batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 32, MaxNodes: 16})
 	c.Handle(now, batching.Configure{Service: service(), Targets: targets(benchTargets)})
 	var running []batching.Send
-	for token := 1; token <= benchQueue+4*benchTargets; token += benchGroup {
-		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, token)}))...)
+	for firstID := 1; firstID <= benchQueue+4*benchTargets; firstID += benchGroup {
+		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, firstID)}))...)
 	}
 	return c, running
 }
 
-func benchItems(now time.Time, token int) []batching.Item {
+func benchItems(now time.Time, firstID int) []batching.Item {
 	list := make([]batching.Item, benchGroup)
 	for i := range list {
 		list[i] = batching.Item{
-			ID: batching.ItemID(token + i), Request: "r", Index: i, Bytes: 100, Priority: token % 3,
-			Due: now.Add(2 * time.Second), Deadline: now.Add(10 * time.Second), DataCentre: fmt.Sprintf("d%d", token%benchTargets),
+			ID: batching.ItemID(firstID + i), Request: "r", Index: i, Bytes: 100, Priority: firstID % 3,
+			Due: now.Add(2 * time.Second), Deadline: now.Add(10 * time.Second), DataCentre: fmt.Sprintf("d%d", firstID%benchTargets),
 		}
 	}
 	return list
@@ -43,13 +43,13 @@
 func BenchmarkSubmitAndFinish(b *testing.B) {
 	now := start
 	c, running := newBenchCore(now)
-	token := benchQueue + 4*benchTargets + 1
+	firstID := benchQueue + 4*benchTargets + 1
 	b.ReportAllocs()
 	b.ResetTimer()
 	for b.Loop() {
 		now = now.Add(25 * time.Millisecond)
-		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, token)}))...)
-		token += benchGroup
+		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, firstID)}))...)
+		firstID += benchGroup
 		done := answered(running[0])
 		target := running[0].Target.Life()
 		running = append(running[1:], sends(c.Handle(now, done))...)
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -178,18 +178,18 @@
 }
 
 func (c *Core) withdraw(ev Withdraw) {
-	for _, token := range ev.ItemIDs {
-		c.removeItem(token)
+	for _, id := range ev.ItemIDs {
+		c.removeItem(id)
 	}
 }
 
 // removeItem drops an item and takes it out of the queue.
-func (c *Core) removeItem(token ItemID) {
-	q := c.items[token]
+func (c *Core) removeItem(id ItemID) {
+	q := c.items[id]
 	if q == nil {
 		return
 	}
-	delete(c.items, token)
+	delete(c.items, id)
 	if q.queued {
 		c.queue = slices.DeleteFunc(c.queue, func(other *queuedItem) bool { return other == q })
 	}
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -80,9 +80,9 @@
 }
 
 // fail ends an item with an error.
-func (c *Core) fail(token ItemID, err *verdict.Error) {
-	c.removeItem(token)
-	c.emit(Resolve{ItemID: token, Err: err})
+func (c *Core) fail(id ItemID, err *verdict.Error) {
+	c.removeItem(id)
+	c.emit(Resolve{ItemID: id, Err: err})
 }
 
 // recordCrash records that the target of a batch, which may be stuck, crashed while it
--- a/internal/gateway/batching/fleet_bench_test.go
+++ b/internal/gateway/batching/fleet_bench_test.go
@@ -25,7 +25,7 @@
 	core     *batching.Core
 	now      time.Time
 	interval time.Duration
-	token    int
+	lastID   int
 	running  map[batching.BatchID]runningBatch
 	used     map[string]bool
 }
@@ -66,11 +66,11 @@
 	r.now = r.now.Add(r.interval)
 	var items []batching.Item
 	for i := range fleetGroupSize {
-		r.token++
+		r.lastID++
 		items = append(items, batching.Item{
-			ID: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/fleetGroupSize), Index: i, Bytes: 8000,
+			ID: batching.ItemID(r.lastID), Request: fmt.Sprint("r", r.lastID/fleetGroupSize), Index: i, Bytes: 8000,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
-			DataCentre: []string{"", "d0", "d1", "d2", "d3", "d4", "d5"}[r.token/fleetGroupSize%7],
+			DataCentre: []string{"", "d0", "d1", "d2", "d3", "d4", "d5"}[r.lastID/fleetGroupSize%7],
 		})
 	}
 	r.handle(batching.Submit{Items: items})
--- a/internal/gateway/batching/large_bench_test.go
+++ b/internal/gateway/batching/large_bench_test.go
@@ -23,7 +23,7 @@
 type largeRun struct {
 	core       *batching.Core
 	now        time.Time
-	token      int
+	lastID     int
 	running    map[batching.BatchID]runningBatch
 	unreleased []batching.Release
 }
@@ -67,11 +67,11 @@
 	r.now = r.now.Add(largeInterval)
 	var items []batching.Item
 	for i := range largeGroup {
-		r.token++
+		r.lastID++
 		items = append(items, batching.Item{
-			ID: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/largeGroup), Index: i, Bytes: 6000, Priority: r.token % 3,
+			ID: batching.ItemID(r.lastID), Request: fmt.Sprint("r", r.lastID/largeGroup), Index: i, Bytes: 6000, Priority: r.lastID % 3,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
-			DataCentre: fmt.Sprint("d", r.token/largeGroup%largeDataCentres),
+			DataCentre: fmt.Sprint("d", r.lastID/largeGroup%largeDataCentres),
 		})
 	}
 	r.handle(batching.Submit{Items: items})
--- a/internal/gateway/batching/order_test.go
+++ b/internal/gateway/batching/order_test.go
@@ -8,8 +8,8 @@
 )
 
 // dueItem returns an item that is due some time after testNow.
-func dueItem(token ItemID, due time.Duration, priority int) *queuedItem {
-	return &queuedItem{Item: Item{ID: token, Due: testNow.Add(due), Priority: priority}}
+func dueItem(id ItemID, due time.Duration, priority int) *queuedItem {
+	return &queuedItem{Item: Item{ID: id, Due: testNow.Add(due), Priority: priority}}
 }
 
 func TestQueueOrder(t *testing.T) {
