--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -12,70 +12,72 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// queuedItem is an item that has no result yet, whether it waits in the queue or is
-// in a batch.
+// queuedItem is an item that has no result yet. It is in the queue, in at least one
+// batch, or both.
 type queuedItem struct {
 	Item
 	// attempts counts the batches that the item was part of.
 	attempts int
-	// running counts the batches that hold the item and have not ended or got stuck.
-	running int
-	// queued says that the item is in the queue.
+	// runningBatches counts the batches that hold the item and have neither ended nor
+	// become stuck.
+	runningBatches int
+	// queued reports whether the item is in the queue.
 	queued bool
-	// ends counts the targets that ended with the item.
-	ends int
+	// crashes counts the targets that crashed while they had the item.
+	crashes int
 }
 
-// Core assembles the batches of one service: it owns the queue, the running batches
-// and what is known of the targets, and applies the rules in the other files of the
-// package. Create it with New; it is not safe for concurrent use.
+// Core assembles the batches of one service. It owns the queue, the running batches and
+// the state of the targets, and applies the rules in the other files of the package.
+// Create it with New. It is not safe for concurrent use.
 type Core struct {
-	// spec is what the catalog says of the service's batches; nil before it is known.
+	// spec holds the batch parameters of the service; nil until the catalog is known.
 	spec *catalog.Batch
 	pool *pool
-	// items are all that have no result yet, queue those of them that wait.
-	items   map[Token]*queuedItem
-	queue   []*queuedItem
-	plans   plans
-	running map[BatchID]*batch
-	last    BatchID
-	// evacuated says that all targets are in evacuated data centres.
-	evacuated bool
-	// limits bound the calls to cold targets.
+	// items holds every item without a result, queue those of them that wait for a batch.
+	items     map[ItemID]*queuedItem
+	queue     []*queuedItem
+	plans     plans
+	running   map[BatchID]*batch
+	lastBatch BatchID
+	// allEvacuated reports whether all targets are in evacuated data centres.
+	allEvacuated bool
+	// limits bounds the calls to cold targets.
 	limits *warmup.Limits
-	// gate says what targets ask for.
+	// gate bounds the calls to targets that asked for fewer.
 	gate      Gate
 	budget    *retrybudget.Budget
 	retention retention
 	effects   []Effect
 	stats     Stats
-	// passed is when passTargets last ran.
-	passed time.Time
-	// late is how late the last tick was.
-	late time.Duration
+	// lastScan is when scanTargets last ran.
+	lastScan time.Time
+	// tickDelay is how late the last tick was.
+	tickDelay time.Duration
 }
 
-// passInterval is how often passTargets runs besides ticks at most: it looks at all
-// targets, 0.05 ms for a thousand, and a batch that got stuck is noticed as late as this.
-const passInterval = 10 * time.Millisecond
+// scanInterval is the minimum time between scans of all targets at events other than
+// ticks. A scan of a thousand targets takes 0.05 ms; a stuck batch is detected at most
+// this much late.
+const scanInterval = 10 * time.Millisecond
 
-// Stats count what a core did since it was created.
+// Stats counts what a core has done since it was created.
 type Stats struct {
 	Batches, Items, Expired, Retries, Refused int64
 }
 
-// Option changes a Core under construction.
+// Option configures a Core under construction.
 type Option func(*Core)
 
-// WithGate sets which targets may get a call; all by default.
+// WithGate sets the gate that bounds the calls to targets. By default nothing is bounded.
 func WithGate(g Gate) Option { return func(c *Core) { c.gate = g } }
 
 // New returns a core without targets.
 func New(budget retrybudget.Policy, opts ...Option) *Core {
 	c := &Core{
-		gate:    openGate{},
+		gate:    allowAllGate{},
 		pool:    newPool(),
-		items:   map[Token]*queuedItem{},
+		items:   map[ItemID]*queuedItem{},
 		running: map[BatchID]*batch{},
 		plans:   plans{},
 		limits:  warmup.New(),
@@ -87,8 +89,8 @@
 	return c
 }
 
-// Handle takes in an event at a time and returns what the shell must do. The effects
-// are valid until the next call.
+// Handle processes one event and returns the effects that the caller must carry out. The
+// effects are valid until the next call.
 func (c *Core) Handle(now time.Time, ev Event) []Effect {
 	c.effects = nil
 	switch ev := ev.(type) {
@@ -105,29 +107,29 @@
 	case Withdraw:
 		c.withdraw(ev)
 	case Finished:
-		c.finished(now, ev)
+		c.finishBatch(now, ev)
 	case Inspected:
-		c.inspected(now, ev)
+		c.recordInspection(now, ev)
 	case Release:
 		c.release(now, ev.Target, ev.Handles)
 	case Tick:
-		c.late = ev.Late
+		c.tickDelay = ev.Delay
 	}
-	if c.targetsDue(now, ev) {
-		c.passed = now
-		c.passTargets(now)
+	if c.scanDue(now, ev) {
+		c.lastScan = now
+		c.scanTargets(now)
 	}
-	c.passQueue(now)
-	c.inspectAgain(now)
+	c.expireQueue(now)
+	c.reinspect(now)
 	c.dispatch(now)
-	c.dropUnreachable(now)
+	c.dropUnschedulable(now)
 	return c.effects
 }
 
-// targetsDue says whether passTargets runs at an event.
-func (c *Core) targetsDue(now time.Time, ev Event) bool {
+// scanDue reports whether scanTargets runs at an event.
+func (c *Core) scanDue(now time.Time, ev Event) bool {
 	_, tick := ev.(Tick)
-	return tick || now.Sub(c.passed) >= passInterval
+	return tick || now.Sub(c.lastScan) >= scanInterval
 }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
@@ -136,25 +138,25 @@
 	if ev.Service != nil && ev.Service.Batch != nil {
 		c.spec = ev.Service.Batch
 	}
-	c.evacuated = ev.AllEvacuated
+	c.allEvacuated = ev.AllEvacuated
 	c.limits.SetBound(ev.WarmUp)
 	for _, t := range c.pool.targets {
 		t.listed = false
 	}
 	for _, t := range ev.Targets {
-		c.list(t)
+		c.addListed(t)
 	}
 	for _, t := range c.pool.targets {
 		if !t.listed {
 			t.usable = false
-			c.pool.sort(t)
+			c.pool.reclassify(t)
 		}
 	}
 	c.pool.prune()
 }
 
-// list takes in a target of the service's list.
-func (c *Core) list(listed directory.Target) {
+// addListed adds or updates a target from the service's target list.
+func (c *Core) addListed(listed directory.Target) {
 	t := c.pool.byLife[listed.Life()]
 	if t == nil {
 		t = newTarget(listed)
@@ -162,13 +164,13 @@
 	}
 	t.Target = listed
 	t.listed, t.usable = true, t.Open()
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 }
 
 func (c *Core) submit(now time.Time, ev Submit) {
 	for _, item := range ev.Items {
-		q := &queuedItem{Item: item, queued: true, ends: endsBefore(item)}
-		c.items[item.Token] = q
+		q := &queuedItem{Item: item, queued: true, crashes: priorCrashes(item)}
+		c.items[item.ID] = q
 		c.queue = append(c.queue, q)
 		c.plans.remove(item.Request, item.Stage)
 		c.budget.First(now)
@@ -176,18 +178,18 @@
 }
 
 func (c *Core) withdraw(ev Withdraw) {
-	for _, token := range ev.Tokens {
-		c.forget(token)
+	for _, id := range ev.ItemIDs {
+		c.removeItem(id)
 	}
 }
 
-// forget drops an item, also from the queue.
-func (c *Core) forget(token Token) {
-	q := c.items[token]
+// removeItem drops an item and takes it out of the queue.
+func (c *Core) removeItem(id ItemID) {
+	q := c.items[id]
 	if q == nil {
 		return
 	}
-	delete(c.items, token)
+	delete(c.items, id)
 	if q.queued {
 		c.queue = slices.DeleteFunc(c.queue, func(other *queuedItem) bool { return other == q })
 	}
@@ -200,67 +202,70 @@
 	}
 	for _, h := range handles {
 		if r, known := t.memory.stored[h]; known {
-			c.retention.learn(now, r)
+			c.retention.observe(now, r)
 		}
 		t.memory.release(h)
 	}
 	c.emit(Discard{Target: t.Target, Handles: handles})
 }
 
-// passQueue drops plans whose time is over and items that cannot finish.
-func (c *Core) passQueue(now time.Time) {
+// expireQueue drops expired plans, and fails queued items that cannot finish before their
+// deadline.
+func (c *Core) expireQueue(now time.Time) {
 	c.plans.expire(now)
-	if c.evacuated {
-		c.failUnservable()
+	if c.allEvacuated {
+		c.failEvacuated()
 	}
 	for _, q := range slices.Clone(c.queue) {
-		if q.running == 0 && !canFinish(now, c.spec, q.Deadline) {
+		if q.runningBatches == 0 && !canFinish(now, c.spec, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline"))
 		}
 	}
 }
 
-// passTargets drops results whose time is over and gives up batches that are stuck, in
-// the order of the targets, and notes how the learnt speeds have aged.
-func (c *Core) passTargets(now time.Time) {
+// scanTargets drops expired results and handles stuck batches, in the order of the
+// targets, and updates the speed classes, which change as slowdowns decay.
+func (c *Core) scanTargets(now time.Time) {
 	c.pool.examined += len(c.pool.targets)
 	for _, t := range c.pool.targets {
 		t.memory.expire(now)
-		t.speed = speedClass(t.slowdown.at(now))
+		t.speedClass = speedClassOf(t.slowdown.at(now))
 	}
-	c.pool.rest(now)
+	c.pool.expireIdle(now)
 	for _, t := range c.pool.targets {
-		if b := t.running; b != nil && b.becomesStuck(now, c.late) {
-			c.giveUp(now, b)
+		if b := t.running; b != nil && b.becomesStuck(now, c.tickDelay) {
+			c.markStuck(now, b)
 		}
 	}
 }
 
-// failUnservable fails what waits while all targets are in evacuated data centres:
-// nobody knows when one is taken back, and the callers get a time to retry after.
-func (c *Core) failUnservable() {
+// failEvacuated fails the items that are in no batch while all targets are in evacuated
+// data centres. Nobody knows when a data centre will be taken back, so callers get a time
+// to retry after instead of waiting.
+func (c *Core) failEvacuated() {
 	for _, q := range slices.Clone(c.queue) {
-		if q.running == 0 {
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of the service are evacuated"))
+		if q.runningBatches == 0 {
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of the service are evacuated"))
 		}
 	}
 }
 
-// dropUnreachable fails the past-due items whose turn will not come in time.
-func (c *Core) dropUnreachable(now time.Time) {
+// dropUnschedulable fails the past-due items that cannot be in a batch before their
+// deadline.
+func (c *Core) dropUnschedulable(now time.Time) {
 	if c.spec == nil {
 		return
 	}
 	earliest := earliestEnd(now, c.spec)
 	rate := sync.OnceValue(func() capacity { return c.capacity(now) })
-	for before, q := range slices.Clone(c.queue) {
-		if q.running == 0 && q.pastDue(earliest) && !turnComesInTime(now, c.spec, rate(), before, q.Deadline) {
+	for ahead, q := range slices.Clone(c.queue) {
+		if q.runningBatches == 0 && q.pastDue(earliest) && !canStartInTime(now, c.spec, rate(), ahead, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the %d items before it leave no time", before))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot finish before its deadline behind %d others", ahead))
 		}
 	}
 }
 
-// Idle says whether nothing waits and nothing runs.
+// Idle reports whether the queue is empty and no batch is running.
 func (c *Core) Idle() bool { return len(c.queue) == 0 && len(c.running) == 0 }
--- a/internal/gateway/batching/deadline_test.go
+++ b/internal/gateway/batching/deadline_test.go
@@ -12,27 +12,27 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-func TestItemThatCannotFinishBeforeItsDeadlineIsFound(t *testing.T) {
+func TestCanFinish(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		spec *catalog.Batch
 		left time.Duration
 		want bool
 	}{
-		{"An item with the time of a batch of one left can finish", testSpec(), 260 * time.Millisecond, true},
-		{"With less it cannot", testSpec(), 260*time.Millisecond - 1, false},
-		{"Before the catalog is known any time left is enough", nil, 0, true},
-		{"but a deadline that is over is not", nil, -1, false},
+		{"An item can finish in the duration of a batch of one", testSpec(), 260 * time.Millisecond, true},
+		{"An item cannot finish in less", testSpec(), 260*time.Millisecond - 1, false},
+		{"Without a catalog any remaining time is enough", nil, 0, true},
+		{"but a deadline that has passed is not", nil, -1, false},
 	} {
 		convey.Convey(c.name, t, func() {
-			convey.So(canFinish(noon, c.spec, noon.Add(c.left)), convey.ShouldEqual, c.want)
+			convey.So(canFinish(testNow, c.spec, testNow.Add(c.left)), convey.ShouldEqual, c.want)
 		})
 	}
 }
 
-// TestTurnComesInTime goes through when a past-due item is given up before its deadline:
-// the targets take 20 items a second from 100 ms on, and a batch of one takes 260 ms.
-func TestTurnComesInTime(t *testing.T) {
+// TestCanStartInTime covers when a past-due item is dropped before its deadline: the
+// targets process 20 items per second from 100 ms on, and a batch of one takes 260 ms.
+func TestCanStartInTime(t *testing.T) {
 	rate := capacity{itemsPerSecond: 20, firstIdle: 100 * time.Millisecond}
 	for _, c := range []struct {
 		name   string
@@ -42,31 +42,31 @@
 		want   bool
 	}{
 		{"The first item needs an idle target and a batch", rate, 0, 360 * time.Millisecond, true},
-		{"With less time it is given up", rate, 0, 360*time.Millisecond - 1, false},
-		{"One behind ten others needs half a second more", rate, 10, 860 * time.Millisecond, true},
-		{"and is given up with less", rate, 10, 860*time.Millisecond - 1, false},
+		{"With less time it is dropped", rate, 0, 360*time.Millisecond - 1, false},
+		{"An item behind ten others needs half a second more", rate, 10, 860 * time.Millisecond, true},
+		{"and is dropped with less", rate, 10, 860*time.Millisecond - 1, false},
 		{"Without a rate it waits", capacity{}, 10, 0, true},
 	} {
 		convey.Convey(c.name, t, func() {
-			convey.So(turnComesInTime(noon, testSpec(), c.rate, c.before, noon.Add(c.left)), convey.ShouldEqual, c.want)
+			convey.So(canStartInTime(testNow, testSpec(), c.rate, c.before, testNow.Add(c.left)), convey.ShouldEqual, c.want)
 		})
 	}
 }
 
-// TestPastDueItemsAreGivenUp holds that past-due items end as soon as their turn cannot
-// come, while those that are on time wait.
-func TestPastDueItemsAreGivenUp(t *testing.T) {
+// TestUnschedulableItemsAreDropped checks that past-due items fail as soon as they cannot
+// start in time, while items that are on time wait.
+func TestUnschedulableItemsAreDropped(t *testing.T) {
 	submit := func(due time.Duration) []Effect {
 		c := New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second})
-		c.Handle(noon, Configure{Service: &catalog.Service{Name: "s", Batch: testSpec()}, Targets: []directory.Target{{ID: "t"}}})
-		c.Handle(noon, Inspected{Target: directory.Life{ID: "t"}, Report: Report{FreeBytes: 1000}})
+		c.Handle(testNow, Configure{Service: &catalog.Service{Name: "s", Batch: testSpec()}, Targets: []directory.Target{{ID: "t"}}})
+		c.Handle(testNow, Inspected{Target: directory.Life{ID: "t"}, Report: Report{FreeBytes: 1000}})
 		var items []Item
 		for i := range 30 {
 			items = append(items, Item{
-				Token: Token(i), Request: "r", Stage: i, Bytes: 10, Due: noon.Add(due), Deadline: noon.Add(time.Second),
+				ID: ItemID(i), Request: "r", Stage: i, Bytes: 10, Due: testNow.Add(due), Deadline: testNow.Add(time.Second),
 			})
 		}
-		return c.Handle(noon, Submit{Items: items})
+		return c.Handle(testNow, Submit{Items: items})
 	}
 	givenUp := func(effects []Effect) int {
 		n := 0
@@ -77,10 +77,10 @@
 		}
 		return n
 	}
-	convey.Convey("Of 30 past-due items with a second left those are given up that cannot be reached", t, func() {
+	convey.Convey("Of 30 past-due items with a second left, those that cannot start in time are dropped", t, func() {
 		convey.So(givenUp(submit(0)), convey.ShouldBeBetween, 15, 30)
 	})
-	convey.Convey("None that is on time is", t, func() {
+	convey.Convey("No item that is on time is dropped", t, func() {
 		convey.So(givenUp(submit(time.Second)), convey.ShouldEqual, 0)
 	})
 }
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -4,55 +4,57 @@
 	"time"
 )
 
-// maxInspecting bounds the inspections of spare targets that run at once: each takes some
-// 4 ms, most of it a new connection, so that a coordinator begins with thousands of
-// targets a second; many more at once take it longer than inspectTimeout to read.
-const maxInspecting = 32
+// maxConcurrentInspections bounds the inspections of spare targets that run at once. An
+// inspection takes about 4 ms, most of it for a new connection, so a coordinator can put
+// thousands of targets per second into use. It could not read the answers to many more at
+// once within inspectTimeout.
+const maxConcurrentInspections = 32
 
-// dispatch starts batches as long as there are items and targets that may take them.
+// dispatch starts batches as long as there are queued items and eligible targets.
 //
-// A target that took nothing speaks for the others in its data centre that have no more
-// memory: items differ for them by nothing else. Without that each item that waits for a
-// target near it was offered to all idle targets elsewhere at each event.
+// A target that takes no item rules out the others in its data centre that have no more
+// free memory, since nothing else makes a difference to which items fit. Otherwise each
+// item that waits for a local target would be checked against all idle targets elsewhere
+// at each event.
 func (c *Core) dispatch(now time.Time) {
 	if c.spec == nil || len(c.queue) == 0 {
 		return
 	}
 	sortQueue(c.queue, earliestEnd(now, c.spec))
-	near := newNearness(now, c.spec, c.pool)
-	inVain := map[string]int64{}
+	loc := newLocality(now, c.spec, c.pool)
+	declined := map[string]int64{}
 	list := c.pool.candidates(now)
 	for len(list) > 0 && len(c.queue) > 0 {
 		var t *target
 		c.pool.examined += len(list)
-		t, list = takeNext(list)
-		if memory, tried := inVain[t.DataCentre]; tried && t.available(now, c.spec) <= memory {
+		t, list = popBest(list)
+		if memory, tried := declined[t.DataCentre]; tried && t.available(now, c.spec) <= memory {
 			continue
 		}
-		if c.pool.fasterTakeAll(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, coordinates) || !c.gate.Allows(t.Life()) {
+		if c.pool.fasterTargetsSuffice(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, isCoordinator) || !c.gate.Allows(t.Life()) {
 			continue
 		}
-		if c.start(near, t) {
-			near.forget()
-			clear(inVain)
+		if c.startBatch(loc, t) {
+			loc.reset()
+			clear(declined)
 			continue
 		}
-		inVain[t.DataCentre] = t.available(now, c.spec)
+		declined[t.DataCentre] = t.available(now, c.spec)
 	}
-	c.inspectSpares(near)
+	c.inspectSpares(loc)
 }
 
-// coordinates is why the core gives out the calls of cold targets: it assembles all
-// batches of its service.
-func coordinates() bool { return true }
+// isCoordinator tells the warm-up limits that this core may use the allowance of cold
+// targets. It always may, since it assembles all batches of its service.
+func isCoordinator() bool { return true }
 
-// start sends a target a batch of the first items of the queue that fit; false when none
-// do.
-func (c *Core) start(near *nearness, t *target) bool {
-	now := near.now
-	filling := newFilling(near, t)
-	filling.suspects.running = c.running
-	taken, rest := filling.split(c.queue)
+// startBatch sends a target the first items of the queue that fit into a batch. It
+// returns false when none fit.
+func (c *Core) startBatch(loc *locality, t *target) bool {
+	now := loc.now
+	filler := newBatchFiller(loc, t)
+	filler.suspects.running = c.running
+	taken, rest := filler.selectItems(c.queue)
 	if len(taken) == 0 {
 		return false
 	}
@@ -60,116 +62,121 @@
 	items := make([]Item, len(taken))
 	for i, q := range taken {
 		q.queued = false
-		q.running++
+		q.runningBatches++
 		q.attempts++
 		items[i] = q.Item
 	}
 	n := len(items)
-	expected := t.expected(now, c.spec, n)
-	c.last++
+	expected := t.expectedDuration(now, c.spec, n)
+	c.lastBatch++
 	b := &batch{
-		id: c.last, target: t, items: items, started: now, planned: planned(c.spec, n),
+		id: c.lastBatch, target: t, items: items, sentAt: now, nominal: nominalDuration(c.spec, n),
 		expectedEnd: now.Add(expected), stuckAt: now.Add(stuckAfter(expected)),
 	}
 	c.running[b.id] = b
 	t.running = b
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 	t.memory.reserve(items)
 	c.limits.Sent(now, t.Target)
 	c.gate.Take(t.Life())
 	c.stats.Batches++
 	c.stats.Items += int64(n)
-	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: timeout(expected), TargetIdle: t.answered})
+	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: sendTimeout(expected), TargetIdle: t.lastBatchAnswered})
 	return true
 }
 
-// inspectSpares has spare targets inspected for the groups that found no target: one for
-// each group, in its data centre where there is one, else, unless a target there takes
-// the group in time, where most are spare.
+// inspectSpares requests inspections of spare targets for the groups that found no
+// target, one per group. It is in the group's own data centre if that has targets that
+// were not inspected; otherwise, unless a local target can take the group in time, where
+// most targets are spare.
 //
-// Too few leave groups waiting for some milliseconds more; too many cost a call and a
-// connection each.
-func (c *Core) inspectSpares(near *nearness) {
-	spare, asked := 0, 0
-	for _, place := range c.pool.places {
-		spare += len(place.spare.targets)
-		asked += len(place.asked.targets)
-	}
-	if spare == 0 || asked >= maxInspecting {
-		// A full service has a long queue, which need not be looked through at each event.
+// Too few inspections leave groups waiting for some milliseconds more; too many cost a
+// call and a connection each.
+func (c *Core) inspectSpares(loc *locality) {
+	spare, inspecting := 0, 0
+	for _, dc := range c.pool.dataCentres {
+		spare += len(dc.spare.targets)
+		inspecting += len(dc.inspecting.targets)
+	}
+	if spare == 0 || inspecting >= maxConcurrentInspections {
+		// With all targets in use the queue is long and not worth traversing at each
+		// event.
 		return
 	}
-	wanted := map[*place]int{}
-	for _, q := range firstOfGroups(c.queue) {
-		if place := c.pool.spareFor(near, q); place != nil {
-			wanted[place]++
+	wanted := map[*dataCentreTargets]int{}
+	for _, q := range firstPerGroup(c.queue) {
+		if dc := c.pool.dataCentreToInspect(loc, q); dc != nil {
+			wanted[dc]++
 		}
 	}
 	unmet := 0
-	for _, place := range c.pool.places {
-		n := min(wanted[place]-len(place.asked.targets), maxInspecting-asked, len(place.spare.targets))
+	for _, dc := range c.pool.dataCentres {
+		n := min(wanted[dc]-len(dc.inspecting.targets), maxConcurrentInspections-inspecting, len(dc.spare.targets))
 		for range n {
-			if !c.inspectSpare(place) {
+			if !c.inspectSpare(dc) {
 				unmet++
 				continue
 			}
-			asked++
+			inspecting++
 		}
 	}
-	// Other data centres stand in for one whose spare targets may get no call.
-	for _, place := range c.pool.places {
-		for unmet > 0 && asked < maxInspecting && c.inspectSpare(place) {
+	// Make up for inspections that the gate denied with spare targets in any data centre.
+	for _, dc := range c.pool.dataCentres {
+		for unmet > 0 && inspecting < maxConcurrentInspections && c.inspectSpare(dc) {
 			unmet--
-			asked++
+			inspecting++
 		}
 	}
 }
 
-// inspectSpare has one spare target of a data centre inspected; false when none may get a
-// call.
-func (c *Core) inspectSpare(p *place) bool {
-	for i := len(p.spare.targets) - 1; i >= 0; i-- {
-		t := p.spare.targets[i]
+// inspectSpare requests the inspection of one spare target of a data centre. It returns
+// false when the gate allows no call to any of them.
+func (c *Core) inspectSpare(dc *dataCentreTargets) bool {
+	for i := len(dc.spare.targets) - 1; i >= 0; i-- {
+		t := dc.spare.targets[i]
 		if !c.gate.Take(t.Life()) {
 			continue
 		}
 		t.inspection.running = true
-		c.pool.sort(t)
+		c.pool.reclassify(t)
 		c.emit(Inspect{Target: t.Target})
 		return true
 	}
 	return false
 }
 
-// spareFor returns the data centre in which a group needs a spare target; nil for none.
-func (p *pool) spareFor(near *nearness, q *queuedItem) *place {
-	own := p.byPlace[q.DataCentre]
+// dataCentreToInspect returns the data centre in which to inspect a spare target for a
+// group; nil for none.
+func (p *pool) dataCentreToInspect(loc *locality, q *queuedItem) *dataCentreTargets {
+	own := p.byDataCentre[q.DataCentre]
 	switch {
-	case own != nil && own.unknown() > 0:
+	case own != nil && own.uninspected() > 0:
 		return own
-	case q.DataCentre != "" && near.takesInTime(q):
+	case q.DataCentre != "" && loc.localInTime(q):
 		return nil
 	}
-	return p.sparest()
+	return p.mostSpare()
 }
 
-// sparest returns the data centre with most spare targets; nil without data centres.
-func (p *pool) sparest() *place {
-	var most *place
-	for _, place := range p.places {
-		if most == nil || len(place.spare.targets) > len(most.spare.targets) {
-			most = place
+// mostSpare returns the data centre with the most spare targets; nil if there are no data
+// centres.
+func (p *pool) mostSpare() *dataCentreTargets {
+	var most *dataCentreTargets
+	for _, dc := range p.dataCentres {
+		if most == nil || len(dc.spare.targets) > len(most.spare.targets) {
+			most = dc
 		}
 	}
 	return most
 }
 
-// inspectAgain has known targets inspected whose turn it is, while there is work for them.
-func (c *Core) inspectAgain(now time.Time) {
+// reinspect requests the inspections that are due at idle and busy targets, as long as
+// items are queued.
+func (c *Core) reinspect(now time.Time) {
 	if c.spec == nil || len(c.queue) == 0 {
 		return
 	}
-	for _, list := range c.pool.known() {
+	for _, list := range c.pool.inspectedLists() {
 		c.pool.examined += len(list.targets)
 		for _, t := range list.targets {
 			if t.inspection.due(now) && c.gate.Take(t.Life()) {
@@ -180,25 +187,25 @@
 	}
 }
 
-// inspected takes in what a target reports, or that it gave no answer.
-func (c *Core) inspected(now time.Time, ev Inspected) {
+// recordInspection records a target's report, or that it gave none.
+func (c *Core) recordInspection(now time.Time, ev Inspected) {
 	t := c.pool.byLife[ev.Target]
 	if t == nil {
 		return
 	}
-	if !t.inspection.answered {
+	if !t.inspection.completed {
 		t.idleSince = now
 	}
 	if ev.Err != nil {
-		t.inspection.failed()
+		t.inspection.recordFailure()
 	} else {
-		t.inspection.reported(now, ev.Report, c.spec, ownWork{running: t.running != nil, bytes: t.memory.used()})
+		t.inspection.recordReport(now, ev.Report, c.spec, ownWork{running: t.running != nil, bytes: t.memory.used()})
 	}
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 }
 
-// firstOfGroups returns the first item of each group of a queue, in its order.
-func firstOfGroups(queue []*queuedItem) []*queuedItem {
+// firstPerGroup returns the first item of each group, in the order of the queue.
+func firstPerGroup(queue []*queuedItem) []*queuedItem {
 	seen := make(map[groupKey]bool, len(queue))
 	var first []*queuedItem
 	for _, q := range queue {
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -9,9 +9,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// finished takes in the end of a batch, also of one that got stuck before. An answer
-// that is not for the items that were sent counts as a failure.
-func (c *Core) finished(now time.Time, ev Finished) {
+// finishBatch handles the end of a batch, including one that became stuck. An answer with
+// a different number of outcomes than items were sent counts as a failure.
+func (c *Core) finishBatch(now time.Time, ev Finished) {
 	done := c.running[ev.Batch]
 	if done == nil {
 		return
@@ -20,24 +20,24 @@
 	t := done.target
 	t.running = nil
 	t.idleSince = now
-	c.pool.sort(t)
+	c.pool.reclassify(t)
 	t.memory.endReservation()
 	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
-		t.failed(now)
-		if ev.Ended {
-			c.countEnd(done)
+		t.recordFailure(now)
+		if ev.TargetCrashed {
+			c.recordCrash(done)
 		}
 		c.retryItems(now, done, ev.Err)
 		return
 	}
-	t.backoff.answered()
-	t.answered = true
-	t.slowdown.learn(now, now.Sub(done.started), done.planned)
-	t.speed = speedClass(t.slowdown.at(now))
-	c.clear(done)
+	t.backoff.recordSuccess()
+	t.lastBatchAnswered = true
+	t.slowdown.observe(now, now.Sub(done.sentAt), done.nominal)
+	t.speedClass = speedClassOf(t.slowdown.at(now))
+	c.clearCrashes(done)
 	var unused []string
 	for i, out := range ev.Outcomes {
-		if !c.settle(now, done, done.items[i], out) && out.Handle != "" {
+		if !c.applyOutcome(now, done, done.items[i], out) && out.Handle != "" {
 			unused = append(unused, out.Handle)
 		}
 	}
@@ -46,98 +46,99 @@
 	}
 }
 
-// settle takes in the outcome of one item and says whether its result is used. An
-// item whose input is gone or whose time is over at the target is not retried: no
-// target could compute it.
-func (c *Core) settle(now time.Time, done *batch, item Item, out Outcome) bool {
+// applyOutcome applies the outcome of one item and reports whether its result is used. An
+// item is not retried if an input is gone or if its deadline passed at the target, since
+// no other target could compute it.
+func (c *Core) applyOutcome(now time.Time, done *batch, item Item, out Outcome) bool {
 	t := done.target
-	q := c.items[item.Token]
+	q := c.items[item.ID]
 	if q == nil {
 		return false
 	}
 	if !done.stuck {
-		q.running--
+		q.runningBatches--
 	}
 	switch out.Status {
 	case Done:
-		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, since: done.started, expires: now.Add(c.spec.ResultTTL)})
-		c.forget(item.Token)
-		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
+		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, sentAt: done.sentAt, expiresAt: now.Add(c.spec.ResultTTL)})
+		c.removeItem(item.ID)
+		c.emit(Resolve{ItemID: item.ID, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input is gone at %s", t.ID))
+		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "target %s no longer has an input of the item", t.ID))
 	case PastDeadline:
 		c.stats.Expired++
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
+		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline had passed when target %s reached the item", t.ID))
 	case NoMemory:
-		t.backoff.noMemory(now)
-		t.inspection.again(now)
-		c.requeue(now, q, verdict.New(verdict.NotRun, verdict.ReasonOverload, "%s had no room", t.ID))
+		t.backoff.recordNoMemory(now)
+		t.inspection.inspectNow(now)
+		c.requeue(now, q, verdict.New(verdict.NotRun, verdict.ReasonOverload, "target %s had no memory for the result", t.ID))
 	case Failed:
-		c.requeue(now, q, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s failed", t.ID))
+		c.requeue(now, q, verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "target %s failed to compute the result", t.ID))
 	}
 	return false
 }
 
 // fail ends an item with an error.
-func (c *Core) fail(token Token, err *verdict.Error) {
-	c.forget(token)
-	c.emit(Resolve{Token: token, Err: err})
+func (c *Core) fail(id ItemID, err *verdict.Error) {
+	c.removeItem(id)
+	c.emit(Resolve{ItemID: id, Err: err})
 }
 
-// countEnd notes that the target of a batch ended with its items, also of one that got
-// stuck before. A group fails as a whole with an item that ends its targets: what of it
-// waits is not sent first.
-func (c *Core) countEnd(ended *batch) {
+// recordCrash records that the target of a batch, which may be stuck, crashed while it
+// had the items. If an item has crashed too many targets, its whole group fails, so that
+// the queued items of the group are not sent first.
+func (c *Core) recordCrash(ended *batch) {
 	for _, item := range ended.items {
-		q := c.items[item.Token]
+		q := c.items[item.ID]
 		if q == nil {
 			continue
 		}
-		q.ends++
-		if q.endsTargets() {
+		q.crashes++
+		if q.crashesTargets() {
 			c.failGroup(q.group())
 		}
 	}
 }
 
-// failGroup fails the items of a group because they end their targets.
+// failGroup fails the items of a group because they crash targets.
 func (c *Core) failGroup(group groupKey) {
-	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.Token, b.Token) }) {
+	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.ID, b.ID) }) {
 		if q.group() == group {
 			c.stats.Refused++
-			c.fail(q.Token, errEndsTargets())
+			c.fail(q.ID, errCrashesTargets())
 		}
 	}
 }
 
-// clear notes that the target of a batch outlived its items.
-func (c *Core) clear(answered *batch) {
+// clearCrashes resets the crash counts of a batch's items, since its target survived
+// them.
+func (c *Core) clearCrashes(answered *batch) {
 	for _, item := range answered.items {
-		if q := c.items[item.Token]; q != nil {
-			q.ends = 0
+		if q := c.items[item.ID]; q != nil {
+			q.crashes = 0
 		}
 	}
 }
 
-// retryItems takes the items of a batch that failed or is stuck out of it, and retries
-// them; those of a batch that got stuck before have been.
+// retryItems takes the items out of a failed or stuck batch and retries them. Those of a
+// batch that became stuck earlier were retried then.
 func (c *Core) retryItems(now time.Time, failed *batch, err *verdict.Error) {
 	if failed.stuck {
 		return
 	}
 	if err == nil {
-		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s answered for other items", failed.target.ID)
+		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "target %s answered with another number of items than were sent", failed.target.ID)
 	}
 	for _, item := range failed.items {
-		if q := c.items[item.Token]; q != nil {
-			q.running--
+		if q := c.items[item.ID]; q != nil {
+			q.runningBatches--
 			c.requeue(now, q, err)
 		}
 	}
 }
 
-// requeue queues an item again, or fails it with a cause, by the rule of retries.
+// requeue puts an item back into the queue, or fails it with cause, as decideRetry says.
 func (c *Core) requeue(now time.Time, q *queuedItem, cause *verdict.Error) {
 	switch decideRetry(q, func() bool { return c.budget.Spend(now) }) {
 	case retry:
@@ -146,15 +147,15 @@
 		c.queue = append(c.queue, q)
 	case fail:
 		c.stats.Refused++
-		c.fail(q.Token, cause.WithVerdict(verdict.NotRun))
+		c.fail(q.ID, cause.WithVerdict(verdict.NotRun))
 	case leave:
 	}
 }
 
-// giveUp takes in that a batch is stuck.
-func (c *Core) giveUp(now time.Time, b *batch) {
-	b.target.failed(now)
-	b.target.slowdown.learn(now, now.Sub(b.started), b.planned)
-	c.retryItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "%s did not answer", b.target.ID))
+// markStuck marks a batch as stuck and retries its items.
+func (c *Core) markStuck(now time.Time, b *batch) {
+	b.target.recordFailure(now)
+	b.target.slowdown.observe(now, now.Sub(b.sentAt), b.nominal)
+	c.retryItems(now, b, verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "target %s did not answer in time", b.target.ID))
 	b.stuck = true
 }
--- a/internal/gateway/batching/fleet_bench_test.go
+++ b/internal/gateway/batching/fleet_bench_test.go
@@ -11,30 +11,31 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// A service of a whole fleet: far more targets than its load needs, in six data centres.
-// Groups come as fast as eighty busy targets answer them; twice the fleet has twice of all.
+// A service with the targets of a whole fleet, far more than its load needs, in six data
+// centres. Groups arrive as fast as eighty busy targets process them. Twice the targets
+// get twice the load.
 const (
 	fleetTargets   = 1152
-	fleetGroups    = 313 // a second
+	fleetGroups    = 313 // per second
 	fleetGroupSize = 3
 )
 
-// fleetRun is a core with the batches that run.
+// fleetRun is a core with its running batches.
 type fleetRun struct {
-	core    *batching.Core
-	now     time.Time
-	step    time.Duration
-	token   int
-	running map[batching.BatchID]endingBatch
-	used    map[string]bool
+	core     *batching.Core
+	now      time.Time
+	interval time.Duration
+	lastID   int
+	running  map[batching.BatchID]runningBatch
+	used     map[string]bool
 }
 
-// newFleetRun returns a run over some targets, with so many groups a second.
+// newFleetRun returns a run with a number of targets and of groups per second.
 func newFleetRun(targets, groups int) *fleetRun {
 	r := &fleetRun{
 		core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 1000, MaxNodes: 16}),
-		now:  start, step: time.Second / time.Duration(groups),
-		running: map[batching.BatchID]endingBatch{}, used: map[string]bool{},
+		now:  start, interval: time.Second / time.Duration(groups),
+		running: map[batching.BatchID]runningBatch{}, used: map[string]bool{},
 	}
 	var list []directory.Target
 	for i := range targets {
@@ -53,28 +54,28 @@
 		case batching.Send:
 			r.used[e.Target.ID] = true
 			took := 242*time.Millisecond + time.Duration(len(e.Items))*15*time.Millisecond
-			r.running[e.Batch] = endingBatch{Send: e, ends: r.now.Add(took)}
+			r.running[e.Batch] = runningBatch{Send: e, endsAt: r.now.Add(took)}
 		case batching.Inspect:
 			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 17_000_000}})
 		}
 	}
 }
 
-// next submits a group and ends the batches that are due, whose results are released.
-func (r *fleetRun) next() {
-	r.now = r.now.Add(r.step)
+// step submits a group, finishes the batches that have ended and releases their results.
+func (r *fleetRun) step() {
+	r.now = r.now.Add(r.interval)
 	var items []batching.Item
 	for i := range fleetGroupSize {
-		r.token++
+		r.lastID++
 		items = append(items, batching.Item{
-			Token: batching.Token(r.token), Request: fmt.Sprint("r", r.token/fleetGroupSize), Index: i, Bytes: 8000,
+			ID: batching.ItemID(r.lastID), Request: fmt.Sprint("r", r.lastID/fleetGroupSize), Index: i, Bytes: 8000,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
-			DataCentre: []string{"", "d0", "d1", "d2", "d3", "d4", "d5"}[r.token/fleetGroupSize%7],
+			DataCentre: []string{"", "d0", "d1", "d2", "d3", "d4", "d5"}[r.lastID/fleetGroupSize%7],
 		})
 	}
 	r.handle(batching.Submit{Items: items})
 	for id, b := range r.running {
-		if r.now.Before(b.ends) {
+		if r.now.Before(b.endsAt) {
 			continue
 		}
 		delete(r.running, id)
@@ -88,19 +89,19 @@
 	}
 }
 
-// BenchmarkFleetService is a coordinator's part of one group of a service with the targets
-// of a whole fleet, and of twice that: its submission, the end of a batch and the release
+// BenchmarkFleetService measures a coordinator's cost of one group, with the targets of a
+// whole fleet and with twice as many: its submission, the end of a batch and the release
 // of its results.
 func BenchmarkFleetService(b *testing.B) {
 	for _, x := range []int{1, 2} {
 		b.Run(fmt.Sprint(fleetTargets*x, " targets"), func(b *testing.B) {
 			r := newFleetRun(fleetTargets*x, fleetGroups*x)
 			for range 600 {
-				r.next()
+				r.step()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				r.next()
+				r.step()
 			}
 			s := r.core.State(r.now)
 			b.ReportMetric(float64(len(r.used)), "used")
--- a/internal/gateway/batching/inspection.go
+++ b/internal/gateway/batching/inspection.go
@@ -7,94 +7,95 @@
 )
 
 const (
-	// busyInspection is how long after a target was found busy with the batch of another
-	// coordinator it is inspected again: less than a third of the shortest batch, so that
-	// it idles for little, at a probe each time.
-	busyInspection = 60 * time.Millisecond
-	// memoryInspection is how long after results of others were found at a target it is
-	// inspected again: they go when they expire, after seconds, or when their owner
-	// releases them.
-	memoryInspection = 500 * time.Millisecond
+	// busyReinspectInterval is the time until the next inspection of a target that was
+	// busy with the batch of another coordinator. It is less than a third of the shortest
+	// batch, which bounds the target's idle time at the cost of one call each.
+	busyReinspectInterval = 60 * time.Millisecond
+	// memoryReinspectInterval is the time until the next inspection of a target that
+	// holds results of other coordinators. These go when they expire, after seconds, or
+	// when their owner releases them.
+	memoryReinspectInterval = 500 * time.Millisecond
 )
 
-// inspection is what is known of the work of others at one target. The zero value
-// knows nothing.
+// inspection holds what is known of the work of other coordinators at a target. The zero
+// value knows nothing.
 //
-// A coordinator knows only what it did itself. One that takes a service over, for
-// instance after a fault of all nodes, finds targets that still work for the one
-// before it, and memory full of results that nobody will read: batches sent there were
-// refused, and their requests with them (72 of 270 in the four seconds after such a
-// fault). So a target is inspected before its first batch, again while others work
-// there or hold results, and when it had no memory for a result that this coordinator
-// had counted on.
+// A coordinator sees only its own work. One that takes a service over, such as after a
+// fault of all nodes, finds targets that still work for its predecessor and memory full
+// of results that nobody will read. Batches sent to these were refused, and their
+// requests with them: 72 of 270 in the four seconds after such a fault. Therefore a
+// target is inspected before its first batch, again while others use it or hold results
+// there, and when it lacks memory that this coordinator counted on.
 //
-// An inspection costs a call. Without an answer the target counts as free of others'
-// work: its next batch shows whether it is. Results of others count until they must
-// have expired.
+// An inspection costs a call. A target that does not answer counts as unused by others;
+// its next batch shows whether it is. Results of others count until they must have
+// expired.
 type inspection struct {
-	// answered says that the target was inspected, or gave no answer.
-	answered bool
-	// running says that an answer is awaited.
+	// completed reports whether an inspection has ended, with or without an answer.
+	completed bool
+	// running reports whether an inspection is in progress.
 	running bool
-	// busy says that the target works for others.
+	// busy reports whether the target works for another coordinator.
 	busy bool
-	// foreignBytes are the results of others, until expires.
-	foreignBytes int64
-	expires      time.Time
-	// next is when the target is to be inspected again; zero for never.
-	next time.Time
+	// foreignBytes is the size of the results of other coordinators, which counts until
+	// foreignExpiresAt.
+	foreignBytes     int64
+	foreignExpiresAt time.Time
+	// nextAt is when the target is to be inspected again; zero for never.
+	nextAt time.Time
 }
 
-// due says whether the target is to be inspected now.
+// due reports whether the target should be inspected now.
 func (i *inspection) due(now time.Time) bool {
 	if i.running {
 		return false
 	}
-	return !i.answered || (!i.next.IsZero() && !now.Before(i.next))
+	return !i.completed || (!i.nextAt.IsZero() && !now.Before(i.nextAt))
 }
 
-// blocks says whether the target gets no batch: nothing is known of it yet, or it
-// works for others.
-func (i *inspection) blocks() bool { return !i.answered || i.busy }
+// blocksBatches reports whether the target gets no batch because it was never inspected
+// or works for another coordinator.
+func (i *inspection) blocksBatches() bool { return !i.completed || i.busy }
 
-// quiet says whether nothing of others is known there, and no answer is awaited.
-func (i *inspection) quiet() bool { return !i.running && !i.busy && i.next.IsZero() }
+// noForeignWork reports whether no work of other coordinators is known and no inspection
+// is in progress.
+func (i *inspection) noForeignWork() bool { return !i.running && !i.busy && i.nextAt.IsZero() }
 
-// foreign returns how much memory results of others take.
+// foreign returns how much memory the results of other coordinators use, in bytes.
 func (i *inspection) foreign(now time.Time) int64 {
-	if !now.Before(i.expires) {
+	if !now.Before(i.foreignExpiresAt) {
 		return 0
 	}
 	return i.foreignBytes
 }
 
-// again has the target inspected at once.
-func (i *inspection) again(now time.Time) { i.next = now }
+// inspectNow makes an inspection due at once.
+func (i *inspection) inspectNow(now time.Time) { i.nextAt = now }
 
-// ownWork is what this coordinator has a target do and hold.
+// ownWork is the work of this coordinator at a target.
 type ownWork struct {
 	running bool
 	bytes   int64
 }
 
-// failed takes in that a target gave no answer.
-func (i *inspection) failed() {
-	i.answered, i.running, i.busy, i.next = true, false, false, time.Time{}
+// recordFailure records that the target did not answer.
+func (i *inspection) recordFailure() {
+	i.completed, i.running, i.busy, i.nextAt = true, false, false, time.Time{}
 }
 
-// reported takes in a target's report. What it does and holds beyond this
-// coordinator's own work is others'.
-func (i *inspection) reported(now time.Time, r Report, spec *catalog.Batch, own ownWork) {
-	i.answered, i.running = true, false
-	i.busy = r.Busy && !own.running
-	i.foreignBytes = max(spec.MemoryBytes-r.FreeBytes-own.bytes, 0)
-	i.expires = now.Add(spec.ResultTTL)
+// recordReport records a target's report. Whatever exceeds the coordinator's own work
+// belongs to others.
+func (i *inspection) recordReport(now time.Time, report Report, spec *catalog.Batch, own ownWork) {
+	i.completed, i.running = true, false
+	i.busy = report.Busy && !own.running
+	i.foreignBytes = max(spec.MemoryBytes-report.FreeBytes-own.bytes, 0)
+	i.foreignExpiresAt = now.Add(spec.ResultTTL)
 	switch {
 	case i.busy:
-		i.next = now.Add(busyInspection)
+		i.nextAt = now.Add(busyReinspectInterval)
 	case i.foreignBytes > 0:
-		i.next = now.Add(memoryInspection)
+		i.nextAt = now.Add(memoryReinspectInterval)
 	default:
-		i.next = time.Time{}
+		i.nextAt = time.Time{}
 	}
 }
--- a/internal/gateway/batching/large_bench_test.go
+++ b/internal/gateway/batching/large_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// A large service: 42 targets in six data centres, 256 groups of 6 items a second.
+// A large service: 42 targets in six data centres, 256 groups of 6 items per second.
 const (
 	largeTargets     = 42
 	largeDataCentres = 6
@@ -19,24 +19,24 @@
 	largeInterval    = time.Second / 256
 )
 
-// largeRun is a core of a large service with the batches that run, by when they end.
+// largeRun is a core of a large service with its running batches.
 type largeRun struct {
-	core    *batching.Core
-	now     time.Time
-	token   int
-	running map[batching.BatchID]endingBatch
-	held    []batching.Release
+	core       *batching.Core
+	now        time.Time
+	lastID     int
+	running    map[batching.BatchID]runningBatch
+	unreleased []batching.Release
 }
 
-type endingBatch struct {
+type runningBatch struct {
 	batching.Send
-	ends time.Time
+	endsAt time.Time
 }
 
 func newLargeRun() *largeRun {
 	r := &largeRun{
 		core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 600, MaxNodes: 16}),
-		now:  start, running: map[batching.BatchID]endingBatch{},
+		now:  start, running: map[batching.BatchID]runningBatch{},
 	}
 	var list []directory.Target
 	for i := range largeTargets {
@@ -55,28 +55,28 @@
 		switch e := effect.(type) {
 		case batching.Send:
 			took := 240*time.Millisecond + time.Duration(len(e.Items))*4300*time.Microsecond
-			r.running[e.Batch] = endingBatch{Send: e, ends: r.now.Add(took)}
+			r.running[e.Batch] = runningBatch{Send: e, endsAt: r.now.Add(took)}
 		case batching.Inspect:
 			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 530_000}})
 		}
 	}
 }
 
-// step submits a group, ends the batches that are due and releases older results.
+// step submits a group, finishes the batches that have ended and releases older results.
 func (r *largeRun) step() {
 	r.now = r.now.Add(largeInterval)
 	var items []batching.Item
 	for i := range largeGroup {
-		r.token++
+		r.lastID++
 		items = append(items, batching.Item{
-			Token: batching.Token(r.token), Request: fmt.Sprint("r", r.token/largeGroup), Index: i, Bytes: 6000, Priority: r.token % 3,
+			ID: batching.ItemID(r.lastID), Request: fmt.Sprint("r", r.lastID/largeGroup), Index: i, Bytes: 6000, Priority: r.lastID % 3,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
-			DataCentre: fmt.Sprint("d", r.token/largeGroup%largeDataCentres),
+			DataCentre: fmt.Sprint("d", r.lastID/largeGroup%largeDataCentres),
 		})
 	}
 	r.handle(batching.Submit{Items: items})
 	for id, b := range r.running {
-		if r.now.Before(b.ends) {
+		if r.now.Before(b.endsAt) {
 			continue
 		}
 		delete(r.running, id)
@@ -86,16 +86,16 @@
 		for _, out := range done.Outcomes {
 			release.Handles = append(release.Handles, out.Handle)
 		}
-		r.held = append(r.held, release)
+		r.unreleased = append(r.unreleased, release)
 	}
-	if len(r.held) > 10 {
-		r.handle(r.held[0])
-		r.held = r.held[1:]
+	if len(r.unreleased) > 10 {
+		r.handle(r.unreleased[0])
+		r.unreleased = r.unreleased[1:]
 	}
 }
 
-// BenchmarkLargeService is one coordinator's part of a group of a large service: its
-// submission, and its share of the ends of batches and of released results.
+// BenchmarkLargeService measures a coordinator's cost of one group of a large service:
+// its submission and its share of finished batches and released results.
 func BenchmarkLargeService(b *testing.B) {
 	r := newLargeRun()
 	for range 1000 {
--- a/internal/gateway/batching/locality_test.go
+++ b/internal/gateway/batching/locality_test.go
@@ -7,11 +7,11 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestItemWaitsForATargetInItsDataCentreOnlyAsLongAsItIsInTime(t *testing.T) {
+func TestLocality(t *testing.T) {
 	// A full batch takes 320 ms.
 	const due = 2 * time.Second
 	backsOff := testTarget("n", "d0")
-	backsOff.failed(noon)
+	backsOff.recordFailure(testNow)
 	drains := testTarget("n", "d0")
 	drains.usable = false
 	stuck := busyTarget("n", "d0", 100*time.Millisecond)
@@ -28,22 +28,22 @@
 		{"An item goes to a target in its data centre", "far", due, []*target{testTarget("n", "d0")}, false},
 		{"An item waits for an idle target in its data centre", "d0", due, []*target{testTarget("n", "d0")}, true},
 		{"and for one that will be idle in 300 ms", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond)}, true},
-		{"but not longer", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond+1)}, false},
-		{"and not beyond its due time", "d0", 420 * time.Millisecond, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, false},
-		{"An item that ends just before its due time waits", "d0", 420*time.Millisecond + 1, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, true},
-		{"No target in the data centre is waited for when there is none", "d0", due, nil, false},
-		{"nor one that backs off", "d0", due, []*target{backsOff}, false},
-		{"nor one that drains", "d0", due, []*target{drains}, false},
-		{"nor one that is stuck", "d0", due, []*target{stuck}, false},
-		{"nor one that is overdue", "d0", due, []*target{busyTarget("n", "d0", -1)}, false},
-		{"nor one that is too slow", "d0", due, []*target{slow}, false},
-		{"One of several near targets is enough", "d0", due, []*target{drains, stuck, testTarget("m", "d0")}, true},
+		{"but no later", "d0", due, []*target{busyTarget("n", "d0", 300*time.Millisecond+1)}, false},
+		{"and not past its due time", "d0", 420 * time.Millisecond, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, false},
+		{"An item that would finish just before its due time waits", "d0", 420*time.Millisecond + 1, []*target{busyTarget("n", "d0", 100*time.Millisecond)}, true},
+		{"It does not wait when there is no target in the data centre", "d0", due, nil, false},
+		{"nor for one that backs off", "d0", due, []*target{backsOff}, false},
+		{"nor for one that drains", "d0", due, []*target{drains}, false},
+		{"nor for one with a stuck batch", "d0", due, []*target{stuck}, false},
+		{"nor for one with an overdue batch", "d0", due, []*target{busyTarget("n", "d0", -1)}, false},
+		{"nor for one that is too slow", "d0", due, []*target{slow}, false},
+		{"One of several local targets is enough", "d0", due, []*target{drains, stuck, testTarget("m", "d0")}, true},
 	} {
 		convey.Convey(c.name, t, func() {
-			q := &queuedItem{Item: Item{DataCentre: c.dataCentre, Due: noon.Add(c.due)}}
+			q := &queuedItem{Item: Item{DataCentre: c.dataCentre, Due: testNow.Add(c.due)}}
 			far := testTarget("f", "far")
-			near := newNearness(noon, testSpec(), poolOf(append([]*target{far}, c.near...)...))
-			convey.So(near.waits(q, far.DataCentre), convey.ShouldEqual, c.want)
+			loc := newLocality(testNow, testSpec(), poolOf(append([]*target{far}, c.near...)...))
+			convey.So(loc.shouldWait(q, far.DataCentre), convey.ShouldEqual, c.want)
 		})
 	}
 }
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -7,45 +7,46 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// spareAfter is how long a target may stay idle before it is a spare one again: three
-// half-lives of what was learnt of its speed, of which an eighth is left then, and less
-// than targets keep an idle connection open.
+// spareAfter is how long a target is idle before it becomes spare again: three half-lives
+// of its slowdown, of which an eighth is left by then, and less than targets keep an idle
+// connection open.
 const spareAfter = 3 * slowdownHalfLife
 
-// pool holds the targets of the service, and the usable ones by data centre and by what
-// they do.
+// pool holds the targets of a service, and its usable ones by data centre and activity.
 //
-// Most targets of a large service are spare: its load needs a few of them, and those are
-// used again before any other (candidates). An event then costs what the service's load
-// is and not how many targets it has (BenchmarkFleetService).
+// Most targets of a large service are spare: its load needs only some of them, and those
+// are reused before any other (candidates). So the cost of an event depends on the load
+// of the service and not on its number of targets (BenchmarkFleetService).
 //
-// It owns which list a target is in; whoever changes what that depends on calls sort.
+// The pool decides which list a target is in. Call reclassify after any change to the
+// state that this depends on.
 type pool struct {
-	// targets are all, in the order in which they were first listed.
+	// targets holds all targets, in the order in which they were first listed.
 	targets []*target
 	byLife  map[directory.Life]*target
-	// newest is the newest life of each identity.
-	newest map[string]*target
-	// unusable are those that get no batch.
+	// latestByID holds the newest life of each target ID.
+	latestByID map[string]*target
+	// unusable holds the targets that get no batch.
 	unusable targetList
-	// places are the usable targets of each data centre, in the order in which the data
-	// centres were first listed.
-	places  []*place
-	byPlace map[string]*place
-	// examined counts the targets that decisions looked at: what events cost.
+	// dataCentres holds the usable targets of each data centre, in the order in which the
+	// data centres were first seen.
+	dataCentres  []*dataCentreTargets
+	byDataCentre map[string]*dataCentreTargets
+	// examined counts the targets that were looked at to make decisions, as a measure of
+	// the cost of events.
 	examined int
 }
 
-// place holds the usable targets of one data centre.
-type place struct {
-	// spare targets are idle, and nothing is known of them: they are inspected before
-	// their first batch, and hold no result. Those that are being inspected are asked.
-	spare, asked targetList
-	// idle targets have no batch, busy ones have one, which may be stuck.
+// dataCentreTargets holds the usable targets of one data centre.
+type dataCentreTargets struct {
+	// spare targets are idle, hold no result and have to be inspected before their first
+	// batch; inspecting holds those whose inspection is in progress.
+	spare, inspecting targetList
+	// idle targets have no batch; busy ones have one, which may be stuck.
 	idle, busy targetList
 }
 
-// targetList is a set of targets in no particular order; a target is in one at most.
+// targetList is an unordered set of targets. A target is in at most one list.
 type targetList struct{ targets []*target }
 
 func (l *targetList) add(t *target) {
@@ -63,44 +64,44 @@
 }
 
 func newPool() *pool {
-	return &pool{byLife: map[directory.Life]*target{}, newest: map[string]*target{}, byPlace: map[string]*place{}}
+	return &pool{byLife: map[directory.Life]*target{}, latestByID: map[string]*target{}, byDataCentre: map[string]*dataCentreTargets{}}
 }
 
-// add takes in a target. One that started again under its identity is another: the
-// results of its earlier life are gone.
+// add adds a target. A target that restarted under the same ID is a new one; the results
+// of its earlier life are lost.
 func (p *pool) add(t *target) {
-	t.order = len(p.targets)
-	if earlier := p.newest[t.ID]; earlier != nil {
-		earlier.memory.lose()
+	t.seq = len(p.targets)
+	if earlier := p.latestByID[t.ID]; earlier != nil {
+		earlier.memory.dropAll()
 	}
-	p.newest[t.ID] = t
+	p.latestByID[t.ID] = t
 	p.byLife[t.Life()] = t
 	p.targets = append(p.targets, t)
-	p.sort(t)
+	p.reclassify(t)
 }
 
-// prune drops the targets of which nothing matters any more.
+// prune drops the targets that are no longer needed.
 func (p *pool) prune() {
 	kept := p.targets[:0]
 	for _, t := range p.targets {
-		if !t.forgettable() {
-			t.order = len(kept)
+		if !t.removable() {
+			t.seq = len(kept)
 			kept = append(kept, t)
 			continue
 		}
 		t.list.remove(t)
 		delete(p.byLife, t.Life())
-		if p.newest[t.ID] == t {
-			delete(p.newest, t.ID)
+		if p.latestByID[t.ID] == t {
+			delete(p.latestByID, t.ID)
 		}
 	}
 	clear(p.targets[len(kept):])
 	p.targets = kept
 }
 
-// sort puts a target into the list where it belongs now.
-func (p *pool) sort(t *target) {
-	list := p.listOf(t)
+// reclassify moves a target into the list that matches its state.
+func (p *pool) reclassify(t *target) {
+	list := p.listFor(t)
 	if t.list == list {
 		return
 	}
@@ -110,68 +111,73 @@
 	list.add(t)
 }
 
-func (p *pool) listOf(t *target) *targetList {
+func (p *pool) listFor(t *target) *targetList {
 	if !t.usable {
 		return &p.unusable
 	}
-	place := p.placeOf(t.DataCentre)
+	dc := p.inDataCentre(t.DataCentre)
 	switch {
 	case t.running != nil:
-		return &place.busy
-	case t.inspection.answered:
-		return &place.idle
+		return &dc.busy
+	case t.inspection.completed:
+		return &dc.idle
 	case t.inspection.running:
-		return &place.asked
+		return &dc.inspecting
 	}
-	return &place.spare
+	return &dc.spare
 }
 
-// placeOf returns the targets of a data centre.
-func (p *pool) placeOf(dataCentre string) *place {
-	found := p.byPlace[dataCentre]
+// inDataCentre returns the usable targets of a data centre.
+func (p *pool) inDataCentre(dataCentre string) *dataCentreTargets {
+	found := p.byDataCentre[dataCentre]
 	if found == nil {
-		found = &place{}
-		p.byPlace[dataCentre] = found
-		p.places = append(p.places, found)
+		found = &dataCentreTargets{}
+		p.byDataCentre[dataCentre] = found
+		p.dataCentres = append(p.dataCentres, found)
 	}
 	return found
 }
 
-// known returns the usable targets that are neither spare nor asked, in lists.
-func (p *pool) known() []*targetList {
-	lists := make([]*targetList, 0, 2*len(p.places))
-	for _, place := range p.places {
-		lists = append(lists, &place.idle, &place.busy)
+// inspectedLists returns the lists of usable targets that are neither spare nor being
+// inspected for the first time.
+func (p *pool) inspectedLists() []*targetList {
+	lists := make([]*targetList, 0, 2*len(p.dataCentres))
+	for _, dc := range p.dataCentres {
+		lists = append(lists, &dc.idle, &dc.busy)
 	}
 	return lists
 }
 
-// unknown counts the usable targets that are spare or asked.
-func (p *pool) unknown() int {
+// uninspected counts the usable targets that are spare or being inspected for the first
+// time.
+func (p *pool) uninspected() int {
 	n := 0
-	for _, place := range p.places {
-		n += place.unknown()
+	for _, dc := range p.dataCentres {
+		n += dc.uninspected()
 	}
 	return n
 }
 
-func (p *place) unknown() int { return len(p.spare.targets) + len(p.asked.targets) }
+func (dc *dataCentreTargets) uninspected() int {
+	return len(dc.spare.targets) + len(dc.inspecting.targets)
+}
 
-// rest makes spare what has been idle for spareAfter: what is known of it has aged, and
-// another coordinator may have used it meanwhile.
-func (p *pool) rest(now time.Time) {
-	for _, place := range p.places {
-		p.examined += len(place.idle.targets)
-		for i := len(place.idle.targets) - 1; i >= 0; i-- {
-			if t := place.idle.targets[i]; t.rested(now) {
+// expireIdle makes targets spare that have been idle for spareAfter: their state is
+// outdated, and another coordinator may have used them in the meantime.
+func (p *pool) expireIdle(now time.Time) {
+	for _, dc := range p.dataCentres {
+		p.examined += len(dc.idle.targets)
+		for i := len(dc.idle.targets) - 1; i >= 0; i-- {
+			if t := dc.idle.targets[i]; t.idleExpired(now) {
 				t.inspection, t.slowdown = inspection{}, newSlowdown()
-				p.sort(t)
+				p.reclassify(t)
 			}
 		}
 	}
 }
 
-// catalogRate is how many items a second n targets can compute at the catalog's speed.
-func catalogRate(spec *catalog.Batch, n int) float64 {
-	return float64(n*spec.MaxItems) / planned(spec, spec.MaxItems).Seconds()
+// nominalRate returns the throughput of n targets at the speed in the catalog, in items
+// per second.
+func nominalRate(spec *catalog.Batch, n int) float64 {
+	return float64(n*spec.MaxItems) / nominalDuration(spec, spec.MaxItems).Seconds()
 }
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -61,8 +61,8 @@
 	core    *batching.Core
 	// gate says what targets ask for.
 	gate    backpressure.Gate
-	last    batching.Token
-	items   map[batching.Token]*pendingItem
+	last    batching.ItemID
+	items   map[batching.ItemID]*pendingItem
 	ticking bool
 	// leaving says that another node runs what has not started.
 	leaving bool
@@ -81,7 +81,7 @@
 	return &coordinator{
 		coordinatorConfig: cfg, service: service, gate: gate,
 		core:     batching.New(cfg.retries, batching.WithGate(gate)),
-		items:    map[batching.Token]*pendingItem{},
+		items:    map[batching.ItemID]*pendingItem{},
 		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Life]*batching.Discard{}},
 	}
 }
@@ -110,7 +110,7 @@
 		c.discards.flush()
 	case tick:
 		c.ticking = false
-		c.handle(batching.Tick{Late: max(c.now().Sub(msg.due), 0)})
+		c.handle(batching.Tick{Delay: max(c.now().Sub(msg.due), 0)})
 	case batching.Event:
 		c.handle(msg)
 	}
@@ -213,7 +213,7 @@
 		c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Int("items", len(e.Items)).
 			Dur("took", c.now().Sub(now)).Err(err).Msg("items: call failed")
 	}
-	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, Ended: c.noteEnd(e, now, err)}
+	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, TargetCrashed: c.noteEnd(e, now, err)}
 }
 
 // mayCall is asked just before the first byte of a batch is written.
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -12,11 +12,11 @@
 		return
 	}
 	items := g.items(c.last, c.quarantine.Suspected)
-	c.last += batching.Token(len(items))
+	c.last += batching.ItemID(len(items))
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
-		c.items[item.Token] = &pendingItem{group: g, index: i}
+		c.items[item.ID] = &pendingItem{group: g, index: i}
 	}
 	c.handle(batching.Submit{Items: items})
 }
@@ -25,7 +25,7 @@
 // are being read report that their read time later.
 func (c *coordinator) noteStarted(e batching.Send) {
 	for _, item := range e.Items {
-		p, known := c.items[item.Token]
+		p, known := c.items[item.ID]
 		if !known {
 			continue
 		}
@@ -42,11 +42,11 @@
 
 // resolve ends an item; the last one ends its group, and so does one that failed.
 func (c *coordinator) resolve(e batching.Resolve) {
-	p, known := c.items[e.Token]
+	p, known := c.items[e.ItemID]
 	if !known {
 		return
 	}
-	delete(c.items, e.Token)
+	delete(c.items, e.ItemID)
 	if e.Err != nil {
 		c.closeGroup(p.group, e.Err)
 		return
@@ -80,7 +80,7 @@
 		finished := g.finished()
 		g.results = nil
 		sendReleases(c.system, c.self, finished)
-		c.system.Root.Send(c.self, batching.Withdraw{Tokens: g.tokens})
+		c.system.Root.Send(c.self, batching.Withdraw{ItemIDs: g.tokens})
 	}
 	close(g.done)
 }
