--- a/internal/gateway/relay/rules/doc.go
+++ b/internal/gateway/relay/rules/doc.go
@@ -1,12 +1,14 @@
-// Package rules holds what decides about one request of the gateway: whether it
-// is admitted, by when its parts are due, how long an attempt may be silent,
-// whether it is sent again and when a refused client should retry.
+// Package rules holds the decisions that the gateway makes about a single request:
+// whether it is admitted, when its stages and its response are due, how long an
+// attempt may stay silent, whether it is retried and when a refused client should
+// retry.
 //
-// Each rule is a function of its arguments alone. The package reads no clock,
-// draws no random number, holds no state and does no input or output; package
-// relay gathers the inputs, asks the rule once and acts. A rule that may end in
-// more than two ways returns one type for each, with what the log prints of it.
+// Each rule is a pure function of its arguments. The package reads no clock, draws no
+// random numbers, holds no state and performs no I/O; package relay gathers the inputs,
+// calls the rule once and acts on the result. A rule with more than two outcomes
+// returns one type per outcome, which carries what the log prints about it.
 //
-// The figures of a rule stand in one block above it, each with its unit and its reason:
-// what a measurement gave, what it follows from, or what another figure would cost.
+// The constants of a rule are declared in one block above it, each with its unit and
+// the reason for its value. Where a comment gives the effect of a value as credit, that
+// is the fraction of the credit attainable by all requests.
 package rules
--- a/internal/gateway/relay/rules/estimate.go
+++ b/internal/gateway/relay/rules/estimate.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// batchFill is how full the batch of a later stage is expected to be, as a part of the
-// most items. By it a stage of 48 items at most is planned with 360 ms instead of 240;
-// a coordinator of 42 targets was seen to fill a fifth, one of five most.
+// batchFill is the expected size of a batch, as a fraction of the most items that it may
+// have. With it a stage of at most 48 items is planned with 360 ms instead of 240. The
+// actual size depends on the number of targets: a coordinator of 42 targets fills a fifth
+// of a batch, a coordinator of five most of it.
 const batchFill = 0.6
 
-// Stage is a stage of one request as the estimates see it.
+// Stage is one stage of a request, as the estimates see it.
 type Stage struct {
-	// After are the indices of the stages whose results this one needs; they are
-	// smaller than its own.
+	// After are the indices of the stages whose results this one needs. They are smaller
+	// than the stage's own index.
 	After []int
-	// Items is how many items the request has in it; without any it is left out.
+	// Items is the request's number of items in the stage. A stage without items is
+	// skipped.
 	Items int
-	// Time is how long a batch of the stage takes (BatchTime); 0 for unknown.
+	// Time is how long a batch of the stage takes (BatchTime); 0 if unknown.
 	Time time.Duration
-	// BytesPerSecond is how fast its results are fetched from one target; 0 for
-	// unknown.
+	// BytesPerSecond is the bandwidth at which the results are fetched from one target; 0
+	// if unknown.
 	BytesPerSecond float64
 }
 
 // Stages are the stages of one request, in the order of its route.
 type Stages []Stage
 
-// BatchTime estimates how long a batch takes that is not quite full, from the
-// configured time of an empty one and of each item.
+// BatchTime estimates the duration of a batch of the expected size, from the configured
+// times of an empty batch and of each item.
 func BatchTime(empty, perItem time.Duration, maxItems int) time.Duration {
 	return empty + time.Duration(batchFill*float64(maxItems)*float64(perItem))
 }
 
-// Total estimates how long it takes until all stages are done
-// (docs/decisions/0013). backlogs has, for each stage with items, how long its
-// service takes for the work planned before; nil for none. While the earlier
-// stages run, a later stage's service works off its backlog. Too low an estimate
-// admits requests that are late, too high a one refuses those that are not.
+// Total estimates how long it takes until all stages are done (docs/decisions/0013).
+// backlogs has, for each stage with items, how long its service takes for the work that
+// was planned before; nil stands for no backlog. A later stage's service works off its
+// backlog while the earlier stages run. Too low an estimate admits requests that are
+// late; too high an estimate refuses requests that would be in time.
 func (s Stages) Total(backlogs []time.Duration) time.Duration {
 	ends := make([]time.Duration, len(s))
 	var longest time.Duration
@@ -57,7 +59,7 @@
 	return longest
 }
 
-// Following estimates how long the stages after stage i take, on idle services.
+// Following estimates how long the stages that depend on stage i take on idle services.
 func (s Stages) Following(i int) time.Duration {
 	var longest time.Duration
 	for k := i + 1; k < len(s); k++ {
--- a/internal/gateway/relay/rules/inputs.go
+++ b/internal/gateway/relay/rules/inputs.go
@@ -3,33 +3,32 @@
 import "time"
 
 const (
-	// inputsReadBase is how long after its sending a call should have fetched its
-	// inputs, besides their transfer: the way there, and the target's own requests.
-	// Worth rose by 0.015 with 25 ms at engines where it was the first event, and by
-	// 0.007 with 40 ms at batches where it was 120 ms (docs/MEASUREMENTS.md, "inputs
-	// released when fetched").
+	// inputsReadBase is the time that a call needs to fetch its inputs, on top of their
+	// transfer: the network delay and the target's own requests. Releasing after 25 ms
+	// instead of at the first event gains 0.015 credit at engines; 40 ms instead of
+	// 120 ms gains 0.007 at batches.
 	inputsReadBase = 40 * time.Millisecond
-	// transferMargin is how many times as long as by the catalog's bandwidth a transfer
-	// may take: it crosses two links, and others use them too.
+	// transferMargin multiplies the transfer time that follows from the catalog's
+	// bandwidth: a transfer crosses two links, which carry other traffic too.
 	transferMargin = 3.0
-	// unknownReadTime is assumed where the catalog has no bandwidth. Batches work for
-	// 200 ms and more (docs/decisions/0012), so that inputs are still released before
-	// their end.
+	// unknownReadTime is assumed where the catalog has no bandwidth. Batches take 200 ms
+	// or more (docs/decisions/0012), so inputs are still released before a batch ends.
 	unknownReadTime = 120 * time.Millisecond
-	// inputsGonePause is for how long a service's inputs are kept until the first event
-	// after some were released too early: as long as the trouble that delays calls usually
-	// lasts.
+	// inputsGonePause is how long a service's inputs are kept until the first event after
+	// some were released too early: the usual duration of a disturbance that delays calls.
 	inputsGonePause = 10 * time.Second
 )
 
-// Transfer is what a call fetches from the target that holds most of its inputs.
+// Transfer is the data that a call fetches from the target that holds most of its
+// inputs.
 type Transfer struct {
 	Bytes int64
-	// BytesPerSecond is the bandwidth of that target by the catalog; 0 for unknown.
+	// BytesPerSecond is that target's bandwidth according to the catalog; 0 if unknown.
 	BytesPerSecond float64
 }
 
-// longer says whether a transfer takes longer than another; an unknown one does.
+// longer reports whether t takes longer than another transfer. A transfer over an
+// unknown bandwidth counts as the longest.
 func (t Transfer) longer(than Transfer) bool {
 	if t.BytesPerSecond <= 0 || than.BytesPerSecond <= 0 {
 		return t.BytesPerSecond < than.BytesPerSecond
@@ -37,8 +36,8 @@
 	return float64(t.Bytes)/t.BytesPerSecond > float64(than.Bytes)/than.BytesPerSecond
 }
 
-// LongestTransfer returns the one of several transfers that takes longest; the zero
-// value of none.
+// LongestTransfer returns the transfer that takes longest, or the zero value for an
+// empty list.
 func LongestTransfer(list []Transfer) Transfer {
 	var longest Transfer
 	for i, t := range list {
@@ -49,10 +48,10 @@
 	return longest
 }
 
-// InputsReadTime estimates how long after its sending a call to an idle target has
-// fetched its inputs. Targets fetch before they work. Too short, inputs are gone when
-// they are fetched and have to be computed again; too long, they take result memory
-// that other items wait for.
+// InputsReadTime estimates how long after it was sent a call to an idle target has
+// fetched its inputs, which targets do before they start to work. If the estimate is too
+// short, inputs are gone by the time they are fetched and must be recomputed; if it is
+// too long, they occupy result memory that other items wait for.
 func InputsReadTime(t Transfer) time.Duration {
 	if t.BytesPerSecond <= 0 {
 		return unknownReadTime
@@ -61,16 +60,16 @@
 	return inputsReadBase + time.Duration(transfer*float64(time.Second))
 }
 
-// ReleaseBeforeAnswer decides whether the inputs of an engine are released when it
+// ReleaseBeforeAnswer decides whether an engine's inputs are released as soon as it
 // should have fetched them (InputsReadTime), or only at its first event.
 //
-// Inputs: whether the transfer's time is known, and when inputs of the service were
-// last found gone that had been released so; zero for never. A prompt may wait some
-// 100 ms for its prefill, and meanwhile large results took a third of the time for
-// which they occupied the memory of their targets, which bounds what these compute.
+// Early release needs a known transfer time. lastGone is when inputs of the service that
+// had been released early were last missing; zero means never. A prompt may wait some
+// 100 ms for its prefill. For large results that wait is a third of the time that they
+// occupy the memory of their targets, which limits how much those can compute.
 //
-// With a wrong yes the engine refuses the request, and its inputs are computed again;
-// with a wrong no they take memory that other items wait for.
+// A false positive makes the engine refuse the request, and its inputs are recomputed; a
+// false negative holds memory that other items wait for.
 func ReleaseBeforeAnswer(now time.Time, t Transfer, lastGone time.Time) bool {
 	if t.BytesPerSecond <= 0 {
 		return false
--- a/internal/gateway/relay/rules/priority.go
+++ b/internal/gateway/relay/rules/priority.go
@@ -1,18 +1,18 @@
 package rules
 
 const (
-	// priorityLevels is the number of priorities that an engine knows, 0 to 9, by the
-	// platform's interface.
+	// priorityLevels is the number of priorities that engines support, 0 to 9, as the
+	// platform's interface defines them.
 	priorityLevels = 10
-	// routePriorities is how many priorities of routes fit into one of an organisation:
-	// engines know ten levels, of which organisations take three.
+	// routePriorities is the number of route priorities within one priority of an
+	// organisation: of the ten levels of an engine, each organisation priority takes three.
 	routePriorities = 3
 )
 
-// EnginePriority decides the priority of a request's items and prompt at a target,
-// from 0 (first) to 9: the organisation's (0 without one) counts first, the
-// route's second. Both are configuration, 0 for the most urgent. A wrong priority
-// makes a more urgent request wait behind a less urgent one at a busy target.
+// EnginePriority decides the priority of a request's items and prompt at a target, from
+// 0 (first) to 9. The organisation's priority (0 without one) takes precedence over the
+// route's. Both come from the configuration, 0 for the most urgent. A wrong priority
+// makes a request wait behind a less urgent one at a busy target.
 func EnginePriority(organisation, route int) int {
 	p := organisation*routePriorities + min(route, routePriorities-1)
 	return min(max(p, 0), priorityLevels-1)
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -3,28 +3,27 @@
 import "github.com/honeydyke/honeydyke/pkg/verdict"
 
 const (
-	// maxRefusals bounds the targets that may refuse one request before it is given up:
-	// three that are full are a service that is full.
+	// maxRefusals limits the refusals of one request after which another target is still
+	// tried: three full targets indicate that the service is full.
 	maxRefusals = 2
-	// maxResends bounds how often a request is sent again to the same target because an
-	// idle connection had ended. A target that restarts ends all of them.
+	// maxResends limits how often a request is sent to the same target again because an
+	// idle connection was closed. A target that restarts closes all of them.
 	maxResends = 2
 )
 
-// Failure is an attempt that ended without a whole answer.
+// Failure is an attempt that ended without a whole response.
 type Failure struct {
 	// Verdict and Reason are those of the attempt's error.
 	Verdict verdict.Verdict
 	Reason  verdict.Reason
-	// Ended says that the request itself has ended: its time is over, its caller has
-	// gone or the node stops.
+	// Ended is true if the request itself has ended: its deadline has passed, its client
+	// has disconnected or the node is stopping.
 	Ended bool
-	// Resends, Refusals and Sends count what came before this attempt: attempts
-	// repeated over another connection, attempts that provably did not run, and
-	// attempts that may have run.
+	// Resends, Refusals and Sends count the earlier attempts: those repeated over another
+	// connection, those that provably did not run, and those that may have run.
 	Resends, Refusals, Sends int
-	// Retryable says that the route allows more than one target to run the request,
-	// MaxAttempts how many.
+	// Retryable is true if the route allows more than one target to run the request;
+	// MaxAttempts limits how many.
 	Retryable   bool
 	MaxAttempts int
 }
@@ -32,11 +31,11 @@
 // NextAttempt is Resend, OtherTarget, Recompute or GiveUp.
 type NextAttempt interface{ isNextAttempt() }
 
-// Resend sends the request to the same target over another connection. It costs
-// no retry.
+// Resend sends the request to the same target over another connection. It does not count
+// against the retry budget.
 type Resend struct{}
 
-// OtherTarget sends the request to a target that has not had it.
+// OtherTarget sends the request to a target that has not been tried.
 type OtherTarget struct{}
 
 // Recompute runs the stages again and then sends the request to any target.
@@ -45,24 +44,25 @@
 // GiveUp ends the request with the attempt's error.
 type GiveUp struct{ Reason GiveUpReason }
 
-// GiveUpReason says why a request is not sent again.
+// GiveUpReason is why a request is not sent again, as logged.
 type GiveUpReason string
 
 // Reasons to give up.
 const (
-	// RequestEnded is a request whose own time or caller has gone.
+	// RequestEnded means that the request's deadline has passed or its client has
+	// disconnected.
 	RequestEnded GiveUpReason = "request ended"
-	// RefusalsSpent is a request that more than maxRefusals targets did not run.
+	// RefusalsSpent means that more than maxRefusals attempts did not run.
 	RefusalsSpent GiveUpReason = "refusals spent"
-	// BadRequest is a request that every target would refuse.
+	// BadRequest means that every target would refuse the request.
 	BadRequest GiveUpReason = "bad request"
-	// TimeOver is a request that was not sent for want of time.
+	// TimeOver means that no time was left to send the request.
 	TimeOver GiveUpReason = "time over"
-	// MayHaveRun is a request that may have run and must not run twice.
+	// MayHaveRun means that the request may have run and must not run twice.
 	MayHaveRun GiveUpReason = "may have run"
-	// Quarantined is a request that ends the targets which run it.
+	// Quarantined means that the request crashes the targets that run it.
 	Quarantined GiveUpReason = "quarantined"
-	// AttemptsSpent is a request that may have run as often as its route allows.
+	// AttemptsSpent means that the request may have run as often as its route allows.
 	AttemptsSpent GiveUpReason = "attempts spent"
 )
 
@@ -71,14 +71,14 @@
 func (Recompute) isNextAttempt()   {}
 func (GiveUp) isNextAttempt()      {}
 
-// AfterFailure decides what follows a failed attempt. A proof that the request
-// was never written allows the same target over another connection. Then the
-// number of refusals and the request's own end count. A proof that it did not run
-// allows another target, unless the request itself is at fault or late; without
-// the proof the route decides (docs/decisions/0004). Inputs that are gone at their
-// targets are recomputed first. The shell asks the retry budget
-// (docs/decisions/0011) before the next attempt. A wrong retry runs a request twice; a wrong end returns an error to a
-// client that could have had its answer.
+// AfterFailure decides what follows a failed attempt. A request that provably was never
+// written is sent to the same target over another connection. Otherwise it is given up
+// after too many refusals or once it has ended itself. A request that provably did not run
+// goes to another target, unless it is invalid, late or quarantined; without that proof
+// the route decides (docs/decisions/0004). Inputs that are missing at their targets are
+// recomputed first. Package relay checks the retry budget (docs/decisions/0011) before
+// the next attempt. A wrong retry runs a request twice; a wrong end returns an error to a
+// client that could have had a response.
 func AfterFailure(f Failure) NextAttempt {
 	notRun := f.Verdict == verdict.NotRun
 	if notRun && f.Reason == verdict.ReasonConnection && f.Resends < maxResends && !f.Ended {
@@ -99,7 +99,7 @@
 	return OtherTarget{}
 }
 
-// final returns why the failure forbids any other attempt.
+// final returns why no other attempt may follow the failure, if that is so.
 func final(f Failure) (reason GiveUpReason, over bool) {
 	switch {
 	case f.Verdict == verdict.NotRun && f.Reason == verdict.ReasonBadRequest:
@@ -118,8 +118,8 @@
 	return "", false
 }
 
-// EndError decides which error ends a request that cannot be sent any more: that
-// of its last attempt, which names the cause, and own only where none failed.
+// EndError decides which error ends a request that cannot be sent again: that of its last
+// attempt, which names the cause, or own if no attempt failed.
 func EndError(last, own *verdict.Error) *verdict.Error {
 	if last != nil {
 		return last
@@ -127,11 +127,11 @@
 	return own
 }
 
-// FinalVerdict decides what the caller learns of whether its request ran. When an
-// earlier attempt may have run (sends counts those) and the route does not allow
-// the request to run twice, a last attempt that provably did not run says nothing
-// of the earlier ones; nor does it where the request is held because of them. A wrong "not
-// run" has the caller run the request twice.
+// FinalVerdict decides what the client learns about whether its request ran. sends counts
+// the earlier attempts that may have run. If there are any and the route does not allow
+// the request to run twice, a last attempt that provably did not run proves nothing about
+// them; nor does it if the request is quarantined because of them. A wrong "not run" makes
+// the client run the request twice.
 func FinalVerdict(err *verdict.Error, sends int, retryable bool) *verdict.Error {
 	if sends > 0 && (!retryable || err.Reason() == verdict.ReasonQuarantined) {
 		return err.WithVerdict(verdict.MayHaveRun)
@@ -139,10 +139,9 @@
 	return err
 }
 
-// TargetFault says whether a failed attempt counts against its target when
-// outlier ejection looks at it. What the caller, the request or a planned stop
-// caused does not. A wrong yes takes a healthy target out of use; a wrong no keeps
-// sending to one that fails.
+// TargetFault reports whether outlier ejection counts a failed attempt against its
+// target. Failures caused by the client, the request or a planned stop do not count. A
+// false positive ejects a healthy target; a false negative keeps sending to a failing one.
 func TargetFault(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonCancelled, verdict.ReasonInputGone, verdict.ReasonLeaving, verdict.ReasonBadRequest:
@@ -151,18 +150,19 @@
 	return true
 }
 
-// ConnectionBroke says whether an attempt ended with its connection after the request may
-// have reached the target: the target may have ended, or only the connection. err is nil
-// for a whole answer. A wrong yes costs one connection to ask; a wrong no leaves the end
-// of a target unseen.
+// ConnectionBroke reports whether an attempt's connection broke after the request may
+// have reached the target: the target may have crashed, or only the connection failed.
+// err is nil for a whole response. A false positive costs one connection to check the
+// target; a false negative misses a crash.
 func ConnectionBroke(err *verdict.Error) bool {
 	return err != nil && err.Verdict() == verdict.MayHaveRun &&
 		(err.Reason() == verdict.ReasonConnection || err.Reason() == verdict.ReasonCut)
 }
 
-// Outlived says whether an attempt proves that its target outlives the request: it
-// answered, be it with a failure of its own. err is nil for a whole answer. A wrong yes
-// lets a request end further targets; a wrong no leaves an innocent one suspected.
+// Outlived reports whether an attempt proves that its target survives the request: it
+// responded, even if with a failure of its own. err is nil for a whole response. A false
+// positive lets a request crash more targets; a false negative leaves a harmless request
+// under suspicion.
 func Outlived(err *verdict.Error) bool {
 	return err == nil || err.Verdict() == verdict.Ran
 }
--- a/internal/gateway/relay/rules/retryafter.go
+++ b/internal/gateway/relay/rules/retryafter.go
@@ -6,29 +6,28 @@
 )
 
 const (
-	// retryAfterShare is the part of the client's time left after which it should retry.
-	// Clients wait at most a third of theirs, by the platform's bound, and need the rest
-	// for the second attempt. It knows nothing of when there will be room: with half as
-	// much worth fell by 0.009 on 59 nodes (three pairs, within two standard errors), and half
-	// as much again was lost to requests refused twice.
+	// retryAfterShare is the fraction of the client's remaining time after which it should
+	// retry. Clients wait at most a third of that time, a limit of the platform, and need
+	// the rest for the second attempt. The fraction does not depend on when capacity
+	// becomes free: half of it costs 0.009 credit on 59 nodes (three pairs, within two
+	// standard errors), and half as much again is lost to requests refused twice.
 	retryAfterShare = 0.28
-	// maxRetryAfter bounds the time for clients with much time left, so that they return
-	// while most of it is left.
+	// maxRetryAfter is the upper bound, so that clients with much time left return while
+	// most of it remains.
 	maxRetryAfter = 4 * time.Second
-	// minRetryAfter is the time for clients with none left, so that they do not return in
+	// minRetryAfter is the lower bound, so that clients without time left do not return in
 	// the same millisecond.
 	minRetryAfter = 50 * time.Millisecond
-	// retryAfterParts is how many parts the time is cut into; the last one is random, so
-	// that clients refused together do not return together.
+	// retryAfterParts divides the delay: the last part of it is random jitter, so that
+	// clients refused together do not return together.
 	retryAfterParts = 4
 )
 
-// RetryAfter decides when a refused client should retry, from the time left
-// until its answer is due now and a random number jitter, from 0 up to but not
-// including 1 (docs/decisions/0013). The share of the time left counts first, then
-// the upper bound, the random part, and the lower bound. A client without time
-// left gets the lower bound. Too short a time has clients retry into the same
-// overload; too long a time lets their timeout pass.
+// RetryAfter decides when a refused client should retry (docs/decisions/0013). left is
+// the time until its response is due, and jitter a random number in [0, 1). The delay is
+// a fraction of left, limited by the upper bound, with its last part random, and raised
+// to the lower bound. Too short a delay makes clients retry into the same overload; too
+// long a delay exceeds their timeout.
 func RetryAfter(left time.Duration, jitter float64) time.Duration {
 	after := min(time.Duration(retryAfterShare*float64(max(left, 0))), maxRetryAfter)
 	least := after * (retryAfterParts - 1) / retryAfterParts
@@ -36,11 +35,11 @@
 	return max(least+spread, minRetryAfter)
 }
 
-// AfterPauses decides when a client should retry for whom no target was left, from when it
-// should by its own time and how much longer each target of the service wants a pause, 0 for
-// one that wants none. When all do, nothing can be had before the first of them takes
-// requests again; to come back sooner is to be refused again. jitter, from 0 up to but not
-// including 1, keeps clients from coming back in that moment together.
+// AfterPauses decides when a client should retry that found no target. own is the delay
+// by RetryAfter, and pauses are the remaining pauses requested by the service's targets,
+// 0 for a target that requested none. If all targets pause, a retry before the shortest
+// pause ends is refused again. jitter, in [0, 1), spreads the clients that wait for the
+// same pause.
 func AfterPauses(own time.Duration, pauses []time.Duration, jitter float64) time.Duration {
 	if len(pauses) == 0 {
 		return own
--- a/internal/gateway/relay/rules/share.go
+++ b/internal/gateway/relay/rules/share.go
@@ -1,30 +1,31 @@
 package rules
 
 const (
-	// spareConnections is what a node leaves of its share of a target's connections, for a
-	// connection that is being replaced.
+	// spareConnections is the part of a node's share of a target's connections that it
+	// leaves unused, for a connection that is being replaced.
 	spareConnections = 1
-	// leastConnections is what a node may use however many others there are, or it could
-	// serve nothing.
+	// leastConnections is the number of connections that a node may use however many nodes
+	// there are, since without any it could not serve requests.
 	leastConnections = 1
 )
 
 const (
-	// connectedShare is the part of a target's connections that kept ones should take
-	// while all nodes live. After a loss of power a target counts the connections of
-	// the dead for seconds beside those of the living: with 295 nodes at each of 6
-	// targets that take 370 connections, 270 calls were reset in the 3 s after one.
+	// connectedShare is the fraction of a target's connections that keep-alive connections
+	// should take while all nodes are up. After a power loss a target counts the
+	// connections of failed nodes for some seconds in addition to those of the running
+	// nodes: with 295 nodes, each connected to 6 targets that accept 370 connections, 270
+	// calls were reset in the 3 s after a power loss.
 	connectedShare = 0.4
-	// leastTargets is how many targets a node uses at least, or the loss of one would
-	// leave it without.
+	// leastTargets is the least number of targets that a node uses, so that the loss of one
+	// does not leave it without any.
 	leastTargets = 2
 )
 
 // TargetsPerNode decides how many of a service's targets a node sends plain calls to
-// while they are healthy, from the connections that one target takes from all nodes
-// (configuration), the number of nodes alive and of targets; 0 for all. Where the
-// connections are many for the nodes it is all. Too many have targets refuse
-// connections when nodes return; too few leave a node to targets that are busy.
+// while they are healthy; 0 means all. connections is the number that one target accepts
+// from all nodes (configuration), nodes the number of live nodes. With enough connections
+// for the nodes it is all targets. With too many targets per node, targets refuse
+// connections when nodes return; with too few, a node is left with targets that are busy.
 func TargetsPerNode(connections, nodes, targets int) int {
 	if connections <= 0 {
 		return 0
@@ -36,10 +37,10 @@
 	return max(most, leastTargets)
 }
 
-// ConnectionShare decides how many requests this node may have at one target, from
-// the connections that the target takes from all nodes (configuration) and the
-// number of nodes alive, as this node sees them now. A wrong share has targets
-// refuse connections, or leaves them idle while requests wait.
+// ConnectionShare decides how many requests this node may have in flight at one target.
+// connections is the number that the target accepts from all nodes (configuration), nodes
+// the number of live nodes as this node sees them now. Too large a share makes targets
+// refuse connections; too small a share leaves them idle while requests wait.
 func ConnectionShare(connections, nodes int) int {
 	return max(connections/max(nodes, 1)-spareConnections, leastConnections)
 }
--- a/internal/gateway/relay/rules/times.go
+++ b/internal/gateway/relay/rules/times.go
@@ -3,51 +3,50 @@
 import "time"
 
 const (
-	// answerMargin is kept free before the end of the client's time, so that the answer
-	// reaches it: ten times the way to clients.
+	// answerMargin is reserved before the end of the client's timeout, so that the response
+	// still reaches the client: ten times the network delay to clients.
 	answerMargin = 25 * time.Millisecond
-	// answerMarginParts bounds the margin of a short time: no more than one part of so
-	// many.
+	// answerMarginParts limits the margin of a short timeout to one part in so many.
 	answerMarginParts = 10
-	// defaultTimeout is assumed of clients that send none: longer than any route allows.
+	// defaultTimeout is assumed for clients that send no timeout: longer than any route
+	// allows.
 	defaultTimeout = 30 * time.Second
-	// engineLead is the least time planned from the last stage to an engine's first event,
-	// and all that admission plans for it, so that a long prompt is due sooner rather than
-	// refused sooner (docs/decisions/0013). On a calm stretch at 295 nodes half of the
-	// prompts of each route took 51 to 144 ms.
+	// engineLead is the least time planned from the last stage to an engine's first event.
+	// Admission plans with it alone, so that the stages of a long prompt are due earlier
+	// and the prompt is not refused earlier (docs/decisions/0013). Under light load on 295
+	// nodes the median prompt of each route takes 51 to 144 ms.
 	engineLead = 150 * time.Millisecond
 )
 
-// TimesInput is what the times of a request are made of.
+// TimesInput is the input of NewTimes.
 type TimesInput struct {
 	Arrived time.Time
-	// ClientTimeout is how long the client waits from its arrival on; 0 for unknown.
+	// ClientTimeout is how long the client waits, from the request's arrival; 0 if unknown.
 	ClientTimeout time.Duration
-	// RouteTimeout is the longest that the route holds a request; 0 for no bound.
+	// RouteTimeout is the longest time that the route allows a request; 0 for no limit.
 	RouteTimeout time.Duration
-	// Objective is the time from arrival within which the answer should begin.
+	// Objective is the time from arrival within which the response should start.
 	Objective time.Duration
-	// Prefill is how long the engine takes to the prompt's first event
-	// (PrefillRate.Time).
+	// Prefill is the engine's time to the prompt's first event (PrefillRate.Time).
 	Prefill time.Duration
 }
 
 // Times are the deadlines of one request. They do not change after its arrival.
 type Times struct {
 	Arrived time.Time
-	// Answer is when the whole request must have ended.
+	// Answer is when the response must be complete.
 	Answer time.Time
-	// Objective is when its answer should have begun.
+	// Objective is when the response should have started.
 	Objective time.Time
-	// Lead is the time planned from the last stage to the answer's beginning.
+	// Lead is the time planned from the last stage to the start of the response.
 	Lead time.Duration
 }
 
-// NewTimes decides by when a request must and should be answered. The client's
-// timeout counts first, then the route's where it is shorter, then the margin that
-// brings the answer back in time. The lead is the prompt's prefill time, and
-// engineLead at least. Too late an answer deadline loses answers on the way to the
-// client; too early a one gives up requests that could be whole.
+// NewTimes decides by when a request must and should be answered. The response deadline
+// is the shorter of the client's and the route's timeout, minus a margin for the way back
+// to the client. The lead is the prompt's prefill time, and engineLead at least. Too late
+// a deadline loses responses on the way to the client; too early a deadline abandons
+// requests that could have been completed.
 func NewTimes(in TimesInput) Times {
 	timeout := in.ClientTimeout
 	if timeout <= 0 {
@@ -66,17 +65,17 @@
 
 // StageTimes are the times of one stage's items.
 type StageTimes struct {
-	// Due is when the items should be done for the answer to be in time.
+	// Due is when the items should be done for the response to meet its objective.
 	Due time.Time
-	// Deadline is when the items are of no use any more.
+	// Deadline is when the items are no longer of use.
 	Deadline time.Time
 }
 
-// Stage decides when the items of a stage are due and when they are given up,
-// with following the estimated time of the stages after it (Stages.Following).
-// Due leaves the prompt's whole lead before the objective; the deadline leaves the
-// least one before the answer's. An item that is due too early takes the turn of a
-// more urgent one; one that is due too late makes its request late.
+// Stage decides when the items of a stage are due and when they are abandoned; following
+// is the estimated time of the later stages (Stages.Following). The due time leaves the
+// prompt's whole lead before the objective, the deadline the least lead before the
+// response deadline. Items that are due too early take the turn of more urgent ones;
+// items that are due too late make their request late.
 func (t Times) Stage(following time.Duration) StageTimes {
 	return StageTimes{
 		Due:      t.Objective.Add(-t.Lead - following),
