--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -9,9 +9,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// admit plans the request's stages with their services, and admits or refuses it
-// (rules.Admit). It returns how long the stages should take. The plans of a request that
-// is refused are cancelled.
+// admit plans the request's stages with their services, and admits or refuses the request
+// (rules.Admit). It returns how long the stages should take. The plans of a refused
+// request are cancelled.
 func (s *Server) admit(ctx context.Context, r *resolved) (time.Duration, *verdict.Error) {
 	retried := s.timeouts.retried(r.route.Name, r.req.Timeout)
 	plan := r.plan()
@@ -77,10 +77,10 @@
 	return plan
 }
 
-// refuseHeld refuses a request that ended the targets which ran it, before any of its
-// stages begins, unless this try of it is the trial. Its caller sends it again to any node
-// under a new identity: without this rule one request ended fifteen engines in seventeen
-// seconds, at nodes that each took it for a new one.
+// refuseHeld refuses a request that crashed the targets that ran it, before any of its
+// stages starts, unless it is admitted as the trial. Clients retry such a request at any
+// node under a new ID: without this check a single request crashed fifteen engines in
+// seventeen seconds, because each node took it for a new one.
 func (s *Server) refuseHeld(r *resolved) *verdict.Error {
 	if s.cfg.Quarantine.Idle() {
 		return nil
@@ -88,7 +88,8 @@
 	for i, d := range r.digests() {
 		switch a := s.cfg.Quarantine.Admit(d).(type) {
 		case quarantine.Trial:
-			// That of a stage's items is the coordinator's, which knows them for suspects.
+			// The trial of a stage's items is up to the coordinator, which knows that they
+			// are suspected.
 			r.trial = r.trial || i == 0
 		case quarantine.Refused:
 			return errHeld(a.Hold, s.cfg.Now())
@@ -97,11 +98,11 @@
 	return nil
 }
 
-// leastHeld is the least time after which the caller of a held request may retry: the
-// hold may be over while another member tries the request.
+// leastHeld is the least time after which the client of a quarantined request may retry:
+// the quarantine may have expired while another member runs the trial.
 const leastHeld = time.Second
 
-// errHeld is the refusal of a request that is held back.
+// errHeld returns the error for a quarantined request.
 func errHeld(hold quarantine.Hold, now time.Time) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets ended when they ran the same request", len(hold.Crashes)).
 		WithRetryAfter(max(hold.Until.Sub(now), leastHeld))
--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -13,17 +13,17 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// maxAnswerBytes bounds an answer that is not a stream, since it is read whole before
-// it is passed on: far above what services answer with, and a tenth of the memory of
-// the smallest instances.
+// maxAnswerBytes limits a response that is not a stream, which is buffered before it is
+// forwarded: far above the responses of services, and a tenth of the memory of the
+// smallest instances.
 const maxAnswerBytes = 16 << 20
 
 // unknownLength is the length of a stream.
 const unknownLength = -1
 
-// passBack gives a target's answer to the caller.
+// passBack forwards a target's response to the client.
 func (s *sender) passBack(ctx context.Context, reply *Reply, timer attemptTimer, sends int) *verdict.Error {
-	// The body has been read to its end or is of no use: its close has nothing to say.
+	// The body has been read to its end or is not needed, so an error of Close is ignored.
 	defer reply.Body.Close()
 	if s.route.Kind == catalog.Stream && reply.Succeeded {
 		return s.answer.passStream(ctx, reply, timer)
@@ -49,20 +49,20 @@
 	}
 }
 
-// answer is what the caller gets.
+// answer is the response to the client.
 type answer struct {
 	out     Responder
 	arrived time.Time
 	now     func() time.Time
 	outcome *Outcome
-	// began is called once, before the first byte is passed back.
+	// began is called once, before the first byte is forwarded.
 	began func(reply *Reply)
 	begun atomic.Bool
-	// lastEvent is the last event that the caller has; empty for none.
+	// lastEvent is the last event that the client has; empty for none.
 	lastEvent string
 }
 
-// begin passes back the head of an answer; length is unknownLength for a stream.
+// begin forwards the header of a response; length is unknownLength for a stream.
 func (a *answer) begin(reply *Reply, length int) *verdict.Error {
 	a.begun.Store(true)
 	a.outcome.Status = reply.Status
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// beginStream passes back the head of a stream, unless the caller has one already.
+// beginStream forwards the header of a stream, unless the client already has one.
 func (a *answer) beginStream(reply *Reply) *verdict.Error {
 	if a.begun.Load() {
 		return nil
@@ -96,14 +96,14 @@
 	return a.write(body)
 }
 
-// passStream passes events back as they come. When the stream breaks it may be
-// continued after the last event that was passed back.
+// passStream forwards events as they arrive. If the stream breaks, it can be resumed after
+// the last event that was forwarded.
 func (a *answer) passStream(ctx context.Context, reply *Reply, timer attemptTimer) *verdict.Error {
 	events := newEventReader(reply.Body)
 	for {
 		ev, err := events.next()
 		if err == io.EOF {
-			// A stream without events has only its head.
+			// A stream without events consists of its header only.
 			return a.beginStream(reply)
 		}
 		if err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// broken returns the error for an answer that was cut. When the request itself had
-// ended, that is the reason.
+// broken returns the error for a truncated response. If the request itself had ended, that
+// is the reason.
 func broken(ctx context.Context, cause error) *verdict.Error {
 	reason := verdict.ReasonCut
 	switch {
--- a/internal/gateway/relay/budgets.go
+++ b/internal/gateway/relay/budgets.go
@@ -7,7 +7,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// retryBudgets are this node's retry budgets by service, safe for concurrent use.
+// retryBudgets holds this node's retry budgets by service. It is safe for concurrent use.
 type retryBudgets struct {
 	policy retrybudget.Policy
 	now    func() time.Time
@@ -20,7 +20,7 @@
 	return &retryBudgets{policy: policy, now: now, services: map[string]*retrybudget.Budget{}}
 }
 
-// of returns a service's budget; the caller holds the lock.
+// of returns a service's budget; the caller must hold the mutex.
 func (b *retryBudgets) of(service string) *retrybudget.Budget {
 	budget := b.services[service]
 	if budget == nil {
@@ -37,7 +37,7 @@
 	b.of(service).First(b.now())
 }
 
-// spend asks for one retry, and counts it when it is allowed.
+// spend reports whether a retry is allowed, and counts it if so.
 func (b *retryBudgets) spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -17,19 +17,19 @@
 type chooser struct {
 	*resolved
 	dataCentre string
-	// node is this node's own name.
+	// node is this node's name.
 	node string
-	// view returns the newest view: it may know that a target leaves, while the
-	// request's own view still governs its route.
+	// view returns the newest view. It may show that a target is leaving, whereas the
+	// route of the request follows the view at its arrival.
 	view    func() *view.View
 	placer  Placer
 	targets *targets
 	now     func() time.Time
 	// members returns how many nodes share the targets' connections.
 	members func() int
-	// givesOut says whether this node gives out the requests of a cold target.
+	// givesOut reports whether this node sends requests to a cold target.
 	givesOut func(target string) bool
-	// tried are the targets that had the request already.
+	// tried are the targets that the request was already sent to.
 	tried      []string
 	quarantine Quarantine
 	gate       Gate
@@ -42,24 +42,24 @@
 	}
 }
 
-// destination is where an attempt goes.
+// destination is the target of an attempt.
 type destination struct {
 	directory.Target
 	// copyFrom is as in Call.
 	copyFrom string
-	// alone says that the request is suspected and that other suspects of this node are
-	// kept away from the target until the attempt has ended.
+	// alone is true if the request is suspected and this node keeps other suspected
+	// requests away from the target until the attempt has ended.
 	alone bool
 }
 
 // place chooses the target of an attempt. inputs are the bytes of the request's inputs in
 // each data centre.
 //
-// Suspected requests do not share a target: when it ends one of them is to blame, and the
-// other would be held as well although it did nothing. Where two requests go to the same
-// targets, an innocent one was held in three of four runs of a test; kept apart, in none
-// of six (platform.TestRequestThatEndsItsTargets). Where no other target is left they do
-// share one.
+// Suspected requests do not share a target: if it crashes, one of them is the cause, and
+// the other would be quarantined as well although it is harmless. When two requests go to
+// the same targets, the harmless one is quarantined in three of four runs of
+// platform.TestRequestThatEndsItsTargets; with separate targets, in none of six. Suspected
+// requests share a target only if no other is left.
 func (c *chooser) place(ctx context.Context, inputs map[string]int64) (destination, bool) {
 	if !c.quarantine.Suspected(c.digest) {
 		return c.choose(ctx, inputs, c.tried, false)
@@ -76,7 +76,7 @@
 	}
 }
 
-// leave notes that an attempt has ended.
+// leave ends the isolation of a target after an attempt.
 func (c *chooser) leave(d destination) {
 	if d.alone {
 		c.targets.endIsolation(d.ID)
@@ -91,13 +91,13 @@
 		if !ok || c.gate.Take(d.Life()) {
 			return d, ok
 		}
-		// Another request has taken the last that the target may get for now.
+		// A concurrent request has used up what the target may get for now.
 		exclude = append(exclude, d.ID)
 	}
 }
 
-// candidate chooses among the targets that are not excluded. For an engine the node that
-// places the service's prompts is asked; when it cannot be, this node chooses by itself.
+// candidate chooses among the targets that are not excluded. Engines are chosen by the
+// node that places the service's prompts; if that fails, this node chooses by itself.
 func (c *chooser) candidate(ctx context.Context, inputs map[string]int64, exclude []string, suspect bool) (destination, bool) {
 	if c.service.Engine {
 		if d, ok := c.askPlacer(ctx, inputs, exclude, suspect); ok {
@@ -108,8 +108,8 @@
 	return destination{Target: target}, ok
 }
 
-// askPlacer has the placer choose; false when it gave no answer, or an engine that
-// this node does not know or may not use.
+// askPlacer asks the placer to choose. It returns false if the placer does not answer or
+// names an engine that is unknown to this node or not usable.
 func (c *chooser) askPlacer(ctx context.Context, inputs map[string]int64, exclude []string, suspect bool) (destination, bool) {
 	d := c.view().Directory
 	now := c.now()
@@ -126,13 +126,13 @@
 	return destination{Target: target, copyFrom: placed.CopyFrom}, true
 }
 
-// own chooses a target by what this node knows alone.
+// own chooses a target by the information of this node alone.
 func (c *chooser) own(inputs map[string]int64, exclude []string) (directory.Target, bool) {
 	list := c.view().Directory.Service(c.service.Name)
 	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, GivesOut: c.givesOut}
 	if c.service.Engine {
-		// Nodes that choose on their own at one moment are many, as after the loss of the
-		// Placer, and do not know of each other's prompts.
+		// Many nodes may choose by themselves at the same time, such as after the loss of
+		// the Placer, and they do not know of each other's prompts.
 		q.GivesOut = func(string) bool { return false }
 	}
 	for _, part := range sharedParts(c.req.Parts) {
@@ -147,8 +147,7 @@
 	return c.targets.choose(c.service, list, q)
 }
 
-// pauses returns how much longer each target of the service wants a pause, but for those that
-// leave.
+// pauses returns the remaining pause of each target of the service that is not leaving.
 func (c *chooser) pauses() []time.Duration {
 	now := c.now()
 	var list []time.Duration
@@ -161,8 +160,8 @@
 	return list
 }
 
-// sharedParts returns the parts of a prompt that other requests may share: all but
-// the last, which belongs to the request or its session alone.
+// sharedParts returns the parts of a prompt that other requests may share: all but the
+// last, which is specific to the request or its session.
 func sharedParts(parts []Part) []placement.SharedPart {
 	if len(parts) < 2 {
 		return nil
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -10,7 +10,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// delivery sends one request to targets until one of them has answered it.
+// delivery sends one request to targets until one of them has responded.
 type delivery struct {
 	*resolved
 	now     func() time.Time
@@ -39,8 +39,8 @@
 	}
 }
 
-// deliver sends the request to targets until one answers, the time is over or no
-// other may be tried.
+// deliver sends the request to targets until one responds, the deadline passes or no other
+// target may be tried.
 func (d *delivery) deliver(ctx context.Context) *verdict.Error {
 	d.budgets.first(d.service.Name)
 	for first := true; ; first = false {
@@ -71,8 +71,8 @@
 	}
 }
 
-// try sends the request to one target, over another connection where an idle one
-// had ended. An error comes with what follows it.
+// try sends the request to one target, again over another connection if an idle one was
+// closed. An error comes with the next step.
 func (d *delivery) try(ctx context.Context, target destination) (rules.NextAttempt, *verdict.Error) {
 	for {
 		err := d.sender.send(ctx, target, d.sends)
@@ -97,8 +97,8 @@
 	}
 }
 
-// report reports a failed attempt and what follows. The end of a request that too
-// many targets refused is reported with its end alone, which lists the attempts.
+// report reports a failed attempt and the next step. If too many targets refused the
+// request, that is left to the report of the request's end, which lists the attempts.
 func (d *delivery) report(next rules.NextAttempt) {
 	giveUp, over := next.(rules.GiveUp)
 	if over && giveUp.Reason == rules.RefusalsSpent {
@@ -110,7 +110,7 @@
 	})
 }
 
-// endError returns the error of a request that cannot be sent any more.
+// endError returns the error of a request that cannot be sent again.
 func (d *delivery) endError(reason verdict.Reason, text string) *verdict.Error {
 	var last *verdict.Error
 	if n := len(d.outcome.Attempts); n > 0 {
@@ -119,8 +119,8 @@
 	return rules.EndError(last, verdict.New(verdict.NotRun, reason, "%s", text))
 }
 
-// final completes the error that ends the request, with whether it may have run
-// and when the client should retry.
+// final completes the error that ends the request: whether the request may have run and
+// when the client should retry.
 func (d *delivery) final(err *verdict.Error) *verdict.Error {
 	if hold, held := d.hold(); held && err.Reason() == verdict.ReasonQuarantined {
 		err = errHeld(hold, d.now())
@@ -133,7 +133,7 @@
 	return err
 }
 
-// hold returns why the request is held, by itself or by the items of a stage.
+// hold returns why the request is quarantined, because of itself or of a stage's items.
 func (d *delivery) hold() (quarantine.Hold, bool) {
 	for _, digest := range d.digests() {
 		if hold, held := d.chooser.quarantine.Held(digest); held {
--- a/internal/gateway/relay/inputs.go
+++ b/internal/gateway/relay/inputs.go
@@ -8,8 +8,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// inputsGone has when inputs that were released early turned out to be gone, by the
-// service that was to read them. It is safe for concurrent use.
+// inputsGone records when inputs that were released early turned out to be missing, by the
+// service that reads them. It is safe for concurrent use.
 type inputsGone struct {
 	mu   sync.Mutex
 	last map[string]time.Time
@@ -17,22 +17,23 @@
 
 func newInputsGone() *inputsGone { return &inputsGone{last: map[string]time.Time{}} }
 
-// of returns when that last happened to a service; zero for never.
+// of returns when inputs of a service were last missing; zero for never.
 func (g *inputsGone) of(service string) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.last[service]
 }
 
-// note notes that it has happened.
+// note records that inputs of a service were missing.
 func (g *inputsGone) note(now time.Time, service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.last[service] = now
 }
 
-// releaseInputs has the request's inputs released once the engine that was just sent
-// it should have fetched them. The caller ends that with the attempt.
+// releaseInputs schedules the release of the request's inputs for when the engine that the
+// request was just sent to should have fetched them. The returned function cancels the
+// release and is called when the attempt ends.
 func (s *sender) releaseInputs() (end func()) {
 	transfers := s.work.results.transfers(s.route.LastStages())
 	if !s.service.Engine || len(transfers) == 0 {
@@ -47,16 +48,16 @@
 	return func() { timer.Stop() }
 }
 
-// noteInputsGone takes in how an attempt ended: that its inputs were gone may be since
-// they were released too early.
+// noteInputsGone records it if an attempt failed because its inputs were missing and they
+// had been released early.
 func (s *sender) noteInputsGone(err *verdict.Error) {
 	if err != nil && err.Reason() == verdict.ReasonInputGone && s.work.results.wereReleasedEarly() {
 		s.inputsGone.note(s.now(), s.service.Name)
 	}
 }
 
-// transfers returns what is fetched of the results of some stages, one for each stage
-// and target that holds any.
+// transfers returns the transfers of the results of some stages, one for each stage and
+// target that holds any.
 func (r *stageResults) transfers(stages []int) []rules.Transfer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/relay/measured.go
+++ b/internal/gateway/relay/measured.go
@@ -7,8 +7,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/relay/rules"
 )
 
-// clientTimeouts has the longest timeout that any client of a route had since
-// this node started. It is safe for concurrent use.
+// clientTimeouts tracks the longest client timeout of each route since this node started.
+// It is safe for concurrent use.
 type clientTimeouts struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration
@@ -18,7 +18,7 @@
 	return &clientTimeouts{longest: map[string]time.Duration{}}
 }
 
-// retried notes a client's timeout and says whether its request is a retry.
+// retried records a client's timeout and reports whether its request is a retry.
 func (c *clientTimeouts) retried(route string, timeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,7 +26,7 @@
 	return rules.Retried(timeout, c.longest[route])
 }
 
-// prefillRates has the prefill rate of each service's engines, safe for
+// prefillRates tracks the prefill rate of each service's engines. It is safe for
 // concurrent use.
 type prefillRates struct {
 	mu       sync.Mutex
@@ -37,7 +37,7 @@
 	return &prefillRates{services: map[string]rules.PrefillRate{}}
 }
 
-// of returns a service's rate; the caller holds the lock.
+// of returns a service's rate; the caller must hold the mutex.
 func (p *prefillRates) of(service string) rules.PrefillRate {
 	if rate, ok := p.services[service]; ok {
 		return rate
@@ -45,14 +45,14 @@
 	return rules.NewPrefillRate()
 }
 
-// time returns how long a service takes to the first event of a prompt.
+// time estimates a service's time to the first event of a prompt.
 func (p *prefillRates) time(service string, tokens int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.of(service).Time(tokens)
 }
 
-// note takes in how long the first event of a prompt took.
+// note records the time to the first event of a prompt.
 func (p *prefillRates) note(service string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/relay/outcome.go
+++ b/internal/gateway/relay/outcome.go
@@ -9,12 +9,12 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// Observer gets what was decided about requests. Its methods are called by many
-// goroutines at once and must not block.
+// Observer receives the decisions about requests and their outcomes. Its methods are
+// called concurrently and must not block.
 type Observer interface {
-	// Decided gets each decision on the way of a request.
+	// Decided is called for each decision about a request.
 	Decided(request string, d Decision)
-	// Ended gets the outcome of each request, once.
+	// Ended is called once for each request.
 	Ended(o *Outcome)
 }
 
@@ -24,19 +24,19 @@
 // Refused is a request that is not admitted because its stages would take too long
 // (rules.Admit).
 type Refused struct {
-	// Stages are what was planned, Backlogs how long each one's service takes for what
-	// was planned before.
+	// Stages are the planned stages, Backlogs how long the service of each takes for work
+	// that was planned before.
 	Stages   []PlannedStage
 	Backlogs []time.Duration
-	// Estimated is how long the stages would take, and Left the time to the objective.
+	// Estimated is how long the stages would take, Left the time to the objective.
 	Estimated, Left time.Duration
 	// Comparison is what admission compared.
 	Comparison rules.Comparison
-	// Retried says that the client was refused before.
+	// Retried is true if the client was refused before.
 	Retried bool
 }
 
-// StageDone is a stage that has its results.
+// StageDone is a stage that completed.
 type StageDone struct {
 	Stage   int
 	Service string
@@ -46,8 +46,8 @@
 	Targets []string
 }
 
-// StageFailed is a stage that has no results. Where its inputs were lost they are
-// computed again and the stage with them; otherwise the request ends.
+// StageFailed is a stage that failed. If its inputs were lost, they are recomputed and the
+// stage runs again; otherwise the request ends.
 type StageFailed struct {
 	Stage   int
 	Service string
@@ -56,29 +56,29 @@
 	Err     *verdict.Error
 }
 
-// AttemptFailed is a call to a target that ended without a whole answer.
+// AttemptFailed is a call to a target that ended without a whole response.
 type AttemptFailed struct {
 	Attempt Attempt
-	// Events is how many events had been passed back.
+	// Events is how many events had been forwarded.
 	Events int
-	// LastEvent is the event after which another target would continue.
+	// LastEvent is the event after which another target would resume the stream.
 	LastEvent string
-	// Left is the time to the answer deadline.
+	// Left is the time to the response deadline.
 	Left time.Duration
-	// WillRetry says whether another target may be asked.
+	// WillRetry reports whether another target may be tried.
 	WillRetry bool
-	// Next is what follows, with the reason where the request is given up.
+	// Next is the next step, with the reason if the request is given up.
 	Next rules.NextAttempt
 }
 
 // TargetEnded is a target whose process ended while it had the request.
 type TargetEnded struct {
 	Target string
-	// Digest is what the request asks for.
+	// Digest identifies the work that the request asks for.
 	Digest quarantine.Digest
-	// Events is how many events of the answer had come from this target.
+	// Events is how many events of the response had come from this target.
 	Events int
-	// Took is the time from the request's sending until its connection broke.
+	// Took is the time from sending the request until its connection broke.
 	Took time.Duration
 }
 
@@ -88,17 +88,17 @@
 func (AttemptFailed) isDecision() {}
 func (TargetEnded) isDecision()   {}
 
-// Outcome is what became of one request.
+// Outcome is the result of one request.
 type Outcome struct {
 	Request *Request
-	// Route, Service and Organisation are what the request was resolved to; empty as
-	// far as it was not.
+	// Route, Service and Organisation are what the request was resolved to; each is empty
+	// if it was not found.
 	Route        *catalog.Route
 	Service      string
 	Organisation string
-	// Digest is what the request asks for; 0 when it was not resolved.
+	// Digest identifies the work that the request asks for; 0 if it was not resolved.
 	Digest quarantine.Digest
-	// Version and Revision are those of the view that governed the request.
+	// Version and Revision are those of the view that applied to the request.
 	Version  int64
 	Revision int64
 	// Attempts are the calls to targets, in order.
@@ -106,20 +106,20 @@
 	// Planned is how long the stages were expected to take when the request was
 	// admitted.
 	Planned time.Duration
-	// StagesTook is the time from the request's arrival until all stages were done for
-	// the first time; what is computed again after a failed attempt is not in it.
+	// StagesTook is the time from the request's arrival until all stages were done for the
+	// first time. Recomputes after a failed attempt are not included.
 	StagesTook time.Duration
-	// FirstByte is the time to the first byte passed back; 0 for none.
+	// FirstByte is the time from arrival to the first byte forwarded; 0 for none.
 	FirstByte time.Duration
 	// Took is the time from arrival to the end.
 	Took time.Duration
-	// Status is the target's, where its answer was passed back; 0 for none.
+	// Status is the target's if its response was forwarded; 0 otherwise.
 	Status int
-	// Events is how many events of a stream were passed back.
+	// Events is how many events of a stream were forwarded.
 	Events int
-	// Recomputed counts how often results had to be computed again.
+	// Recomputed counts how often results had to be recomputed.
 	Recomputed int
-	// Err is nil for a whole answer.
+	// Err is nil for a whole response.
 	Err *verdict.Error
 }
 
@@ -127,8 +127,8 @@
 type Attempt struct {
 	Target string
 	Took   time.Duration
-	// Status is the target's; 0 for no answer.
+	// Status is the target's; 0 for no response.
 	Status int
-	// Err is nil for an answer that was passed back whole.
+	// Err is nil for a response that was forwarded whole.
 	Err *verdict.Error
 }
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -1,19 +1,18 @@
-// Package relay carries one request from its caller to the targets that serve
-// it: its stages first, then the request itself, passed through unchanged, with
-// retries where its route allows them. It owns what it has measured of targets,
-// clients and prompts, and the retry budgets of this node; nothing outlives the
-// process.
+// Package relay forwards requests from clients to the targets that serve them. It runs
+// the stages of a request first and then sends the request itself, unchanged, with
+// retries where its route allows them. It owns the statistics of targets, clients and
+// prompts and the retry budgets of this node. All of them are kept in memory only.
 //
-// What it decides stands in package rules. Serve shows the order: resolve, admit,
+// The decisions are in package rules. Serve shows the order of the steps: resolve, admit,
 // run the stages, deliver.
 //
-// It relies on a view of the configuration and the targets, on a Batcher for the
-// stages, a Placer for prompts and an Upstream for calls, and on the clock. Without
-// a configuration requests are refused as not ready. Without a Placer's answer this
-// node chooses an engine by itself. When the Batcher or all targets fail, the
-// request ends with a verdict error that says whether it may have run.
+// The package depends on a view of the configuration and the targets, a Batcher for
+// stages, a Placer for prompts, an Upstream for calls, and a clock. Without a
+// configuration requests are refused as not ready. If the Placer does not respond, this
+// node chooses an engine by itself. If the Batcher or all targets fail, the request ends
+// with a verdict error that says whether it may have run.
 //
-// The package speaks no protocol. Callers and targets are ports; an adapter
+// The package is independent of protocols: clients and targets are ports, and an adapter
 // translates each.
 package relay
 
@@ -30,15 +29,15 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// Config holds what a Server is made of.
+// Config holds the dependencies and settings of a Server.
 type Config struct {
 	DataCentre string
-	// Node is this node's own name; no other node has it.
+	// Node is the unique name of this node.
 	Node string
 	// View returns the newest view.
 	View func() *view.View
-	// AwaitCatalog waits until the first configuration is there, when that may come
-	// soon. It is asked only while there is none.
+	// AwaitCatalog waits for the first configuration if it may arrive soon. It is called
+	// only while there is none.
 	AwaitCatalog func(ctx context.Context)
 
 	Upstream Upstream
@@ -46,18 +45,18 @@
 	Placer   Placer
 	Observer Observer
 	Now      func() time.Time
-	// RetryPolicy bounds the retries of all nodes.
+	// RetryPolicy limits the retries of all nodes together.
 	RetryPolicy retrybudget.Policy
 	// Members returns how many nodes share the targets' connections.
 	Members func() int
-	// WarmUp widens what cold targets get.
+	// WarmUp widens the request rate limits of cold targets.
 	WarmUp warmup.Margin
-	// GivesOut says whether this node gives out the requests of a cold target of a plain
-	// service. Those of cold engines only the Placer does.
+	// GivesOut reports whether this node sends requests to a cold target of a plain
+	// service. Only the Placer assigns requests to cold engines.
 	GivesOut func(target string) bool
-	// Quarantine knows the requests that end the targets that run them.
+	// Quarantine tracks the requests that crash the targets that run them.
 	Quarantine Quarantine
-	// Gate says which targets may get a request.
+	// Gate controls which targets may get a request.
 	Gate Gate
 }
 
@@ -65,7 +64,7 @@
 type Server struct {
 	cfg Config
 
-	// stopping ends when requests without an answer are to be given up.
+	// stopping is cancelled when requests without a response are to be abandoned.
 	stopping context.Context
 	stop     context.CancelFunc
 
@@ -73,7 +72,7 @@
 	budgets  *retryBudgets
 	timeouts *clientTimeouts
 	prefills *prefillRates
-	// inputsGone is when inputs were released too early.
+	// inputsGone records when inputs were released too early.
 	inputsGone *inputsGone
 }
 
@@ -87,14 +86,14 @@
 	}
 }
 
-// Stop gives up the requests whose answer has not begun.
+// Stop abandons the requests whose response has not started.
 func (s *Server) Stop() { s.stop() }
 
-// Prune forgets what was measured of targets that are gone.
+// Prune drops the statistics of targets that are not in the directory.
 func (s *Server) Prune(d *directory.Directory) { s.targets.prune(d) }
 
-// Serve relays a request. With an error the caller has got nothing, or, if the
-// answer had begun, not the whole answer.
+// Serve relays a request. If it returns an error, the client has received no response or,
+// if the response had started, only a part of it.
 func (s *Server) Serve(ctx context.Context, req *Request, out Responder) *verdict.Error {
 	outcome := &Outcome{Request: req}
 	err := s.serve(ctx, req, out, outcome)
@@ -141,14 +140,14 @@
 	return nil
 }
 
-// decided reports a decision to the observer.
+// decided returns a function that reports decisions about a request to the observer.
 func (s *Server) decided(r *resolved) func(Decision) {
 	return func(d Decision) { s.cfg.Observer.Decided(r.req.ID, d) }
 }
 
-// unreadyRetryAfter returns when a client should retry that met a node without a
-// configuration. Nobody knows when the source will answer, so the client's own time
-// decides, as after every refusal.
+// unreadyRetryAfter returns when a client should retry after a node without a
+// configuration refused it. When the source will respond is unknown, so the delay follows
+// from the client's timeout, as after every refusal.
 func unreadyRetryAfter(timeout time.Duration) time.Duration {
 	if timeout <= 0 {
 		return unknownRetryAfter
@@ -156,11 +155,11 @@
 	return retryAfter(timeout)
 }
 
-// unknownRetryAfter is for clients that send no timeout: long enough to spare a node
-// that has just started, short beside any timeout.
+// unknownRetryAfter applies to clients that send no timeout: long enough to spare a node
+// that has just started, and short compared to any timeout.
 const unknownRetryAfter = time.Second
 
-// retryAfter returns when a client should retry that has so much time left.
+// retryAfter returns when a client with the given time left should retry.
 func retryAfter(left time.Duration) time.Duration {
 	return rules.RetryAfter(left, rand.Float64())
 }
--- a/internal/gateway/relay/resolve.go
+++ b/internal/gateway/relay/resolve.go
@@ -9,25 +9,25 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// resolved is a request with the part of the configuration that governs it. It
-// does not change once the request is admitted.
+// resolved is a request with the part of the configuration that applies to it. It does
+// not change once the request is admitted.
 type resolved struct {
 	req     *Request
 	route   *catalog.Route
 	service *catalog.Service
-	// org is the holder of the caller's key; the zero value for none.
+	// org is the holder of the client's API key; the zero value for none.
 	org catalog.Organisation
-	// digest is what the request asks for.
+	// digest identifies the work that the request asks for.
 	digest quarantine.Digest
-	// trial says that the request is held and may be sent once.
+	// trial is true if the request is quarantined and may be sent once.
 	trial bool
 	// stages has one entry for each stage of the route.
 	stages rules.Stages
 	times  rules.Times
 }
 
-// resolve finds the route, the organisation and the service of a request, and
-// notes them in the outcome as far as it comes.
+// resolve finds the route, the organisation and the service of a request, and records in
+// the outcome those that it found.
 func (s *Server) resolve(req *Request, outcome *Outcome) (*resolved, *verdict.Error) {
 	v := s.cfg.View()
 	c := v.Catalog
@@ -61,9 +61,8 @@
 	return r, nil
 }
 
-// serviceOf returns the service that a request goes to; the route's split is
-// drawn by the request's identity, so that a retry by a client that keeps it goes
-// to the same one.
+// serviceOf returns the service that a request goes to. The route's traffic split is
+// keyed by the request ID, so that a retry with the same ID goes to the same service.
 func serviceOf(c *catalog.Catalog, route *catalog.Route, id string) *catalog.Service {
 	name := route.Service(xxhash.Sum64String(id))
 	if service := c.Service(name); service != nil {
@@ -89,12 +88,12 @@
 	return stages
 }
 
-// stageDigest is what one of the request's stages asks for.
+// stageDigest identifies the work of one of the request's stages.
 func (r *resolved) stageDigest(i int) quarantine.Digest {
 	return quarantine.StageDigestOf(r.org.Name, r.route.Stages[i].Service, i, r.req.Content)
 }
 
-// digests are what the request asks for: itself, and the items of its stages.
+// digests returns the digests of the request itself and of the items of its stages.
 func (r *resolved) digests() []quarantine.Digest {
 	list := []quarantine.Digest{r.digest}
 	for i, stage := range r.stages {
--- a/internal/gateway/relay/results.go
+++ b/internal/gateway/relay/results.go
@@ -8,33 +8,34 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// stageResults holds the results of one run of a request's stages, and releases
-// each as soon as nothing needs it any more.
+// stageResults holds the results of one run of a request's stages, and releases each as
+// soon as it is no longer needed.
 type stageResults struct {
 	work *stageWork
 
 	mu      sync.Mutex
 	results [][]batching.Result
-	// users counts the later stages that still need a stage's results.
+	// users counts the readers of each stage's results that still need them: later stages
+	// and the request itself.
 	users []int
-	// read says which stages have read their inputs.
+	// read tells which stages have read their inputs.
 	read []bool
 	done []bool
-	// inputState says whether the request's own inputs are held.
+	// inputState is the state of the request's own inputs.
 	inputState inputState
 }
 
-// inputState says whether a request's inputs are held.
+// inputState is the state of a request's inputs.
 type inputState int
 
 const (
-	// inputsHeld: they are, as far as anybody knows.
+	// inputsHeld means that the inputs are held, as far as this node knows.
 	inputsHeld inputState = iota
-	// releasedEarly: they were released when the engine should have fetched them.
+	// releasedEarly means that they were released when the engine should have fetched them.
 	releasedEarly
-	// releasedRead: they were released when the engine had read them.
+	// releasedRead means that they were released after the engine had read them.
 	releasedRead
-	// inputsLost: they are gone at their targets.
+	// inputsLost means that they are missing at their targets.
 	inputsLost
 )
 
@@ -52,8 +53,8 @@
 	return r
 }
 
-// inputsRead notes that a stage has read its inputs, and releases those that no
-// other stage needs. A result that is released too early is computed again.
+// inputsRead records that a stage has read its inputs, and releases those that no other
+// stage needs. A result that is released too early is recomputed.
 func (r *stageResults) inputsRead(i int) {
 	r.mu.Lock()
 	known := r.read[i]
@@ -68,8 +69,8 @@
 	}
 }
 
-// countRecompute counts that results are computed again, and ends that when it
-// happens too often.
+// countRecompute counts a recompute of results, and returns an error if there were too
+// many.
 func (r *stageResults) countRecompute() *verdict.Error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// used notes that one of the users of a stage's results has read them.
+// used records that one of the readers of a stage's results has read them.
 func (r *stageResults) used(i int) {
 	r.mu.Lock()
 	r.users[i]--
@@ -119,14 +120,14 @@
 	}
 }
 
-// releaseAll releases what is still held.
+// releaseAll releases all results that are still held.
 func (r *stageResults) releaseAll() {
 	for i := range r.results {
 		r.set(i, nil)
 	}
 }
 
-// inputs returns the handles that the request itself needs.
+// inputs returns the handles of the request's own inputs.
 func (r *stageResults) inputs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +140,7 @@
 	return handles
 }
 
-// bytes returns how many bytes of the request's inputs lie in each data centre.
+// bytes returns the size of the request's inputs in each data centre.
 func (r *stageResults) bytes() map[string]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,7 +153,7 @@
 	return sizes
 }
 
-// consumed releases the inputs, unless that has happened. as says why: the request's
+// consumed releases the inputs if they are still held. as is their new state: the request's
 // target has read them, or should have.
 func (r *stageResults) consumed(as inputState) {
 	r.mu.Lock()
@@ -169,22 +170,22 @@
 	}
 }
 
-// lose notes that the inputs are gone at their targets.
+// lose records that the inputs are missing at their targets.
 func (r *stageResults) lose() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inputState = inputsLost
 }
 
-// holdsInputs says whether the inputs are held.
+// holdsInputs reports whether the inputs are held.
 func (r *stageResults) holdsInputs() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.inputState == inputsHeld
 }
 
-// wereReleasedEarly says whether the inputs were released before the target was known
-// to have read them.
+// wereReleasedEarly reports whether the inputs were released before the target was known to
+// have read them.
 func (r *stageResults) wereReleasedEarly() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -14,13 +14,13 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// noPriority is the priority of a call to a target that knows none.
+// noPriority is the priority of a call to a target that does not support priorities.
 const noPriority = -1
 
-// errTimeout ends the context of an attempt that was silent for too long.
+// errTimeout is the cancellation cause of an attempt that was silent for too long.
 var errTimeout = errors.New("the target took too long")
 
-// sender sends one request to one target at a time and passes the answer back.
+// sender sends one request to one target at a time and forwards the response.
 type sender struct {
 	*resolved
 	upstream Upstream
@@ -30,21 +30,21 @@
 	targets  *targets
 	budgets  *retryBudgets
 	prefills *prefillRates
-	// inputsGone is that of the server.
+	// inputsGone is the server's.
 	inputsGone *inputsGone
 	work       *stageWork
 	answer     *answer
 	outcome    *Outcome
-	// stopping ends when the server stops.
+	// stopping is cancelled when the server stops.
 	stopping   context.Context
 	decided    func(Decision)
 	quarantine Quarantine
 	gate       Gate
-	// tried says that the request's trial has been sent.
+	// tried is true once the request's trial has been sent.
 	tried bool
 }
 
-// send is one attempt. sends counts those before it that may have run.
+// send makes one attempt. sends counts the earlier attempts that may have run.
 func (s *sender) send(ctx context.Context, target destination, sends int) *verdict.Error {
 	start := s.now()
 	s.targets.sent(target.Life())
@@ -82,8 +82,8 @@
 	return err
 }
 
-// noteSurvival takes in whether the target of an attempt that began at some time outlived
-// it. events is how many events came from this target.
+// noteSurvival records whether the target survived an attempt that started at began.
+// events is how many events came from this target.
 func (s *sender) noteSurvival(target directory.Target, began time.Time, tried Attempt, events int) {
 	if rules.Outlived(tried.Err) {
 		s.quarantine.Answered(s.digest)
@@ -96,17 +96,17 @@
 		go s.checkEnded(target, began, ended)
 		return
 	}
-	// The next attempt depends on it.
+	// The next attempt depends on the result.
 	s.checkEnded(target, began, ended)
 }
 
-// endedTimeout bounds the question whether a target has ended: its instance refuses a
-// connection within a round trip, some milliseconds. A request that may be repeated waits
-// for it.
+// endedTimeout limits the check whether a target has crashed: its instance refuses a
+// connection within a round trip, some milliseconds. A repeatable request waits for the
+// result.
 const endedTimeout = 200 * time.Millisecond
 
-// checkEnded asks whether the target of a request whose connection broke has ended, and
-// reports that. began is when the request was sent there.
+// checkEnded checks whether the target of a request whose connection broke has crashed,
+// and reports it if so. began is when the request was sent there.
 func (s *sender) checkEnded(target directory.Target, began time.Time, ended TargetEnded) {
 	ctx, cancel := context.WithTimeout(s.stopping, endedTimeout)
 	defer cancel()
@@ -116,8 +116,7 @@
 	}
 }
 
-// attemptTimer ends an attempt that was silent for too long. The zero value never
-// does.
+// attemptTimer ends an attempt that is silent for too long. The zero value never fires.
 type attemptTimer struct {
 	timer *time.Timer
 	limit time.Duration
@@ -129,7 +128,7 @@
 	}
 }
 
-// reset begins the time of silence anew.
+// reset restarts the timer after a sign of activity.
 func (t attemptTimer) reset() {
 	if t.timer != nil {
 		t.timer.Reset(t.limit)
@@ -161,9 +160,10 @@
 	return c
 }
 
-// permit is asked just before the first byte is written: the target may have
-// begun to leave, a process that was paused may be too late, and targets may have ended
-// with the same request meanwhile.
+// permit is called just before the first byte is written, and returns an error if the
+// request must not be sent: by then the target may have started to leave, the deadline may
+// have passed while the process was paused, or targets may have crashed on the same
+// request.
 func (s *sender) permit(target directory.Target) error {
 	now := s.now()
 	if !now.Before(s.times.Answer) {
@@ -178,16 +178,16 @@
 	return nil
 }
 
-// takeTrial says whether the request may be sent although it is held: as the trial that
-// it was admitted for, once.
+// takeTrial reports whether the request may be sent although it is quarantined: once, if
+// it was admitted as a trial.
 func (s *sender) takeTrial() bool {
 	first := s.trial && !s.tried
 	s.tried = true
 	return first
 }
 
-// answerBegan notes the first bytes of an answer to an attempt that was sent at
-// the given time: the engine has read the prompt and the inputs.
+// answerBegan handles the first bytes of the response to an attempt that was sent at the
+// given time: they show that the engine has read the prompt and the inputs.
 func (s *sender) answerBegan(reply *Reply, sent time.Time) {
 	s.prefilled(true)
 	if s.service.Engine && reply.Succeeded {
@@ -196,15 +196,15 @@
 	s.work.results.consumed(releasedRead)
 }
 
-// prefilled reports to the placer that the prompt no longer loads its engine:
-// whole says whether it was read.
+// prefilled reports to the placer that the prompt no longer loads its engine; whole says
+// whether the prefill was completed.
 func (s *sender) prefilled(whole bool) {
 	if s.service.Engine {
 		s.placer.Prefilled(s.service.Name, s.req.ID, whole)
 	}
 }
 
-// noteEnd takes in how a target answered.
+// noteEnd records the result of an attempt in the statistics of its target.
 func (s *sender) noteEnd(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
 	e := attemptEnd{target: target.Life(), took: took}
 	if reply != nil {
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -18,11 +18,11 @@
 	now     func() time.Time
 	decided func(Decision)
 	chooser *chooser
-	// recomputes counts how often results were computed again; the lock of results
-	// guards it.
+	// recomputes counts how often results were recomputed. It is guarded by the mutex of
+	// results.
 	recomputes int
-	// results are those of the newest run. A recompute replaces them, so that a late
-	// report of an earlier run changes nothing.
+	// results are those of the latest run. A recompute replaces them, so that a late report
+	// of an earlier run has no effect.
 	results *stageResults
 }
 
@@ -32,7 +32,7 @@
 	return w
 }
 
-// ensure recomputes the request's inputs when they were released or are gone.
+// ensure recomputes the request's inputs if they were released or lost.
 func (w *stageWork) ensure(ctx context.Context) *verdict.Error {
 	if w.results.holdsInputs() || len(w.stages) == 0 {
 		return nil
@@ -45,8 +45,8 @@
 	return w.results.run(ctx)
 }
 
-// run runs all stages that are not done, each as soon as the stages before it are
-// done. When one fails, the others are cancelled.
+// run runs all stages that are not done, each as soon as the stages that it depends on are
+// done. If a stage fails, the others are cancelled.
 func (r *stageResults) run(ctx context.Context) *verdict.Error {
 	stages := r.work.stages
 	if len(stages) == 0 {
@@ -79,7 +79,7 @@
 	return firstError(errs)
 }
 
-// firstError returns the error that is not a consequence of another's.
+// firstError returns the error that caused the others, which are cancellations.
 func firstError(errs []*verdict.Error) *verdict.Error {
 	var first *verdict.Error
 	for _, err := range errs {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// compute gets the results of a stage's items. When an input is gone at its
-// target, the stages that it comes from are computed again first.
+// compute gets the results of a stage's items. If an input is missing at its target, the
+// stages that it comes from are recomputed first.
 func (r *stageResults) compute(ctx context.Context, i int) *verdict.Error {
 	for {
 		if err := r.computeInputs(ctx, i); err != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// runItems has a stage's items run and keeps their results.
+// runItems runs a stage's items and stores their results.
 func (r *stageResults) runItems(ctx context.Context, i int) *verdict.Error {
 	w := r.work
 	service, begun := w.route.Stages[i].Service, w.now()
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// targetsOf returns the targets that results are held at, each once.
+// targetsOf returns the distinct targets that hold the results.
 func targetsOf(results []batching.Result) []string {
 	var targets []string
 	for _, r := range results {
@@ -167,7 +167,7 @@
 		if err := r.compute(ctx, a); err != nil {
 			return err
 		}
-		// The inputs of a result that is computed again have no other use.
+		// The inputs of a recomputed result have no other use.
 		for _, b := range r.work.stages[a].After {
 			r.releaseUnused(b)
 		}
@@ -175,8 +175,7 @@
 	return nil
 }
 
-// group returns the items of a stage with their times, inputs and preferred data
-// centre.
+// group returns the items of a stage with their times, inputs and preferred data centre.
 func (r *stageResults) group(i int) Group {
 	w := r.work
 	times := w.times.Stage(w.stages.Following(i))
@@ -204,8 +203,8 @@
 	return g
 }
 
-// nearEngine returns the data centre of the engine that will probably read a
-// first stage's results; empty when they are few or read by a later stage.
+// nearEngine returns the data centre of the engine that will probably read the results of
+// a first stage; empty if they are small or are read by a later stage.
 func (r *stageResults) nearEngine(i int) string {
 	w := r.work
 	if !slices.Contains(w.route.LastStages(), i) || !w.service.Engine {
--- a/internal/gateway/relay/stream.go
+++ b/internal/gateway/relay/stream.go
@@ -8,21 +8,21 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventBytes bounds one event of a stream, which is held whole before it is passed
-// on; events have some hundred bytes.
+// maxEventBytes limits the size of a stream's event, which is buffered before it is
+// forwarded; events have some hundred bytes.
 const maxEventBytes = 1 << 20
 
-// errTornEvent is a stream that ended within an event.
+// errTornEvent means that a stream ended within an event.
 var errTornEvent = errors.New("the stream ended within an event")
 
-// event is one whole event of a stream, with the empty line that ends it.
+// event is one complete event of a stream, including the empty line that ends it.
 type event struct {
 	text []byte
 	// id is the event's number; empty for none.
 	id string
 }
 
-// eventReader reads whole events.
+// eventReader reads complete events of a stream.
 type eventReader struct {
 	r    *bufio.Reader
 	text []byte
@@ -32,7 +32,7 @@
 	return &eventReader{r: bufio.NewReader(r)}
 }
 
-// next returns the next event, or io.EOF when the stream is whole. The event is
+// next returns the next event, or io.EOF at the end of a complete stream. The event is
 // valid until the next call.
 func (e *eventReader) next() (event, error) {
 	e.text = e.text[:0]
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -12,16 +12,16 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// targets is what this node has measured of targets, safe for concurrent use.
+// targets holds this node's statistics of targets. It is safe for concurrent use.
 type targets struct {
 	now    func() time.Time
 	margin warmup.Margin
 
 	mu    sync.Mutex
 	table *placement.TargetTable
-	// limits bound what cold targets get, by service.
+	// limits are the request rate limits of cold targets, by service.
 	limits map[string]*warmup.Limits
-	// isolated are the targets that have a suspected request of this node.
+	// isolated are the targets that a suspected request of this node was sent to.
 	isolated map[string]bool
 }
 
@@ -29,7 +29,7 @@
 	return &targets{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
 }
 
-// limitsOf returns the limits of a service; the caller holds the lock.
+// limitsOf returns the limits of a service; the caller must hold the mutex.
 func (t *targets) limitsOf(service *catalog.Service) *warmup.Limits {
 	limits := t.limits[service.Name]
 	if limits == nil {
@@ -40,8 +40,8 @@
 	return limits
 }
 
-// choose chooses an engine by the shared parts of a prompt, or a target for a request
-// without one.
+// choose chooses an engine by the shared parts of a prompt, or the least loaded target of
+// a plain service.
 func (t *targets) choose(service *catalog.Service, list []directory.Target, q placement.Query) (directory.Target, bool) {
 	now := t.now()
 	t.mu.Lock()
@@ -53,22 +53,22 @@
 	return t.table.LeastLoaded(now, list, q)
 }
 
-// ejected returns the identities of the targets that are not used for now.
+// ejected returns the IDs of the targets that are temporarily not used.
 func (t *targets) ejected(now time.Time, d *directory.Directory) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Ejected(now, d)
 }
 
-// withSuspects returns the targets that have a suspected request of this node.
+// withSuspects returns the targets that a suspected request of this node was sent to.
 func (t *targets) withSuspects() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Collect(maps.Keys(t.isolated))
 }
 
-// isolate keeps other suspected requests of this node away from a target; false when
-// there is one already.
+// isolate keeps other suspected requests of this node away from a target. It returns false
+// if the target already has one.
 func (t *targets) isolate(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,15 +91,15 @@
 	t.table.Sent(l)
 }
 
-// attemptEnd is how an attempt at a target ended.
+// attemptEnd is the result of an attempt at a target.
 type attemptEnd struct {
 	target directory.Life
-	// load is what the target reported of itself; nil for nothing.
+	// load is the load that the target reported; nil for none.
 	load *placement.Load
-	// took is the time to the answer's head, or to the failure.
+	// took is the time to the response header or to the failure.
 	took time.Duration
-	// fault says that a failure counts against the target, unreachable that it took
-	// no connection.
+	// fault is true if a failure counts against the target, unreachable if the target did
+	// not accept a connection.
 	fault, unreachable bool
 }
 
