--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -104,6 +104,6 @@
 
 // errHeld returns the error for a quarantined request.
 func errHeld(hold quarantine.Hold, now time.Time) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets ended when they ran the same request", len(hold.Crashes)).
+	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets crashed while they ran the same request", len(hold.Crashes)).
 		WithRetryAfter(max(hold.Until.Sub(now), leastHeld))
 }
--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -36,7 +36,7 @@
 	case rules.TryAnother:
 		return verdict.New(verdict.Ran, verdict.ReasonTargetError, "the target answered with status %d", reply.Status)
 	case rules.BreakOff:
-		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "the stream could not be continued: status %d", reply.Status)
+		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "the stream could not be resumed: status %d", reply.Status)
 	}
 	return s.answer.passWhole(reply, body)
 }
@@ -147,5 +147,5 @@
 }
 
 func callerGone(cause error) *verdict.Error {
-	return verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "the caller has gone").WithCause(cause)
+	return verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "the client has disconnected").WithCause(cause)
 }
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -48,11 +48,11 @@
 			return err
 		}
 		if !first && !d.budgets.spend(d.service.Name) {
-			return d.endError(verdict.ReasonRetryExhausted, "the retry budget is spent")
+			return d.endError(verdict.ReasonRetryExhausted, "the retry budget is exhausted")
 		}
 		target, ok := d.chooser.place(ctx, d.work.results.bytes())
 		if !ok {
-			return d.endError(verdict.ReasonNoTarget, "no target can take the request")
+			return d.endError(verdict.ReasonNoTarget, "no target is available")
 		}
 		next, err := d.try(ctx, target)
 		d.chooser.leave(target)
--- a/internal/gateway/relay/resolve.go
+++ b/internal/gateway/relay/resolve.go
@@ -32,19 +32,19 @@
 	v := s.cfg.View()
 	c := v.Catalog
 	if c == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "no configuration is known yet").
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "no configuration is available yet").
 			WithRetryAfter(unreadyRetryAfter(req.Timeout))
 	}
 	outcome.Version, outcome.Revision = c.Version, int64(v.Revision)
 	r := &resolved{req: req, route: c.Route(req.Host, req.Path)}
 	outcome.Route = r.route
 	if r.route == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotFound, "no route leads there")
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotFound, "no route matches the request")
 	}
 	if !r.route.Public && c.NeedsKeys() {
 		org := c.Organisation(req.Key)
 		if org == nil {
-			return nil, verdict.New(verdict.NotRun, verdict.ReasonUnauthorised, "the key is not known")
+			return nil, verdict.New(verdict.NotRun, verdict.ReasonUnauthorised, "the API key is unknown")
 		}
 		r.org = *org
 		outcome.Organisation = org.Name
--- a/internal/gateway/relay/results.go
+++ b/internal/gateway/relay/results.go
@@ -76,7 +76,7 @@
 	defer r.mu.Unlock()
 	r.work.recomputes++
 	if !rules.MayRecompute(r.work.recomputes) {
-		return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "results were lost too often")
+		return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "stage results were lost too often")
 	}
 	return nil
 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -18,7 +18,7 @@
 const noPriority = -1
 
 // errTimeout is the cancellation cause of an attempt that was silent for too long.
-var errTimeout = errors.New("the target took too long")
+var errTimeout = errors.New("the target did not respond in time")
 
 // sender sends one request to one target at a time and forwards the response.
 type sender struct {
@@ -167,7 +167,7 @@
 func (s *sender) permit(target directory.Target) error {
 	now := s.now()
 	if !now.Before(s.times.Answer) {
-		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time is over")
+		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline has passed")
 	}
 	if !s.view().Directory.Usable(target.ID, now) || s.gate.HeldBack(target.Life()) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target, or its data centre, takes no new work")
--- a/internal/gateway/relay/stream.go
+++ b/internal/gateway/relay/stream.go
@@ -13,7 +13,7 @@
 const maxEventBytes = 1 << 20
 
 // errTornEvent means that a stream ended within an event.
-var errTornEvent = errors.New("the stream ended within an event")
+var errTornEvent = errors.New("the stream ended in the middle of an event")
 
 // event is one complete event of a stream, including the empty line that ends it.
 type event struct {
