--- a/internal/gateway/relay/bench_test.go
+++ b/internal/gateway/relay/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkAdmit measures a request with three stages from its arrival to its
-// refusal: finding its route, planning its stages and comparing their time.
+// BenchmarkAdmit measures the refusal of a request with three stages: resolving its route,
+// planning its stages and comparing their estimated time.
 func BenchmarkAdmit(b *testing.B) {
 	w, s := setup(chain(), true)
 	w.wait = 3 * time.Second
--- a/internal/gateway/relay/evacuated_test.go
+++ b/internal/gateway/relay/evacuated_test.go
@@ -11,10 +11,10 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// TestEvacuated holds that a request which no data centre can serve is refused before
-// any of its stages runs.
+// TestEvacuated checks that a request whose service is evacuated in all data centres is
+// refused before any of its stages runs.
 func TestEvacuated(t *testing.T) {
-	convey.Convey("A request whose engines are all in evacuated data centres is refused at once", t, func() {
+	convey.Convey("A request whose engines are all in evacuated data centres is refused immediately", t, func() {
 		w, s := setupView(chain(), true, 0, func(v *view.View) *view.View {
 			return v.WithChanges(time.Now(), view.Changes{Revision: 2, List: []view.Change{
 				view.EvacuationChange{Evacuation: view.Evacuation{DataCentre: "d", Active: true, Revision: 2}},
@@ -30,10 +30,10 @@
 	})
 }
 
-// TestColdEnginesWithoutPlacer holds that a node which has no answer of the member that
-// places prompts sends none to cold engines: all nodes would at that moment.
+// TestColdEnginesWithoutPlacer checks that a node sends no prompt to cold engines when the
+// placer does not respond: all nodes choose by themselves then and would overload them.
 func TestColdEnginesWithoutPlacer(t *testing.T) {
-	convey.Convey("Without an answer of the placer a request is refused when all engines are cold", t, func() {
+	convey.Convey("If the placer does not respond and all engines are cold, a request is refused", t, func() {
 		w, s := setupView(&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2}, true, 0, func(v *view.View) *view.View {
 			return v.WithChanges(time.Now(), view.Changes{Revision: 2, List: allCold(v)}, time.Time{})
 		})
@@ -45,7 +45,7 @@
 	})
 }
 
-// allCold has all targets of a view say that they are cold.
+// allCold returns changes that mark all targets of a view as cold.
 func allCold(v *view.View) []view.Change {
 	var list []view.Change
 	for _, t := range v.Directory.All() {
@@ -54,8 +54,8 @@
 	return list
 }
 
-// TestHeldBackTarget holds that a target which told the node something between the choice and
-// the first byte does not get the request, and another does.
+// TestHeldBackTarget checks that a request goes to another target if the chosen one
+// announces that it is leaving or pausing before the first byte is written.
 func TestHeldBackTarget(t *testing.T) {
 	convey.Convey("A request goes to another target when the chosen one is held back", t, func() {
 		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
--- a/internal/gateway/relay/oracle_test.go
+++ b/internal/gateway/relay/oracle_test.go
@@ -12,8 +12,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// TestServeAgainstOracle lets targets and stages do anything and holds what a
-// caller and the targets see against the promises.
+// TestServeAgainstOracle runs requests against targets and stages with random behaviour,
+// and checks the guarantees to clients and targets: no more runs than the route allows, a
+// correct verdict, no gap or repeat in a stream, and no leaked results.
 func TestServeAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := chain()
@@ -36,13 +37,13 @@
 		case may && w.ran > r.MaxAttempts:
 			t.Fatalf("%d targets may have run it, %d are allowed", w.ran, r.MaxAttempts)
 		case err != nil && err.Verdict() == verdict.NotRun && w.ran > 0 && !may:
-			t.Fatalf("refused as not run, and it ran")
+			t.Fatalf("refused as not run, but it ran")
 		case len(w.held) > 0:
 			t.Fatalf("results %v were never released", w.held)
 		case err != nil && err.Verdict() == verdict.NotRun && err.RetryAfter() <= 0:
 			t.Fatalf("refused without a time to retry: %v", err)
 		case err == nil && !out.begun:
-			t.Fatal("no error and no answer")
+			t.Fatal("no error and no response")
 		}
 		for _, m := range w.groups {
 			if len(r.Stages[m.Stage].After) > 0 && len(m.Inputs) == 0 {
@@ -55,8 +56,8 @@
 	})
 }
 
-// drawAnswer draws what a target does. A stream's events depend on nothing but
-// their numbers, so a target that goes on from the start sends them again.
+// drawAnswer draws the behaviour of a target. The events of a stream depend on their
+// numbers only, so a target that starts from the beginning repeats them.
 func drawAnswer(t *rapid.T) answer {
 	switch rapid.IntRange(0, 5).Draw(t, "answer") {
 	case 0:
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -13,12 +13,12 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// allEnded says that whatever target the request breaks at has ended.
+// allEnded marks all targets as crashed.
 func allEnded() map[string]bool {
 	return map[string]bool{"t0": true, "t1": true, "t2": true, "t3": true}
 }
 
-// crashes has the server send a request so often to targets that end with it.
+// crashes serves a request n times, and each time its target crashes.
 func crashes(w *world, s *relay.Server, n int) {
 	w.ended = allEnded()
 	for i := range n {
@@ -30,8 +30,8 @@
 	w.calls, w.answers = nil, nil
 }
 
-// shouldRefuseHeld holds that a request was refused as not run, and with the time when it
-// may come back, before anything was done for it.
+// shouldRefuseHeld asserts that a quarantined request was refused as not run, with a time
+// to retry, before any work was done for it.
 func shouldRefuseHeld(w *world, err *verdict.Error) {
 	convey.So(err, convey.ShouldNotBeNil)
 	convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
@@ -41,10 +41,10 @@
 	convey.So(w.groups, convey.ShouldBeEmpty)
 }
 
-// TestRequestThatEndsTargets holds that a request which ended two targets is sent to no
-// other, and that others are.
+// TestRequestThatEndsTargets checks that a request that crashed two targets is sent to no
+// further target, and that other requests are not affected.
 func TestRequestThatEndsTargets(t *testing.T) {
-	convey.Convey("After two targets ended with it a request is refused before its stages begin", t, func() {
+	convey.Convey("A request that crashed two targets is refused before its stages start", t, func() {
 		route := chain()
 		route.Resumable, route.MaxAttempts = false, 1
 		w, s := setup(route, true)
@@ -63,7 +63,7 @@
 			convey.So(s.Serve(t.Context(), other, &client{}), convey.ShouldBeNil)
 		})
 	})
-	convey.Convey("An answer in between clears it, also one that is a failure of the target's own", t, func() {
+	convey.Convey("A response in between clears it, even a failure of the target itself", t, func() {
 		for _, a := range []answer{{status: 200, body: "whole"}, {status: 500}} {
 			w, s := setup(plainRoute(), false)
 			w.ctx = t.Context()
@@ -75,7 +75,7 @@
 			convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
 		}
 	})
-	convey.Convey("Connections that break while their targets live hold nothing", t, func() {
+	convey.Convey("Connections that break while their targets are running do not quarantine a request", t, func() {
 		w, s := setup(plainRoute(), false)
 		for range 5 {
 			w.answers = []answer{lost()}
@@ -83,7 +83,7 @@
 		}
 		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
 	})
-	convey.Convey("A request that may be repeated goes to no third target, and its caller is told that it may have run", t, func() {
+	convey.Convey("A repeatable request goes to no third target, and its client is told that it may have run", t, func() {
 		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, false)
 		w.ended = allEnded()
 		w.slow = 10 * time.Millisecond
@@ -93,7 +93,7 @@
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
 		convey.So(w.calls, convey.ShouldHaveLength, 2)
 	})
-	convey.Convey("A stream goes on at no third target", t, func() {
+	convey.Convey("A stream is not resumed at a third target", t, func() {
 		w, s := setup(&catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 4}, true)
 		w.ended = allEnded()
 		w.slow = 10 * time.Millisecond
@@ -105,7 +105,7 @@
 	})
 }
 
-// fakeQuarantine answers what a test sets.
+// fakeQuarantine returns what a test sets.
 type fakeQuarantine struct {
 	admission quarantine.Admission
 	suspected bool
@@ -124,10 +124,10 @@
 func (q *fakeQuarantine) TargetEnded(quarantine.Digest, quarantine.Crash) {}
 func (q *fakeQuarantine) Answered(quarantine.Digest)                      { q.answered++ }
 
-// TestTrial holds that a trial is sent once, and that what is held after a request was
-// admitted keeps it from being sent.
+// TestTrial checks that a trial is sent once, and that a request that is quarantined after
+// its admission is not sent.
 func TestTrial(t *testing.T) {
-	convey.Convey("A trial is sent, and its answer passed back", t, func() {
+	convey.Convey("A trial is sent, and its response forwarded", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Trial{}, held: true}
 		w, s := setupQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
 		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
@@ -144,7 +144,7 @@
 		convey.So(w.calls, convey.ShouldHaveLength, 1)
 		convey.So(q.answered, convey.ShouldEqual, 0)
 	})
-	convey.Convey("A request that is held after it was admitted is refused just before it is written", t, func() {
+	convey.Convey("A request that is quarantined after its admission is refused just before it is written", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Free{}, held: true}
 		w, s := setupQuarantine(plainRoute(), q)
 		err := s.Serve(t.Context(), request(), &client{})
@@ -154,20 +154,20 @@
 	})
 }
 
-// setupQuarantine returns a server for one route with a quarantine of the test's own.
+// setupQuarantine returns a server for one route with the given quarantine.
 func setupQuarantine(r *catalog.Route, q relay.Quarantine) (*world, *relay.Server) {
 	return setupWith(r, false, 0, keepView, q)
 }
 
-// newKeeper returns a keeper that nobody hears of, and that tries nothing.
+// newKeeper returns a keeper that notifies no one and runs no trials.
 func newKeeper() *quarantine.Keeper {
 	return quarantine.NewKeeper(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, GivesOut: func(string) bool { return false },
 	})
 }
 
-// TestSuspectsApart holds that suspected requests do not share a target where there is
-// another.
+// TestSuspectsApart checks that suspected requests do not share a target while another one
+// is available.
 func TestSuspectsApart(t *testing.T) {
 	convey.Convey("Four suspects at once go to four targets, and a fifth shares one", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Free{}, suspected: true}
@@ -178,7 +178,7 @@
 			go func() {
 				req := request()
 				req.Timeout = 500 * time.Millisecond
-				// By the shared part all go to one engine first.
+				// Because of the shared part all prefer the same engine.
 				req.Parts = []relay.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 10}}
 				_ = s.Serve(t.Context(), req, &client{})
 				ended <- struct{}{}
@@ -194,7 +194,7 @@
 		for range 5 {
 			<-ended
 		}
-		convey.Convey("and the targets are free for others once they have ended", func() {
+		convey.Convey("and the targets are available again once they have ended", func() {
 			convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
 		})
 	})
--- a/internal/gateway/relay/rules/admission_test.go
+++ b/internal/gateway/relay/rules/admission_test.go
@@ -7,8 +7,8 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// firstAttempt is a request with 2 s to its objective and
-// stages of 500 ms, that waits so long for others.
+// firstAttempt returns a request with 2 s to its objective, whose stages take 500 ms and
+// wait for other requests' work.
 func firstAttempt(wait time.Duration) Admission {
 	return Admission{
 		Estimated: 500*time.Millisecond + wait, Alone: 500 * time.Millisecond,
@@ -33,25 +33,25 @@
 }
 
 func TestAdmitFirstAttempt(t *testing.T) {
-	// 0.85 of 2 s less the stages' 500 ms and the engine's 150 ms.
+	// 0.85 of 2 s minus 500 ms for the stages and 150 ms for the engine.
 	const bound = 1050 * time.Millisecond
 	convey.Convey("A request is admitted up to the bound and refused beyond", t, func() {
 		shouldAdmit(firstAttempt(bound))
 		shouldRefuse(firstAttempt(bound + 1))
 	})
-	convey.Convey("A request whose stages would fit the time left is refused when the share, the engine and its own work are taken off", t, func() {
+	convey.Convey("A request whose stages would fit the time left is refused if they exceed the bound", t, func() {
 		a := firstAttempt(1200 * time.Millisecond)
 		convey.So(a.Estimated, convey.ShouldBeLessThan, a.Left)
 		shouldRefuse(a)
 	})
-	convey.Convey("Each step of priority costs a margin", t, func() {
+	convey.Convey("Each step of priority lowers the bound by a margin", t, func() {
 		a := firstAttempt(bound)
 		a.Priority = 1
 		shouldRefuse(a)
 		a.Estimated -= priorityMargin
 		shouldAdmit(a)
 	})
-	convey.Convey("A request's own work is never a reason, on an idle system or one that is nearly so", t, func() {
+	convey.Convey("A request is not refused for its own work, on an idle or nearly idle system", t, func() {
 		a := firstAttempt(0)
 		a.Estimated, a.Alone = time.Minute, time.Minute
 		shouldAdmit(a)
@@ -60,7 +60,7 @@
 		a.Estimated++
 		shouldRefuse(a)
 	})
-	convey.Convey("A request whose objective has passed still has the least wait", t, func() {
+	convey.Convey("A request whose objective has passed may still wait for minWait", t, func() {
 		a := firstAttempt(minWait)
 		a.Left = -time.Second
 		shouldAdmit(a)
@@ -68,17 +68,17 @@
 }
 
 func TestAdmitRetry(t *testing.T) {
-	convey.Convey("A retried request that does not fit is refused at once, as any other", t, func() {
+	convey.Convey("A retried request that does not fit is refused immediately, as any other", t, func() {
 		shouldRefuse(retry(3*time.Second, 0))
 		shouldRefuse(retry(3*time.Second, 4*time.Second))
 	})
-	convey.Convey("It is admitted by its whole objective, however late it is", t, func() {
+	convey.Convey("It is measured against its whole objective, however late it is", t, func() {
 		shouldAdmit(retry(time.Second, 4*time.Second))
 	})
 }
 
 func TestRetried(t *testing.T) {
-	convey.Convey("A request is a retry when its client has clearly less time than the route's clients usually have", t, func() {
+	convey.Convey("A request is a retry if its client has clearly less time than the route's clients usually have", t, func() {
 		for _, c := range []struct {
 			what             string
 			timeout, longest time.Duration
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -7,7 +7,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// failed is a failure of a target's own that may be tried elsewhere.
+// failed returns a failure of a target that may be retried at another one.
 func failed() Answer {
 	return Answer{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
 }
@@ -17,7 +17,7 @@
 }
 
 func TestAfterAnswer(t *testing.T) {
-	convey.Convey("A target's own failure is tried at another target", t, func() {
+	convey.Convey("A failure of the target itself is retried at another target", t, func() {
 		shouldBecome(failed(), TryAnother{})
 	})
 	for _, c := range []struct {
@@ -28,19 +28,19 @@
 		{"a failure that another target would report as well", func(a *Answer) { a.Status = 404 }},
 		{"a failure of a request that must not run twice", func(a *Answer) { a.Retryable = false }},
 		{"a failure of the last attempt", func(a *Answer) { a.Sends = 1 }},
-		{"a failure while the retry budget is spent", func(a *Answer) { a.Budget = 0.9 }},
+		{"a failure while the retry budget is exhausted", func(a *Answer) { a.Budget = 0.9 }},
 		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }},
 	} {
 		a := failed()
 		c.change(&a)
-		convey.Convey("The caller gets "+c.what, t, func() { shouldBecome(a, PassOn{}) })
+		convey.Convey("The client gets "+c.what, t, func() { shouldBecome(a, PassOn{}) })
 		a.Begun = true
-		convey.Convey("A stream that has begun is broken off by "+c.what, t, func() { shouldBecome(a, BreakOff{}) })
+		convey.Convey("A stream that has started is aborted by "+c.what, t, func() { shouldBecome(a, BreakOff{}) })
 	}
 }
 
 func TestEventPassed(t *testing.T) {
-	convey.Convey("A continued stream leaves out what the caller has", t, func() {
+	convey.Convey("A resumed stream skips the events that the client already has", t, func() {
 		for _, c := range []struct {
 			id, last string
 			want     bool
--- a/internal/gateway/relay/rules/estimate_test.go
+++ b/internal/gateway/relay/rules/estimate_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// chain are three stages, each after the one before, of 100, 200 and 300 ms.
+// chain returns three stages of 100, 200 and 300 ms, each of which depends on the one
+// before.
 func chain(items ...int) Stages {
 	return Stages{
 		{Items: items[0], Time: 100 * ms},
@@ -30,11 +31,11 @@
 		shouldTake(chain(1, 1, 1), 700*ms, 0, 0, 400*ms)
 		shouldTake(chain(1, 1, 1), 1000*ms, 400*ms, 0, 0)
 	})
-	convey.Convey("A stage without items is left out, and has no backlog", t, func() {
+	convey.Convey("A stage without items is skipped, and has no backlog", t, func() {
 		shouldTake(chain(1, 1, 0), 700*ms, 400*ms, 500*ms)
 		shouldTake(chain(0, 0, 0), 0)
 	})
-	convey.Convey("Stages side by side take as long as the longer one", t, func() {
+	convey.Convey("Independent stages take as long as the longest", t, func() {
 		side := chain(1, 1, 1)
 		side[2].After = nil
 		shouldTake(side, 300*ms)
@@ -43,7 +44,7 @@
 }
 
 func TestFollowing(t *testing.T) {
-	convey.Convey("A stage is followed by all stages that need it, directly or not", t, func() {
+	convey.Convey("A stage is followed by all stages that depend on it, directly or not", t, func() {
 		convey.So(chain(1, 1, 1).Following(0), convey.ShouldEqual, 500*ms)
 		convey.So(chain(1, 1, 1).Following(2), convey.ShouldEqual, 0)
 		convey.So(chain(1, 1, 0).Following(0), convey.ShouldEqual, 200*ms)
@@ -51,29 +52,29 @@
 }
 
 func TestBatchTime(t *testing.T) {
-	convey.Convey("A batch is expected to be six tenths full", t, func() {
+	convey.Convey("A batch is expected to be 60 percent full", t, func() {
 		convey.So(BatchTime(240*ms, 20*ms, 10), convey.ShouldEqual, 360*ms)
 	})
 }
 
 func TestResults(t *testing.T) {
-	convey.Convey("Results are released when nothing needs them any more", t, func() {
+	convey.Convey("Results are released when they have no more readers", t, func() {
 		convey.So(ReleaseResults(1), convey.ShouldBeFalse)
 		convey.So(ReleaseResults(0), convey.ShouldBeTrue)
 	})
-	convey.Convey("Inputs are computed when a stage with items does not hold them", t, func() {
+	convey.Convey("The results of a stage with items are computed if they are not held", t, func() {
 		convey.So(NeedsInput(1, false), convey.ShouldBeTrue)
 		convey.So(NeedsInput(1, true), convey.ShouldBeFalse)
 		convey.So(NeedsInput(0, false), convey.ShouldBeFalse)
 	})
-	convey.Convey("A request whose results are lost too often ends", t, func() {
+	convey.Convey("Results are recomputed a limited number of times", t, func() {
 		convey.So(MayRecompute(maxRecomputes), convey.ShouldBeTrue)
 		convey.So(MayRecompute(maxRecomputes+1), convey.ShouldBeFalse)
 	})
 }
 
 func TestNearestDataCentre(t *testing.T) {
-	convey.Convey("Items are kept near the most bytes of their inputs, when there are many", t, func() {
+	convey.Convey("Items run in the data centre with the most bytes of their inputs, if there are many", t, func() {
 		convey.So(NearestDataCentre(map[string]int64{"a": 200_000, "b": 300_000}), convey.ShouldEqual, "b")
 		convey.So(NearestDataCentre(map[string]int64{"a": nearBytes - 1}), convey.ShouldBeEmpty)
 		convey.So(WorthNearness(nearBytes), convey.ShouldBeTrue)
@@ -82,7 +83,7 @@
 }
 
 func TestConnectionShare(t *testing.T) {
-	convey.Convey("A node leaves one connection of its share, and always has one", t, func() {
+	convey.Convey("A node leaves one connection of its share unused, and always has at least one", t, func() {
 		convey.So(ConnectionShare(64, 4), convey.ShouldEqual, 15)
 		convey.So(ConnectionShare(4, 16), convey.ShouldEqual, 1)
 		convey.So(ConnectionShare(8, 0), convey.ShouldEqual, 7)
--- a/internal/gateway/relay/rules/evacuated_test.go
+++ b/internal/gateway/relay/rules/evacuated_test.go
@@ -24,7 +24,7 @@
 		convey.So(refused, convey.ShouldBeTrue)
 		convey.So(service, convey.ShouldEqual, "engines")
 	})
-	convey.Convey("One that needs none of the evacuated services is not", t, func() {
+	convey.Convey("A request that needs none of the evacuated services is not refused", t, func() {
 		_, refused := rules.Evacuated([]string{"engines"}, evacuated("encode"))
 		convey.So(refused, convey.ShouldBeFalse)
 	})
--- a/internal/gateway/relay/rules/retry_test.go
+++ b/internal/gateway/relay/rules/retry_test.go
@@ -13,13 +13,13 @@
 	convey.So(AfterFailure(f), convey.ShouldResemble, want)
 }
 
-// notRun is the first failure of a request that must not run twice, with a proof
-// that it did not run.
+// notRun returns the first failure of a request that must not run twice and provably did
+// not run.
 func notRun(reason verdict.Reason) Failure {
 	return Failure{Verdict: verdict.NotRun, Reason: reason, MaxAttempts: 1}
 }
 
-// lost is the first failure of a request that may run twice, without a proof.
+// lost returns the first failure of a repeatable request that may have run.
 func lost(reason verdict.Reason) Failure {
 	return Failure{Verdict: verdict.MayHaveRun, Reason: reason, Retryable: true, MaxAttempts: 2}
 }
@@ -42,13 +42,13 @@
 			f.Refusals = maxRefusals
 			shouldFollow(f, GiveUp{Reason: RefusalsSpent})
 		})
-		convey.Convey("is given up when it is at fault itself", func() {
+		convey.Convey("is given up if it is invalid", func() {
 			shouldFollow(notRun(verdict.ReasonBadRequest), GiveUp{Reason: BadRequest})
 		})
-		convey.Convey("is given up when there was no time to send it", func() {
+		convey.Convey("is given up if there was no time to send it", func() {
 			shouldFollow(notRun(verdict.ReasonDeadline), GiveUp{Reason: TimeOver})
 		})
-		convey.Convey("has its inputs computed again when they are gone", func() {
+		convey.Convey("has its inputs recomputed if they are missing", func() {
 			shouldFollow(notRun(verdict.ReasonInputGone), Recompute{})
 		})
 	})
@@ -56,20 +56,20 @@
 
 func TestAfterFailureMayHaveRun(t *testing.T) {
 	convey.Convey("A request that may have run", t, func() {
-		convey.Convey("goes to another target when its route allows it", func() {
+		convey.Convey("goes to another target if its route allows it", func() {
 			shouldFollow(lost(verdict.ReasonCut), OtherTarget{})
 		})
-		convey.Convey("is given up when it must not run twice", func() {
+		convey.Convey("is given up if it must not run twice", func() {
 			f := lost(verdict.ReasonConnection)
 			f.Retryable = false
 			shouldFollow(f, GiveUp{Reason: MayHaveRun})
 		})
-		convey.Convey("is given up when it may have run as often as its route allows", func() {
+		convey.Convey("is given up if it may have run as often as its route allows", func() {
 			f := lost(verdict.ReasonStalled)
 			f.Sends = 1
 			shouldFollow(f, GiveUp{Reason: AttemptsSpent})
 		})
-		convey.Convey("is given up when its own time is over or its caller has gone", func() {
+		convey.Convey("is given up if its deadline has passed or its client has disconnected", func() {
 			f := lost(verdict.ReasonCancelled)
 			f.Ended = true
 			shouldFollow(f, GiveUp{Reason: RequestEnded})
@@ -82,7 +82,7 @@
 	own := verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "none")
 	convey.Convey("A request that cannot be sent again ends with its last attempt's error", t, func() {
 		convey.So(EndError(last, own), convey.ShouldEqual, last)
-		convey.Convey("and with its own when there was none", func() {
+		convey.Convey("and with its own error if there was no attempt", func() {
 			convey.So(EndError(nil, own), convey.ShouldEqual, own)
 		})
 	})
@@ -93,7 +93,7 @@
 	shouldSay := func(sends int, retryable bool, want verdict.Verdict) {
 		convey.So(FinalVerdict(refused, sends, retryable).Verdict(), convey.ShouldEqual, want)
 	}
-	convey.Convey("A last refusal says nothing of earlier attempts at a request that must not run twice", t, func() {
+	convey.Convey("A last refusal proves nothing about earlier attempts at a request that must not run twice", t, func() {
 		shouldSay(1, false, verdict.MayHaveRun)
 		shouldSay(0, false, verdict.NotRun)
 		shouldSay(1, true, verdict.NotRun)
@@ -101,12 +101,12 @@
 }
 
 func TestTargetFault(t *testing.T) {
-	convey.Convey("What the caller, the request or a planned stop caused does not count against the target", t, func() {
+	convey.Convey("Failures caused by the client, the request or a planned stop do not count against the target", t, func() {
 		for _, reason := range []verdict.Reason{verdict.ReasonCancelled, verdict.ReasonInputGone, verdict.ReasonLeaving, verdict.ReasonBadRequest} {
 			convey.So(TargetFault(reason), convey.ShouldBeFalse)
 		}
 	})
-	convey.Convey("Everything else does", t, func() {
+	convey.Convey("All other failures do", t, func() {
 		for _, reason := range []verdict.Reason{verdict.ReasonDial, verdict.ReasonConnection, verdict.ReasonCut, verdict.ReasonStalled, verdict.ReasonDeadline, verdict.ReasonTargetError, verdict.ReasonRefused} {
 			convey.So(TargetFault(reason), convey.ShouldBeTrue)
 		}
@@ -125,8 +125,8 @@
 	}
 	plain := Attempt{Retryable: true, MaxAttempts: 2, Objective: 2 * time.Second, PauseLimit: 500 * time.Millisecond}
 	convey.Convey("An attempt that another may follow", t, func() {
-		convey.Convey("may take a multiple of the objective", func() { shouldLimit(plain, 5*time.Second) })
-		convey.Convey("may be silent for three pauses of its stream", func() {
+		convey.Convey("times out after a multiple of the objective", func() { shouldLimit(plain, 5*time.Second) })
+		convey.Convey("times out after three pauses of its stream", func() {
 			stream := plain
 			stream.Stream = true
 			shouldLimit(stream, 1500*time.Millisecond)
--- a/internal/gateway/relay/rules/retryafter_test.go
+++ b/internal/gateway/relay/rules/retryafter_test.go
@@ -15,25 +15,26 @@
 		convey.So(latest, convey.ShouldBeLessThanOrEqualTo, most)
 	}
 	convey.Convey("A refused client should retry", t, func() {
-		convey.Convey("after three quarters to all of a share of its time", func() {
+		convey.Convey("after three quarters to all of a fraction of its time", func() {
 			between(10*time.Second, 2100*time.Millisecond, 2800*time.Millisecond)
 		})
 		convey.Convey("within the third of its time that clients wait", func() {
 			convey.So(RetryAfter(9*time.Second, 0.999999), convey.ShouldBeLessThan, 3*time.Second)
 		})
-		convey.Convey("after the upper bound at most", func() {
+		convey.Convey("no later than the upper bound", func() {
 			between(time.Minute, 3*time.Second, maxRetryAfter)
 		})
-		convey.Convey("after the lower bound when no time is left", func() {
+		convey.Convey("after the lower bound if no time is left", func() {
 			between(0, minRetryAfter, minRetryAfter)
 			between(-time.Second, minRetryAfter, minRetryAfter)
 		})
 	})
 }
 
-// TestPausesSpread holds that clients do not all come back when a pause ends.
+// TestPausesSpread checks that clients that wait for the same pause do not retry at the
+// same moment.
 func TestPausesSpread(t *testing.T) {
-	convey.Convey("The last comes back a quarter of the pause later than the first", t, func() {
+	convey.Convey("Retries are spread over a quarter of the pause", t, func() {
 		latest := AfterPauses(0, []time.Duration{4 * time.Second}, 0.999)
 		convey.So(latest, convey.ShouldBeBetween, 4900*time.Millisecond, 5*time.Second)
 	})
@@ -41,7 +42,7 @@
 
 func TestAfterPauses(t *testing.T) {
 	const own, short, long = 2 * time.Second, time.Second, 5 * time.Second
-	convey.Convey("A client for whom no target was left should retry", t, func() {
+	convey.Convey("A client should retry after its own delay or the shortest pause, whichever is longer", t, func() {
 		for _, c := range []struct {
 			pauses []time.Duration
 			want   time.Duration
--- a/internal/gateway/relay/rules/share_test.go
+++ b/internal/gateway/relay/rules/share_test.go
@@ -12,12 +12,12 @@
 		connections, nodes, targets int
 		want                        int
 	}{
-		{"all while connections are many for the nodes", 49, 7, 4, 0},
-		{"all where the bound is not known", 0, 300, 6, 0},
-		{"a part of them for hundreds of nodes", 370, 295, 6, 3},
-		{"two at least", 10, 300, 6, 2},
-		{"all of two", 10, 300, 2, 2},
-		{"and nobody divides by no nodes", 370, 0, 6, 0},
+		{"all targets if there are enough connections for the nodes", 49, 7, 4, 0},
+		{"all targets if the connection limit is unknown", 0, 300, 6, 0},
+		{"a part of the targets if there are hundreds of nodes", 370, 295, 6, 3},
+		{"at least two targets", 10, 300, 6, 2},
+		{"all of two targets", 10, 300, 2, 2},
+		{"all targets if no nodes are known", 370, 0, 6, 0},
 	}
 	convey.Convey("A node uses", t, func() {
 		for _, c := range cases {
--- a/internal/gateway/relay/rules/times_test.go
+++ b/internal/gateway/relay/rules/times_test.go
@@ -15,18 +15,18 @@
 }
 
 func TestAnswerDeadline(t *testing.T) {
-	convey.Convey("The answer is due", t, func() {
+	convey.Convey("The response is due", t, func() {
 		convey.Convey("a margin before the client's timeout", func() {
 			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second}, 10*time.Second-answerMargin)
 		})
-		convey.Convey("by the route's timeout where it is shorter", func() {
+		convey.Convey("by the route's timeout if it is shorter", func() {
 			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second, RouteTimeout: 4 * time.Second}, 4*time.Second-answerMargin)
 			shouldAnswerWithin(TimesInput{ClientTimeout: 2 * time.Second, RouteTimeout: 4 * time.Second}, 2*time.Second-answerMargin)
 		})
-		convey.Convey("by the default of a client that sends no timeout", func() {
+		convey.Convey("by the default timeout if the client sends none", func() {
 			shouldAnswerWithin(TimesInput{}, defaultTimeout-answerMargin)
 		})
-		convey.Convey("a tenth before the end of a short time", func() {
+		convey.Convey("a tenth before the end of a short timeout", func() {
 			shouldAnswerWithin(TimesInput{ClientTimeout: 100 * time.Millisecond}, 90*time.Millisecond)
 		})
 	})
@@ -35,18 +35,18 @@
 func TestStageTimes(t *testing.T) {
 	in := TimesInput{Arrived: arrived, ClientTimeout: 10 * time.Second, Objective: 2 * time.Second}
 	const following = 300 * time.Millisecond
-	convey.Convey("A stage is due before the objective by the later stages and the engine's part", t, func() {
+	convey.Convey("A stage is due before the objective by the time of the later stages and the engine's lead", t, func() {
 		stage := NewTimes(in).Stage(following)
 		convey.So(stage.Due.Sub(arrived), convey.ShouldEqual, 2*time.Second-engineLead-following)
 		convey.So(stage.Deadline.Sub(arrived), convey.ShouldEqual, 10*time.Second-answerMargin-engineLead-following)
 	})
-	convey.Convey("The stages of a long prompt are due sooner, and no sooner of no use", t, func() {
+	convey.Convey("The stages of a long prompt are due earlier, but have the same deadline", t, func() {
 		long := in
 		long.Prefill = 600 * time.Millisecond
 		convey.So(NewTimes(long).Stage(0).Due.Sub(arrived), convey.ShouldEqual, 1400*time.Millisecond)
 		convey.So(NewTimes(long).Stage(0).Deadline, convey.ShouldEqual, NewTimes(in).Stage(0).Deadline)
 	})
-	convey.Convey("An item's deadline leaves the engine its least lead before the answer deadline", t, func() {
+	convey.Convey("An item's deadline leaves the engine its least lead before the response deadline", t, func() {
 		times := NewTimes(in)
 		convey.So(times.Stage(0).Deadline, convey.ShouldHappenBefore, times.Answer)
 		convey.So(engineLead, convey.ShouldBeGreaterThan, answerMargin)
--- a/internal/gateway/relay/stages_test.go
+++ b/internal/gateway/relay/stages_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// chain is a route with stages one, two after one, and three after two.
+// chain returns a route with three stages, each of which depends on the one before.
 func chain() *catalog.Route {
 	return &catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2, Stages: []catalog.Stage{
 		{Service: "one", ResultBytes: 8000}, {Service: "two", After: []int{0}, ResultBytes: 60000}, {Service: "three", After: []int{1}, ResultBytes: 6000},
@@ -21,7 +21,7 @@
 func gone() *verdict.Error { return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "gone") }
 
 func TestStages(t *testing.T) {
-	convey.Convey("Stages run in order, each on all results of those before it", t, func() {
+	convey.Convey("Stages run in order, each on all results of the stages before it", t, func() {
 		w, s := setup(chain(), true)
 		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
 		convey.So(w.groups, convey.ShouldHaveLength, 3)
@@ -32,7 +32,7 @@
 		convey.So(w.calls[0].Inputs, convey.ShouldHaveLength, 2)
 		convey.So(w.held, convey.ShouldBeEmpty)
 	})
-	convey.Convey("The stages of a long prompt are due sooner", t, func() {
+	convey.Convey("The stages of a long prompt are due earlier", t, func() {
 		due := func(tokens int) time.Duration {
 			w, s := setup(chain(), true)
 			r := request(1, 4, 2)
@@ -60,7 +60,7 @@
 }
 
 func TestLostInputs(t *testing.T) {
-	convey.Convey("When an input is gone, the stages run again from the first one whose results are not held", t, func() {
+	convey.Convey("If an input is missing, the stages run again from the first one whose results are not held", t, func() {
 		w, s := setup(chain(), true)
 		w.groupErrs = []*verdict.Error{nil, nil, gone()}
 		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
@@ -70,7 +70,7 @@
 		}
 		convey.So(w.held, convey.ShouldBeEmpty)
 	})
-	convey.Convey("A stream that is continued elsewhere has its released inputs computed again", t, func() {
+	convey.Convey("If a stream is resumed at another target, its released inputs are recomputed", t, func() {
 		w, s := setup(chain(), true)
 		w.answers = []answer{{status: 200, body: events(1, 2), cut: true}, {status: 200, body: events(3, 4)}}
 		out := &client{}
@@ -81,7 +81,7 @@
 }
 
 func TestAdmission(t *testing.T) {
-	convey.Convey("When the stages cannot be done in time", t, func() {
+	convey.Convey("If the stages cannot be done in time", t, func() {
 		w, s := setup(chain(), true)
 		w.wait = 3 * time.Second
 		convey.Convey("the request is refused before any item is run, and its plans are cancelled", func() {
@@ -93,7 +93,7 @@
 			convey.So(w.planned, convey.ShouldEqual, 0)
 		})
 	})
-	convey.Convey("An idle system refuses nobody, however short the objective", t, func() {
+	convey.Convey("An idle system refuses no request, however short its objective", t, func() {
 		r := chain()
 		w, s := setup(r, true)
 		r.Objective = 500 * time.Millisecond
@@ -102,10 +102,10 @@
 	})
 }
 
-// TestRetryAdmission holds that a client which comes back after a refusal, while the
-// stages are as full as before, hears so at once and not after a part of its time.
+// TestRetryAdmission checks that the retry of a refused request is refused immediately if
+// the stages are still full, instead of waiting for a part of its time.
 func TestRetryAdmission(t *testing.T) {
-	convey.Convey("A retry that does not fit is refused at once with a time to retry, before any item is run", t, func() {
+	convey.Convey("A retry that does not fit is refused immediately with a time to retry, before any item is run", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			w, s := setup(chain(), true)
 			w.wait = 3 * time.Second
@@ -122,7 +122,7 @@
 			}
 		})
 	})
-	convey.Convey("A retry that fits its whole objective is admitted, however little of that is left", t, func() {
+	convey.Convey("A retry that fits its whole objective is admitted, however little of it is left", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			w, s := setup(chain(), true)
 			w.wait = 3 * time.Second
@@ -137,12 +137,12 @@
 	})
 }
 
-// TestInputsAreReleasedBeforeTheAnswer holds when the results that an engine reads are
-// released: once it should have fetched them, or at its first event where nobody knows
-// when that is. An engine that does not answer is given up after 1.2 s.
+// TestInputsAreReleasedBeforeTheAnswer checks when the results that an engine reads are
+// released: once it should have fetched them, or at its first event if the transfer time is
+// unknown. The attempt at an engine that does not respond times out after 1.2 s.
 func TestInputsAreReleasedBeforeTheAnswer(t *testing.T) {
-	// serve has the first engine hang and returns how many results are held after a
-	// while, and how many groups were run until a second engine has answered.
+	// serve makes the first engine hang. It returns how many results are held after the
+	// given time, and how many groups were run until a second engine has responded.
 	serve := func(t *testing.T, bytesPerSecond float64, after time.Duration) (held, groups int) {
 		synctest.Test(t, func(t *testing.T) {
 			w, s := setupLinked(chain(), true, bytesPerSecond)
@@ -162,18 +162,18 @@
 		})
 		return held, groups
 	}
-	// The two results of the last stage are at one target and have 12,000 bytes: at a
-	// megabyte a second they count as fetched after 40 ms and 3 times 12 ms.
+	// The two results of the last stage are at one target and have 12,000 bytes: at one
+	// megabyte per second they count as fetched after 40 ms plus 3 times 12 ms.
 	convey.Convey("Inputs are held until they should have been fetched", t, func() {
 		held, _ := serve(t, 1e6, 75*time.Millisecond)
 		convey.So(held, convey.ShouldEqual, 2)
 	})
-	convey.Convey("They are released then, and computed again for another engine", t, func() {
+	convey.Convey("They are released then, and recomputed for another engine", t, func() {
 		held, groups := serve(t, 1e6, 77*time.Millisecond)
 		convey.So(held, convey.ShouldEqual, 0)
 		convey.So(groups, convey.ShouldEqual, 6)
 	})
-	convey.Convey("Over links that nobody knows they are held, and used again", t, func() {
+	convey.Convey("Over links of unknown bandwidth they are held, and reused for another engine", t, func() {
 		held, groups := serve(t, 0, time.Second)
 		convey.So(held, convey.ShouldEqual, 2)
 		convey.So(groups, convey.ShouldEqual, 3)
--- a/internal/gateway/relay/targetended_test.go
+++ b/internal/gateway/relay/targetended_test.go
@@ -11,27 +11,28 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// plainRoute is a route whose requests may not run twice.
+// plainRoute returns a route whose requests must not run twice.
 func plainRoute() *catalog.Route { return &catalog.Route{Kind: catalog.Once, MaxAttempts: 1} }
 
-// reportedEnds returns the targets that were reported as ended.
+// reportedEnds returns the targets that were reported as crashed.
 func (w *world) reportedEnds() []relay.TargetEnded {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]relay.TargetEnded(nil), w.ends...)
 }
 
-// awaitEnds waits until so many ends are reported, and returns them.
+// awaitEnds waits up to 5 s until n crashes are reported, and returns the crashes.
 func (w *world) awaitEnds(n int) []relay.TargetEnded {
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && len(w.reportedEnds()) < n; time.Sleep(time.Millisecond) {
 	}
 	return w.reportedEnds()
 }
 
-// TestTargetEnded holds that the end of a target is told from the end of a connection.
+// TestTargetEnded checks that the crash of a target is distinguished from a broken
+// connection to a running target.
 func TestTargetEnded(t *testing.T) {
 	cut := answer{status: 200, body: "id: 1\ndata: x\n\n", cut: true}
-	convey.Convey("A target that refuses connections after one broke is reported, with what was asked for", t, func() {
+	convey.Convey("A target that refuses connections after one broke is reported, with the digest of the request", t, func() {
 		w, s := setup(&catalog.Route{Kind: catalog.Stream, MaxAttempts: 1}, true)
 		w.ended = map[string]bool{"t0": true, "t1": true, "t2": true, "t3": true}
 		w.answers = []answer{cut, lost()}
@@ -43,7 +44,7 @@
 		convey.So(ends[0].Digest, convey.ShouldEqual, ends[1].Digest)
 		convey.So(w.outcome.Digest, convey.ShouldEqual, ends[0].Digest)
 	})
-	convey.Convey("Requests that ask for something else have another digest", t, func() {
+	convey.Convey("Requests with different content have different digests", t, func() {
 		w, s := setup(plainRoute(), false)
 		w.ended = map[string]bool{"t0": true, "t1": true, "t2": true, "t3": true}
 		w.answers = []answer{lost(), lost()}
@@ -61,12 +62,12 @@
 		answer answer
 		ended  bool
 	}{
-		{"a connection that broke while the target lives", lost(), false},
+		{"a connection that broke while the target is running", lost(), false},
 		{"a refusal", refused(), true},
-		{"a target that took too long", answer{err: verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "slow")}, true},
-		{"a failure of the target's own", answer{status: 500}, true},
+		{"a target that timed out", answer{err: verdict.New(verdict.MayHaveRun, verdict.ReasonStalled, "slow")}, true},
+		{"an error response of the target", answer{status: 500}, true},
 	} {
-		convey.Convey("No end is reported for "+c.what, t, func() {
+		convey.Convey("No crash is reported for "+c.what, t, func() {
 			w, s := setup(plainRoute(), false)
 			if c.ended {
 				w.ended = map[string]bool{"t0": true, "t1": true, "t2": true, "t3": true}
--- a/internal/gateway/relay/world_test.go
+++ b/internal/gateway/relay/world_test.go
@@ -21,43 +21,45 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// answer is what a fake target does with one call.
+// answer is the behaviour of a fake target for one call.
 type answer struct {
 	status int
 	body   string
-	// cut breaks the body off after its text.
+	// cut truncates the response after body.
 	cut bool
 	err *verdict.Error
-	// hangs answers nothing until the call is ended.
+	// hangs delays the response until the call is cancelled.
 	hangs bool
 }
 
-// world is a set of fake targets and batch services that record what they saw.
+// world implements all ports of the relay with fake targets and batch services, and
+// records what they are asked for.
 type world struct {
 	mu      sync.Mutex
 	answers []answer
 	calls   []relay.Call
 	// ran counts the calls that a target may have run.
 	ran int
-	// groups are the groups that were run; groupErrs their errors, in order.
+	// groups are the groups that were run, groupErrs the errors to return for them, in
+	// order.
 	groups    []relay.Group
 	groupErrs []*verdict.Error
 	held      map[string]bool
 	last      int
 	wait      time.Duration
-	// planned counts stages that were planned and not cancelled.
+	// planned counts the stages that were planned and not cancelled.
 	planned int
-	// ended are the targets that have ended.
+	// ended are the targets that have crashed.
 	ended map[string]bool
 	// heldBack are the targets that are held back once they have been chosen.
 	heldBack map[string]bool
-	// ends are the targets that were reported as ended.
+	// ends are the targets that were reported as crashed.
 	ends []relay.TargetEnded
-	// ctx is that of requests that helpers send, and slow how long a target takes to
-	// break off.
+	// ctx is the context of requests that helpers send, slow the delay before a target
+	// fails a call.
 	ctx  context.Context
 	slow time.Duration
-	// body is what targets answer unless answers says otherwise.
+	// body is the response of targets when answers is empty.
 	body    string
 	outcome *relay.Outcome
 }
@@ -97,7 +99,7 @@
 	return &relay.Reply{Status: a.status, Succeeded: a.status < 300, Body: io.NopCloser(body)}, nil
 }
 
-// HasEnded says that a target has ended when the test says so.
+// HasEnded reports whether the test marked a target as crashed.
 func (w *world) HasEnded(_ context.Context, target directory.Target) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,7 +113,7 @@
 	return append([]relay.Call(nil), w.calls...)
 }
 
-// awaitCalls waits until there were so many calls.
+// awaitCalls waits up to 5 s until there were n calls.
 func (w *world) awaitCalls(n int) {
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && len(w.callsSeen()) < n; time.Sleep(time.Millisecond) {
 	}
@@ -170,7 +172,7 @@
 	w.planned -= len(stages)
 }
 
-// Place has no answer, so that the node chooses by itself.
+// Place fails, so that the node chooses by itself.
 func (w *world) Place(context.Context, string, placement.Prompt) (relay.Placed, bool) {
 	return relay.Placed{}, false
 }
@@ -191,7 +193,7 @@
 	w.outcome = o
 }
 
-// client is a fake caller.
+// client is a fake client that records the response.
 type client struct {
 	begun  bool
 	status int
@@ -211,33 +213,33 @@
 	return nil
 }
 
-// setup returns a server for one route, whose stages' links are unknown.
+// setup returns a server for one route, whose stages have links of unknown bandwidth.
 func setup(r *catalog.Route, engine bool) (*world, *relay.Server) {
 	return setupLinked(r, engine, 0)
 }
 
-// setupLinked returns a server for one route whose stages' results are fetched at so
-// many bytes a second.
+// setupLinked returns a server for one route, whose stages' results are fetched at the
+// given bandwidth.
 func setupLinked(r *catalog.Route, engine bool, bytesPerSecond float64) (*world, *relay.Server) {
 	return setupView(r, engine, bytesPerSecond, keepView)
 }
 
-// Blocked, Take, HeldBack and PauseLeft let every target get every request but those that
-// were held back after they had been chosen.
+// Blocked, Take, HeldBack and PauseLeft let all targets get all requests, except for the
+// targets in heldBack.
 func (w *world) Blocked(*directory.Directory) []string  { return nil }
 func (w *world) Take(directory.Life) bool               { return true }
 func (w *world) HeldBack(target directory.Life) bool    { return w.heldBack[target.ID] }
 func (w *world) PauseLeft(directory.Life) time.Duration { return 0 }
 
-// keepView changes nothing of a view.
+// keepView returns the view unchanged.
 func keepView(v *view.View) *view.View { return v }
 
-// setupView returns such a server with a changed view.
+// setupView returns a server for one route, with a view that change modifies.
 func setupView(r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View) (*world, *relay.Server) {
 	return setupWith(r, engine, bytesPerSecond, change, newKeeper())
 }
 
-// setupWith returns such a server with a quarantine.
+// setupWith returns a server for one route, with a modified view and the given quarantine.
 func setupWith(
 	r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View, q relay.Quarantine,
 ) (*world, *relay.Server) {
