--- a/internal/gateway/relay/rules/admission.go
+++ b/internal/gateway/relay/rules/admission.go
@@ -17,11 +17,11 @@
 	// system refuses no request, however short its objective: half a batch, which a request
 	// may have to wait for at any time.
 	minWait = 150 * time.Millisecond
-	// retriedShare is the fraction of the longest timeout seen from a route's clients below
-	// which a request counts as a retry of a refused one: clients send their remaining
+	// retryTimeoutRatio is the fraction of the longest timeout seen from a route's clients
+	// below which a request counts as a retry of a refused one: clients send their remaining
 	// time. The rest allows for the network delay of a first attempt; with 0.99 first
 	// attempts over slow links count as retries.
-	retriedShare = 0.97
+	retryTimeoutRatio = 0.97
 )
 
 // Admission is the input of Admit.
@@ -112,5 +112,5 @@
 	if timeout <= 0 {
 		return false
 	}
-	return float64(timeout) < retriedShare*float64(longest)
+	return float64(timeout) < retryTimeoutRatio*float64(longest)
 }
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// firstServerError is the first status that reports a failure of the target itself, as
+	// minServerErrorStatus is the first status that reports a failure of the target itself, as
 	// in HTTP.
-	firstServerError = 500
-	// retryTimeParts divides the objective into the time that another attempt needs. With
+	minServerErrorStatus = 500
+	// retryTimeDivisor divides the objective into the time that another attempt needs. With
 	// less time left the response of the first attempt is forwarded instead.
-	retryTimeParts = 2
+	retryTimeDivisor = 2
 )
 
 // Answer is a target's whole response that is not a stream of events. On a streaming
@@ -55,7 +55,7 @@
 // another target would not have had.
 func AfterAnswer(a Answer) AnswerDecision {
 	switch {
-	case worthAnother(a):
+	case shouldRetry(a):
 		return TryAnother{}
 	case a.Begun:
 		return BreakOff{}
@@ -63,13 +63,13 @@
 	return PassOn{}
 }
 
-// worthAnother reports whether another target is tried. That is not the case for a
+// shouldRetry reports whether another target is tried. That is not the case for a
 // success, for a client error, which any target would report, or if the route, the budget
 // or the remaining time does not allow another attempt.
-func worthAnother(a Answer) bool {
-	return !a.Succeeded && a.Status >= firstServerError &&
+func shouldRetry(a Answer) bool {
+	return !a.Succeeded && a.Status >= minServerErrorStatus &&
 		a.Retryable && a.Sends+1 < a.MaxAttempts &&
-		a.Budget >= 1 && a.Left > a.Objective/retryTimeParts
+		a.Budget >= 1 && a.Left > a.Objective/retryTimeDivisor
 }
 
 // EventPassed reports whether the client already has an event, which is then skipped when
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -7,18 +7,18 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// failed returns a failure of a target that may be retried at another one.
-func failed() Answer {
+// targetFailure returns a failure of a target that may be retried at another one.
+func targetFailure() Answer {
 	return Answer{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
 }
 
-func shouldBecome(a Answer, want AnswerDecision) {
+func shouldDecide(a Answer, want AnswerDecision) {
 	convey.So(AfterAnswer(a), convey.ShouldResemble, want)
 }
 
 func TestAfterAnswer(t *testing.T) {
 	convey.Convey("A failure of the target itself is retried at another target", t, func() {
-		shouldBecome(failed(), TryAnother{})
+		shouldDecide(targetFailure(), TryAnother{})
 	})
 	for _, c := range []struct {
 		what   string
@@ -31,11 +31,11 @@
 		{"a failure while the retry budget is exhausted", func(a *Answer) { a.Budget = 0.9 }},
 		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }},
 	} {
-		a := failed()
+		a := targetFailure()
 		c.change(&a)
-		convey.Convey("The client gets "+c.what, t, func() { shouldBecome(a, PassOn{}) })
+		convey.Convey("The client gets "+c.what, t, func() { shouldDecide(a, PassOn{}) })
 		a.Begun = true
-		convey.Convey("A stream that has started is aborted by "+c.what, t, func() { shouldBecome(a, BreakOff{}) })
+		convey.Convey("A stream that has started is aborted by "+c.what, t, func() { shouldDecide(a, BreakOff{}) })
 	}
 }
 
--- a/internal/gateway/relay/rules/estimate.go
+++ b/internal/gateway/relay/rules/estimate.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// batchFill is the expected size of a batch, as a fraction of the most items that it may
-// have. With it a stage of at most 48 items is planned with 360 ms instead of 240. The
-// actual size depends on the number of targets: a coordinator of 42 targets fills a fifth
-// of a batch, a coordinator of five most of it.
-const batchFill = 0.6
+// expectedBatchFill is the expected size of a batch, as a fraction of the most items that
+// it may have. With it a stage of at most 48 items is planned with 360 ms instead of 240.
+// The actual size depends on the number of targets: a coordinator of 42 targets fills a
+// fifth of a batch, a coordinator of five most of it.
+const expectedBatchFill = 0.6
 
 // Stage is one stage of a request, as the estimates see it.
 type Stage struct {
@@ -29,7 +29,7 @@
 // BatchTime estimates the duration of a batch of the expected size, from the configured
 // times of an empty batch and of each item.
 func BatchTime(empty, perItem time.Duration, maxItems int) time.Duration {
-	return empty + time.Duration(batchFill*float64(maxItems)*float64(perItem))
+	return empty + time.Duration(expectedBatchFill*float64(maxItems)*float64(perItem))
 }
 
 // Total estimates how long it takes until all stages are done (docs/decisions/0013).
--- a/internal/gateway/relay/rules/inputs.go
+++ b/internal/gateway/relay/rules/inputs.go
@@ -8,15 +8,15 @@
 	// instead of at the first event gains 0.015 credit at engines; 40 ms instead of
 	// 120 ms gains 0.007 at batches.
 	inputsReadBase = 40 * time.Millisecond
-	// transferMargin multiplies the transfer time that follows from the catalog's
+	// transferTimeFactor multiplies the transfer time that follows from the catalog's
 	// bandwidth: a transfer crosses two links, which carry other traffic too.
-	transferMargin = 3.0
-	// unknownReadTime is assumed where the catalog has no bandwidth. Batches take 200 ms
+	transferTimeFactor = 3.0
+	// defaultReadTime is assumed where the catalog has no bandwidth. Batches take 200 ms
 	// or more (docs/decisions/0012), so inputs are still released before a batch ends.
-	unknownReadTime = 120 * time.Millisecond
-	// inputsGonePause is how long a service's inputs are kept until the first event after
+	defaultReadTime = 120 * time.Millisecond
+	// earlyReleaseBackoff is how long a service's inputs are kept until the first event after
 	// some were released too early: the usual duration of a disturbance that delays calls.
-	inputsGonePause = 10 * time.Second
+	earlyReleaseBackoff = 10 * time.Second
 )
 
 // Transfer is the data that a call fetches from the target that holds most of its
@@ -54,9 +54,9 @@
 // too long, they occupy result memory that other items wait for.
 func InputsReadTime(t Transfer) time.Duration {
 	if t.BytesPerSecond <= 0 {
-		return unknownReadTime
+		return defaultReadTime
 	}
-	transfer := transferMargin * float64(t.Bytes) / t.BytesPerSecond
+	transfer := transferTimeFactor * float64(t.Bytes) / t.BytesPerSecond
 	return inputsReadBase + time.Duration(transfer*float64(time.Second))
 }
 
@@ -74,5 +74,5 @@
 	if t.BytesPerSecond <= 0 {
 		return false
 	}
-	return lastGone.IsZero() || now.Sub(lastGone) >= inputsGonePause
+	return lastGone.IsZero() || now.Sub(lastGone) >= earlyReleaseBackoff
 }
--- a/internal/gateway/relay/rules/prefill.go
+++ b/internal/gateway/relay/rules/prefill.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// firstTokenTime is the time to the first event of the shortest prompt: the engine's
+	// baseFirstTokenTime is the time to the first event of the shortest prompt: the engine's
 	// own latency and two network delays between nodes.
-	firstTokenTime = 40 * time.Millisecond
-	// firstPrefillRate is the time per token that is assumed before any prompt: about the
-	// median of the users' deployments (docs/decisions/0013).
-	firstPrefillRate = 20 * time.Microsecond
+	baseFirstTokenTime = 40 * time.Millisecond
+	// initialPrefillPerToken is the time per token that is assumed before any prompt: about
+	// the median of the users' deployments (docs/decisions/0013).
+	initialPrefillPerToken = 20 * time.Microsecond
 	// minPrefillTokens is the length of the shortest prompt that updates the rate: at
-	// firstPrefillRate its prefill takes as long as firstTokenTime.
+	// initialPrefillPerToken its prefill takes as long as baseFirstTokenTime.
 	minPrefillTokens = 2000
 	// prefillWeight is the weight of the newest prompt in the moving average: twenty prompts
 	// make up two thirds of it.
 	prefillWeight = 0.05
-	// maxPrefillRate limits the effect of a single prompt that was delayed.
-	maxPrefillRate = 10 * firstPrefillRate
+	// maxPrefillPerToken limits the effect of a single prompt that was delayed.
+	maxPrefillPerToken = 10 * initialPrefillPerToken
 )
 
 // PrefillRate estimates the time that a service's engines take to the first event of a
@@ -31,11 +31,11 @@
 }
 
 // NewPrefillRate returns the rate before any prompt.
-func NewPrefillRate() PrefillRate { return PrefillRate{perToken: float64(firstPrefillRate)} }
+func NewPrefillRate() PrefillRate { return PrefillRate{perToken: float64(initialPrefillPerToken)} }
 
 // Time returns the estimated time to the first event of a prompt.
 func (p PrefillRate) Time(tokens int) time.Duration {
-	return firstTokenTime + time.Duration(p.perToken*float64(tokens))
+	return baseFirstTokenTime + time.Duration(p.perToken*float64(tokens))
 }
 
 // WithPrompt returns the rate updated with a prompt; took is the time from its sending to
@@ -44,7 +44,7 @@
 	if tokens < minPrefillTokens {
 		return p
 	}
-	rate := float64(max(took-firstTokenTime, 0)) / float64(tokens)
-	p.perToken += prefillWeight * (min(rate, float64(maxPrefillRate)) - p.perToken)
+	rate := float64(max(took-baseFirstTokenTime, 0)) / float64(tokens)
+	p.perToken += prefillWeight * (min(rate, float64(maxPrefillPerToken)) - p.perToken)
 	return p
 }
--- a/internal/gateway/relay/rules/priority.go
+++ b/internal/gateway/relay/rules/priority.go
@@ -4,9 +4,9 @@
 	// priorityLevels is the number of priorities that engines support, 0 to 9, as the
 	// platform's interface defines them.
 	priorityLevels = 10
-	// routePriorities is the number of route priorities within one priority of an
+	// routePriorityLevels is the number of route priorities within one priority of an
 	// organisation: of the ten levels of an engine, each organisation priority takes three.
-	routePriorities = 3
+	routePriorityLevels = 3
 )
 
 // EnginePriority decides the priority of a request's items and prompt at a target, from
@@ -14,6 +14,6 @@
 // route's. Both come from the configuration, 0 for the most urgent. A wrong priority
 // makes a request wait behind a less urgent one at a busy target.
 func EnginePriority(organisation, route int) int {
-	p := organisation*routePriorities + min(route, routePriorities-1)
+	p := organisation*routePriorityLevels + min(route, routePriorityLevels-1)
 	return min(max(p, 0), priorityLevels-1)
 }
--- a/internal/gateway/relay/rules/results.go
+++ b/internal/gateway/relay/rules/results.go
@@ -4,9 +4,9 @@
 	// maxRecomputes limits how often one request's results are recomputed: results that are
 	// lost repeatedly take batches away from all other requests.
 	maxRecomputes = 2
-	// nearBytes is the size of results from which it pays to wait for a target in their
+	// minLocalityBytes is the size of results from which it pays to wait for a target in their
 	// data centre: below it a transfer costs less than the wait for a batch.
-	nearBytes = 100_000
+	minLocalityBytes = 100_000
 )
 
 // ReleaseResults reports whether a stage's results are released at their targets. users
@@ -26,14 +26,14 @@
 
 // WorthNearness reports whether results are large enough to prefer targets in their data
 // centre.
-func WorthNearness(bytes int64) bool { return bytes >= nearBytes }
+func WorthNearness(bytes int64) bool { return bytes >= minLocalityBytes }
 
 // NearestDataCentre decides which data centre a stage's targets should be in: the one
 // that holds the most bytes of its inputs, any of several with equally many, and none if
-// no data centre holds nearBytes. A wrong choice costs a transfer between data centres, or
-// an unnecessary wait for a target.
+// no data centre holds minLocalityBytes. A wrong choice costs a transfer between data
+// centres, or an unnecessary wait for a target.
 func NearestDataCentre(bytes map[string]int64) string {
-	best, most := "", int64(nearBytes)
+	best, most := "", int64(minLocalityBytes)
 	for dc, n := range bytes {
 		if n >= most {
 			best, most = dc, n
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -90,7 +90,7 @@
 	if f.Ended {
 		return GiveUp{Reason: RequestEnded}
 	}
-	if reason, over := final(f); over {
+	if reason, over := giveUpReason(f); over {
 		return GiveUp{Reason: reason}
 	}
 	if f.Reason == verdict.ReasonInputGone {
@@ -99,8 +99,8 @@
 	return OtherTarget{}
 }
 
-// final returns why no other attempt may follow the failure, if that is so.
-func final(f Failure) (reason GiveUpReason, over bool) {
+// giveUpReason returns why no other attempt may follow the failure, if that is so.
+func giveUpReason(f Failure) (reason GiveUpReason, over bool) {
 	switch {
 	case f.Verdict == verdict.NotRun && f.Reason == verdict.ReasonBadRequest:
 		return BadRequest, true
--- a/internal/gateway/relay/rules/retry_test.go
+++ b/internal/gateway/relay/rules/retry_test.go
@@ -19,8 +19,8 @@
 	return Failure{Verdict: verdict.NotRun, Reason: reason, MaxAttempts: 1}
 }
 
-// lost returns the first failure of a repeatable request that may have run.
-func lost(reason verdict.Reason) Failure {
+// mayHaveRun returns the first failure of a repeatable request that may have run.
+func mayHaveRun(reason verdict.Reason) Failure {
 	return Failure{Verdict: verdict.MayHaveRun, Reason: reason, Retryable: true, MaxAttempts: 2}
 }
 
@@ -57,20 +57,20 @@
 func TestAfterFailureMayHaveRun(t *testing.T) {
 	convey.Convey("A request that may have run", t, func() {
 		convey.Convey("goes to another target if its route allows it", func() {
-			shouldFollow(lost(verdict.ReasonCut), OtherTarget{})
+			shouldFollow(mayHaveRun(verdict.ReasonCut), OtherTarget{})
 		})
 		convey.Convey("is given up if it must not run twice", func() {
-			f := lost(verdict.ReasonConnection)
+			f := mayHaveRun(verdict.ReasonConnection)
 			f.Retryable = false
 			shouldFollow(f, GiveUp{Reason: MayHaveRun})
 		})
 		convey.Convey("is given up if it may have run as often as its route allows", func() {
-			f := lost(verdict.ReasonStalled)
+			f := mayHaveRun(verdict.ReasonStalled)
 			f.Sends = 1
 			shouldFollow(f, GiveUp{Reason: AttemptsSpent})
 		})
 		convey.Convey("is given up if its deadline has passed or its client has disconnected", func() {
-			f := lost(verdict.ReasonCancelled)
+			f := mayHaveRun(verdict.ReasonCancelled)
 			f.Ended = true
 			shouldFollow(f, GiveUp{Reason: RequestEnded})
 		})
@@ -131,7 +131,7 @@
 			stream.Stream = true
 			shouldLimit(stream, 1500*time.Millisecond)
 			stream.PauseLimit = 100 * time.Millisecond
-			shouldLimit(stream, minStreamTimeout)
+			shouldLimit(stream, minStreamIdleTimeout)
 		})
 	})
 	convey.Convey("An attempt that no other may follow lasts as long as the request", t, func() {
--- a/internal/gateway/relay/rules/retryafter.go
+++ b/internal/gateway/relay/rules/retryafter.go
@@ -18,9 +18,9 @@
 	// minRetryAfter is the lower bound, so that clients without time left do not return in
 	// the same millisecond.
 	minRetryAfter = 50 * time.Millisecond
-	// retryAfterParts divides the delay: the last part of it is random jitter, so that
+	// jitterDivisor divides the delay: the last part of it is random jitter, so that
 	// clients refused together do not return together.
-	retryAfterParts = 4
+	jitterDivisor = 4
 )
 
 // RetryAfter decides when a refused client should retry (docs/decisions/0013). left is
@@ -30,8 +30,8 @@
 // long a delay exceeds their timeout.
 func RetryAfter(left time.Duration, jitter float64) time.Duration {
 	after := min(time.Duration(retryAfterShare*float64(max(left, 0))), maxRetryAfter)
-	least := after * (retryAfterParts - 1) / retryAfterParts
-	spread := time.Duration(jitter * float64(after/retryAfterParts+1))
+	least := after * (jitterDivisor - 1) / jitterDivisor
+	spread := time.Duration(jitter * float64(after/jitterDivisor+1))
 	return max(least+spread, minRetryAfter)
 }
 
@@ -45,5 +45,5 @@
 		return own
 	}
 	shortest := slices.Min(pauses)
-	return max(own, shortest+time.Duration(jitter*float64(shortest/retryAfterParts)))
+	return max(own, shortest+time.Duration(jitter*float64(shortest/jitterDivisor)))
 }
--- a/internal/gateway/relay/rules/share.go
+++ b/internal/gateway/relay/rules/share.go
@@ -1,24 +1,24 @@
 package rules
 
 const (
-	// spareConnections is the part of a node's share of a target's connections that it
+	// reservedConnections is the part of a node's share of a target's connections that it
 	// leaves unused, for a connection that is being replaced.
-	spareConnections = 1
-	// leastConnections is the number of connections that a node may use however many nodes
+	reservedConnections = 1
+	// minConnections is the number of connections that a node may use however many nodes
 	// there are, since without any it could not serve requests.
-	leastConnections = 1
+	minConnections = 1
 )
 
 const (
-	// connectedShare is the fraction of a target's connections that keep-alive connections
+	// keepAliveShare is the fraction of a target's connections that keep-alive connections
 	// should take while all nodes are up. After a power loss a target counts the
 	// connections of failed nodes for some seconds in addition to those of the running
 	// nodes: with 295 nodes, each connected to 6 targets that accept 370 connections, 270
 	// calls were reset in the 3 s after a power loss.
-	connectedShare = 0.4
-	// leastTargets is the least number of targets that a node uses, so that the loss of one
+	keepAliveShare = 0.4
+	// minTargets is the least number of targets that a node uses, so that the loss of one
 	// does not leave it without any.
-	leastTargets = 2
+	minTargets = 2
 )
 
 // TargetsPerNode decides how many of a service's targets a node sends plain calls to
@@ -30,11 +30,11 @@
 	if connections <= 0 {
 		return 0
 	}
-	most := int(connectedShare * float64(connections*targets) / float64(max(nodes, 1)))
+	most := int(keepAliveShare * float64(connections*targets) / float64(max(nodes, 1)))
 	if most >= targets {
 		return 0
 	}
-	return max(most, leastTargets)
+	return max(most, minTargets)
 }
 
 // ConnectionShare decides how many requests this node may have in flight at one target.
@@ -42,5 +42,5 @@
 // the number of live nodes as this node sees them now. Too large a share makes targets
 // refuse connections; too small a share leaves them idle while requests wait.
 func ConnectionShare(connections, nodes int) int {
-	return max(connections/max(nodes, 1)-spareConnections, leastConnections)
+	return max(connections/max(nodes, 1)-reservedConnections, minConnections)
 }
--- a/internal/gateway/relay/rules/timeout.go
+++ b/internal/gateway/relay/rules/timeout.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// plainTimeoutShare limits an attempt without a stream, as a multiple of the route's
+	// responseTimeoutFactor limits an attempt without a stream, as a multiple of the route's
 	// objective. A second attempt misses the objective in any case; a shorter limit
 	// discards slow responses that are in progress.
-	plainTimeoutShare = 2.5
-	// minStreamTimeout is the shortest idle timeout of a stream: more than the prefill of
+	responseTimeoutFactor = 2.5
+	// minStreamIdleTimeout is the shortest idle timeout of a stream: more than the prefill of
 	// a long prompt that is queued behind others.
-	minStreamTimeout = 1200 * time.Millisecond
-	// streamTimeoutPauses is the idle timeout of a stream, as a multiple of the route's
-	// longest pause between events. It applies where it exceeds minStreamTimeout.
-	streamTimeoutPauses = 3
+	minStreamIdleTimeout = 1200 * time.Millisecond
+	// streamIdleTimeoutFactor is the idle timeout of a stream, as a multiple of the route's
+	// longest pause between events. It applies where it exceeds minStreamIdleTimeout.
+	streamIdleTimeoutFactor = 3
 )
 
 // Attempt is the input of AttemptTimeout.
@@ -39,7 +39,7 @@
 	case !a.Retryable || a.Sends+1 >= a.MaxAttempts:
 		return 0, false
 	case a.Stream:
-		return max(minStreamTimeout, streamTimeoutPauses*a.PauseLimit), true
+		return max(minStreamIdleTimeout, streamIdleTimeoutFactor*a.PauseLimit), true
 	}
-	return time.Duration(plainTimeoutShare * float64(a.Objective)), true
+	return time.Duration(responseTimeoutFactor * float64(a.Objective)), true
 }
--- a/internal/gateway/relay/rules/times.go
+++ b/internal/gateway/relay/rules/times.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// answerMargin is reserved before the end of the client's timeout, so that the response
+	// responseMargin is reserved before the end of the client's timeout, so that the response
 	// still reaches the client: ten times the network delay to clients.
-	answerMargin = 25 * time.Millisecond
-	// answerMarginParts limits the margin of a short timeout to one part in so many.
-	answerMarginParts = 10
+	responseMargin = 25 * time.Millisecond
+	// responseMarginDivisor limits the margin to a fraction of a short timeout.
+	responseMarginDivisor = 10
 	// defaultTimeout is assumed for clients that send no timeout: longer than any route
 	// allows.
 	defaultTimeout = 30 * time.Second
@@ -57,7 +57,7 @@
 	}
 	return Times{
 		Arrived:   in.Arrived,
-		Answer:    in.Arrived.Add(timeout - min(answerMargin, timeout/answerMarginParts)),
+		Answer:    in.Arrived.Add(timeout - min(responseMargin, timeout/responseMarginDivisor)),
 		Objective: in.Arrived.Add(in.Objective),
 		Lead:      max(engineLead, in.Prefill),
 	}
--- a/internal/gateway/relay/rules/times_test.go
+++ b/internal/gateway/relay/rules/times_test.go
@@ -17,14 +17,14 @@
 func TestAnswerDeadline(t *testing.T) {
 	convey.Convey("The response is due", t, func() {
 		convey.Convey("a margin before the client's timeout", func() {
-			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second}, 10*time.Second-answerMargin)
+			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second}, 10*time.Second-responseMargin)
 		})
 		convey.Convey("by the route's timeout if it is shorter", func() {
-			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second, RouteTimeout: 4 * time.Second}, 4*time.Second-answerMargin)
-			shouldAnswerWithin(TimesInput{ClientTimeout: 2 * time.Second, RouteTimeout: 4 * time.Second}, 2*time.Second-answerMargin)
+			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second, RouteTimeout: 4 * time.Second}, 4*time.Second-responseMargin)
+			shouldAnswerWithin(TimesInput{ClientTimeout: 2 * time.Second, RouteTimeout: 4 * time.Second}, 2*time.Second-responseMargin)
 		})
 		convey.Convey("by the default timeout if the client sends none", func() {
-			shouldAnswerWithin(TimesInput{}, defaultTimeout-answerMargin)
+			shouldAnswerWithin(TimesInput{}, defaultTimeout-responseMargin)
 		})
 		convey.Convey("a tenth before the end of a short timeout", func() {
 			shouldAnswerWithin(TimesInput{ClientTimeout: 100 * time.Millisecond}, 90*time.Millisecond)
@@ -38,7 +38,7 @@
 	convey.Convey("A stage is due before the objective by the time of the later stages and the engine's lead", t, func() {
 		stage := NewTimes(in).Stage(following)
 		convey.So(stage.Due.Sub(arrived), convey.ShouldEqual, 2*time.Second-engineLead-following)
-		convey.So(stage.Deadline.Sub(arrived), convey.ShouldEqual, 10*time.Second-answerMargin-engineLead-following)
+		convey.So(stage.Deadline.Sub(arrived), convey.ShouldEqual, 10*time.Second-responseMargin-engineLead-following)
 	})
 	convey.Convey("The stages of a long prompt are due earlier, but have the same deadline", t, func() {
 		long := in
@@ -49,6 +49,6 @@
 	convey.Convey("An item's deadline leaves the engine its least lead before the response deadline", t, func() {
 		times := NewTimes(in)
 		convey.So(times.Stage(0).Deadline, convey.ShouldHappenBefore, times.Answer)
-		convey.So(engineLead, convey.ShouldBeGreaterThan, answerMargin)
+		convey.So(engineLead, convey.ShouldBeGreaterThan, responseMargin)
 	})
 }
