--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -12,8 +12,8 @@
 // admit plans the request's stages with their services, and admits or refuses the request
 // (rules.Admit). It returns how long the stages should take. The plans of a refused
 // request are cancelled.
-func (s *Server) admit(ctx context.Context, r *resolved) (time.Duration, *verdict.Error) {
-	retried := s.timeouts.retried(r.route.Name, r.req.Timeout)
+func (s *Server) admit(ctx context.Context, r *resolvedRequest) (time.Duration, *verdict.Error) {
+	retried := s.timeouts.observe(r.route.Name, r.req.Timeout)
 	plan := r.plan()
 	if len(plan) == 0 {
 		return 0, nil
@@ -24,8 +24,8 @@
 		Left: r.times.Objective.Sub(s.cfg.Now()), Objective: r.route.Objective,
 		Priority: r.route.Priority, Retried: retried,
 	}
-	refused, is := rules.Admit(in).(rules.Refused)
-	if !is {
+	refused, ok := rules.Admit(in).(rules.Refused)
+	if !ok {
 		return in.Estimated, nil
 	}
 	s.cfg.Batcher.Cancel(r.req.ID, plan)
@@ -35,7 +35,7 @@
 }
 
 // refuse reports a refusal and returns its error.
-func (s *Server) refuse(r *resolved, d Refused) *verdict.Error {
+func (s *Server) refuse(r *resolvedRequest, d Refused) *verdict.Error {
 	s.cfg.Observer.Decided(r.req.ID, d)
 	return verdict.New(verdict.NotRun, verdict.ReasonOverload, "the stages would take %v", d.Estimated).
 		WithRetryAfter(retryAfter(r.times.Answer.Sub(s.cfg.Now())))
@@ -43,7 +43,7 @@
 
 // refuseEvacuated refuses a request that needs a service whose targets are all in
 // evacuated data centres.
-func (s *Server) refuseEvacuated(r *resolved) *verdict.Error {
+func (s *Server) refuseEvacuated(r *resolvedRequest) *verdict.Error {
 	service, refused := rules.Evacuated(r.services(), s.cfg.View().Directory.AllEvacuated)
 	if !refused {
 		return nil
@@ -53,7 +53,7 @@
 }
 
 // services returns the services that the request needs, in the order of their use.
-func (r *resolved) services() []string {
+func (r *resolvedRequest) services() []string {
 	var list []string
 	for i, stage := range r.stages {
 		if stage.Items > 0 {
@@ -64,7 +64,7 @@
 }
 
 // plan returns what the request will ask for, in the order of its stages.
-func (r *resolved) plan() []PlannedStage {
+func (r *resolvedRequest) plan() []PlannedStage {
 	var plan []PlannedStage
 	for i, stage := range r.stages {
 		if stage.Items > 0 {
@@ -77,11 +77,11 @@
 	return plan
 }
 
-// refuseHeld refuses a request that crashed the targets that ran it, before any of its
-// stages starts, unless it is admitted as the trial. Clients retry such a request at any
-// node under a new ID: without this check a single request crashed fifteen engines in
+// refuseQuarantined refuses a request that crashed the targets that ran it, before any of
+// its stages starts, unless it is admitted as the trial. Clients retry such a request at
+// any node under a new ID: without this check a single request crashed fifteen engines in
 // seventeen seconds, because each node took it for a new one.
-func (s *Server) refuseHeld(r *resolved) *verdict.Error {
+func (s *Server) refuseQuarantined(r *resolvedRequest) *verdict.Error {
 	if s.cfg.Quarantine.Idle() {
 		return nil
 	}
@@ -92,18 +92,18 @@
 			// are suspected.
 			r.trial = r.trial || i == 0
 		case quarantine.Refused:
-			return errHeld(a.Hold, s.cfg.Now())
+			return quarantinedError(a.Hold, s.cfg.Now())
 		}
 	}
 	return nil
 }
 
-// leastHeld is the least time after which the client of a quarantined request may retry:
-// the quarantine may have expired while another member runs the trial.
-const leastHeld = time.Second
+// minHeldRetryAfter is the least time after which the client of a quarantined request may
+// retry: the quarantine may have expired while another member runs the trial.
+const minHeldRetryAfter = time.Second
 
-// errHeld returns the error for a quarantined request.
-func errHeld(hold quarantine.Hold, now time.Time) *verdict.Error {
+// quarantinedError returns the error for a quarantined request.
+func quarantinedError(hold quarantine.Hold, now time.Time) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d targets crashed while they ran the same request", len(hold.Crashes)).
-		WithRetryAfter(max(hold.Until.Sub(now), leastHeld))
+		WithRetryAfter(max(hold.Until.Sub(now), minHeldRetryAfter))
 }
--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -13,129 +13,129 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// maxAnswerBytes limits a response that is not a stream, which is buffered before it is
+// maxResponseBytes limits a response that is not a stream, which is buffered before it is
 // forwarded: far above the responses of services, and a tenth of the memory of the
 // smallest instances.
-const maxAnswerBytes = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // unknownLength is the length of a stream.
 const unknownLength = -1
 
-// passBack forwards a target's response to the client.
-func (s *sender) passBack(ctx context.Context, reply *Reply, timer attemptTimer, sends int) *verdict.Error {
+// forwardReply forwards a target's response to the client.
+func (s *sender) forwardReply(ctx context.Context, reply *Reply, timer attemptTimer, possibleRuns int) *verdict.Error {
 	// The body has been read to its end or is not needed, so an error of Close is ignored.
 	defer reply.Body.Close()
 	if s.route.Kind == catalog.Stream && reply.Succeeded {
-		return s.answer.passStream(ctx, reply, timer)
+		return s.response.forwardStream(ctx, reply, timer)
 	}
-	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes+1))
-	if err != nil || len(body) > maxAnswerBytes {
-		return broken(ctx, err)
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxResponseBytes+1))
+	if err != nil || len(body) > maxResponseBytes {
+		return truncatedError(ctx, err)
 	}
-	switch rules.AfterAnswer(s.answerInput(reply, sends)).(type) {
+	switch rules.AfterAnswer(s.responseInput(reply, possibleRuns)).(type) {
 	case rules.TryAnother:
 		return verdict.New(verdict.Ran, verdict.ReasonTargetError, "the target answered with status %d", reply.Status)
 	case rules.BreakOff:
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "the stream could not be resumed: status %d", reply.Status)
 	}
-	return s.answer.passWhole(reply, body)
+	return s.response.forwardWhole(reply, body)
 }
 
-func (s *sender) answerInput(reply *Reply, sends int) rules.Answer {
+func (s *sender) responseInput(reply *Reply, possibleRuns int) rules.Answer {
 	return rules.Answer{
-		Status: reply.Status, Succeeded: reply.Succeeded, Begun: s.answer.begun.Load(),
-		Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
-		Budget: s.budgets.left(s.service.Name), Left: s.times.Answer.Sub(s.now()), Objective: s.route.Objective,
+		Status: reply.Status, Succeeded: reply.Succeeded, Begun: s.response.started.Load(),
+		Retryable: s.route.MayRepeat(), Sends: possibleRuns, MaxAttempts: s.route.MaxAttempts,
+		Budget: s.budgets.remaining(s.service.Name), Left: s.times.Answer.Sub(s.now()), Objective: s.route.Objective,
 	}
 }
 
-// answer is the response to the client.
-type answer struct {
+// clientResponse is the response to the client.
+type clientResponse struct {
 	out     Responder
 	arrived time.Time
 	now     func() time.Time
 	outcome *Outcome
-	// began is called once, before the first byte is forwarded.
-	began func(reply *Reply)
-	begun atomic.Bool
+	// onStart is called once, before the first byte is forwarded.
+	onStart func(reply *Reply)
+	started atomic.Bool
 	// lastEvent is the last event that the client has; empty for none.
 	lastEvent string
 }
 
-// begin forwards the header of a response; length is unknownLength for a stream.
-func (a *answer) begin(reply *Reply, length int) *verdict.Error {
-	a.begun.Store(true)
-	a.outcome.Status = reply.Status
-	a.outcome.FirstByte = a.now().Sub(a.arrived)
-	a.began(reply)
-	if err := a.out.Begin(reply, length); err != nil {
-		return callerGone(err)
+// start forwards the header of a response; length is unknownLength for a stream.
+func (r *clientResponse) start(reply *Reply, length int) *verdict.Error {
+	r.started.Store(true)
+	r.outcome.Status = reply.Status
+	r.outcome.FirstByte = r.now().Sub(r.arrived)
+	r.onStart(reply)
+	if err := r.out.Begin(reply, length); err != nil {
+		return disconnectedError(err)
 	}
 	return nil
 }
 
-// beginStream forwards the header of a stream, unless the client already has one.
-func (a *answer) beginStream(reply *Reply) *verdict.Error {
-	if a.begun.Load() {
+// startStream forwards the header of a stream, unless the client already has one.
+func (r *clientResponse) startStream(reply *Reply) *verdict.Error {
+	if r.started.Load() {
 		return nil
 	}
-	return a.begin(reply, unknownLength)
+	return r.start(reply, unknownLength)
 }
 
-func (a *answer) write(p []byte) *verdict.Error {
-	if err := a.out.Write(p); err != nil {
-		return callerGone(err)
+func (r *clientResponse) write(p []byte) *verdict.Error {
+	if err := r.out.Write(p); err != nil {
+		return disconnectedError(err)
 	}
 	return nil
 }
 
-func (a *answer) passWhole(reply *Reply, body []byte) *verdict.Error {
-	if err := a.begin(reply, len(body)); err != nil {
+func (r *clientResponse) forwardWhole(reply *Reply, body []byte) *verdict.Error {
+	if err := r.start(reply, len(body)); err != nil {
 		return err
 	}
-	return a.write(body)
+	return r.write(body)
 }
 
-// passStream forwards events as they arrive. If the stream breaks, it can be resumed after
-// the last event that was forwarded.
-func (a *answer) passStream(ctx context.Context, reply *Reply, timer attemptTimer) *verdict.Error {
+// forwardStream forwards events as they arrive. If the stream breaks, it can be resumed
+// after the last event that was forwarded.
+func (r *clientResponse) forwardStream(ctx context.Context, reply *Reply, timer attemptTimer) *verdict.Error {
 	events := newEventReader(reply.Body)
 	for {
 		ev, err := events.next()
 		if err == io.EOF {
 			// A stream without events consists of its header only.
-			return a.beginStream(reply)
+			return r.startStream(reply)
 		}
 		if err != nil {
-			return broken(ctx, err)
+			return truncatedError(ctx, err)
 		}
 		timer.reset()
-		if rules.EventPassed(ev.id, a.lastEvent) {
+		if rules.EventPassed(ev.id, r.lastEvent) {
 			continue
 		}
-		if err := a.passEvent(reply, ev); err != nil {
+		if err := r.forwardEvent(reply, ev); err != nil {
 			return err
 		}
 	}
 }
 
-func (a *answer) passEvent(reply *Reply, ev event) *verdict.Error {
-	if err := a.beginStream(reply); err != nil {
+func (r *clientResponse) forwardEvent(reply *Reply, ev event) *verdict.Error {
+	if err := r.startStream(reply); err != nil {
 		return err
 	}
-	if err := a.write(ev.text); err != nil {
+	if err := r.write(ev.text); err != nil {
 		return err
 	}
-	a.outcome.Events++
+	r.outcome.Events++
 	if ev.id != "" {
-		a.lastEvent = ev.id
+		r.lastEvent = ev.id
 	}
 	return nil
 }
 
-// broken returns the error for a truncated response. If the request itself had ended, that
-// is the reason.
-func broken(ctx context.Context, cause error) *verdict.Error {
+// truncatedError returns the error for a truncated response. If the request itself had
+// ended, that is the reason.
+func truncatedError(ctx context.Context, cause error) *verdict.Error {
 	reason := verdict.ReasonCut
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -146,6 +146,6 @@
 	return verdict.New(verdict.MayHaveRun, reason, "the answer ended before its end").WithCause(cause)
 }
 
-func callerGone(cause error) *verdict.Error {
+func disconnectedError(cause error) *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "the client has disconnected").WithCause(cause)
 }
--- a/internal/gateway/relay/budgets.go
+++ b/internal/gateway/relay/budgets.go
@@ -20,8 +20,8 @@
 	return &retryBudgets{policy: policy, now: now, services: map[string]*retrybudget.Budget{}}
 }
 
-// of returns a service's budget; the caller must hold the mutex.
-func (b *retryBudgets) of(service string) *retrybudget.Budget {
+// budget returns a service's budget; the caller must hold the mutex.
+func (b *retryBudgets) budget(service string) *retrybudget.Budget {
 	budget := b.services[service]
 	if budget == nil {
 		budget = retrybudget.New(b.policy)
@@ -30,23 +30,23 @@
 	return budget
 }
 
-// first counts a request that is sent for the first time.
-func (b *retryBudgets) first(service string) {
+// countRequest counts a request that is sent for the first time.
+func (b *retryBudgets) countRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).First(b.now())
+	b.budget(service).First(b.now())
 }
 
 // spend reports whether a retry is allowed, and counts it if so.
 func (b *retryBudgets) spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Spend(b.now())
+	return b.budget(service).Spend(b.now())
 }
 
-// left returns how many retries are allowed now.
-func (b *retryBudgets) left(service string) float64 {
+// remaining returns how many retries are allowed now.
+func (b *retryBudgets) remaining(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Left(b.now())
+	return b.budget(service).Left(b.now())
 }
--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -15,7 +15,7 @@
 
 // chooser chooses the targets of one request's attempts.
 type chooser struct {
-	*resolved
+	*resolvedRequest
 	dataCentre string
 	// node is this node's name.
 	node string
@@ -23,7 +23,7 @@
 	// route of the request follows the view at its arrival.
 	view    func() *view.View
 	placer  Placer
-	targets *targets
+	targets *targetStats
 	now     func() time.Time
 	// members returns how many nodes share the targets' connections.
 	members func() int
@@ -35,9 +35,9 @@
 	gate       Gate
 }
 
-func (s *Server) chooser(r *resolved) *chooser {
+func (s *Server) newChooser(r *resolvedRequest) *chooser {
 	return &chooser{
-		resolved: r, dataCentre: s.cfg.DataCentre, node: s.cfg.Node, view: s.cfg.View, placer: s.cfg.Placer, targets: s.targets,
+		resolvedRequest: r, dataCentre: s.cfg.DataCentre, node: s.cfg.Node, view: s.cfg.View, placer: s.cfg.Placer, targets: s.targets,
 		now: s.cfg.Now, members: s.cfg.Members, givesOut: s.cfg.GivesOut, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
 	}
 }
@@ -47,44 +47,44 @@
 	directory.Target
 	// copyFrom is as in Call.
 	copyFrom string
-	// alone is true if the request is suspected and this node keeps other suspected
+	// isolated is true if the request is suspected and this node keeps other suspected
 	// requests away from the target until the attempt has ended.
-	alone bool
+	isolated bool
 }
 
-// place chooses the target of an attempt. inputs are the bytes of the request's inputs in
-// each data centre.
+// chooseTarget chooses the target of an attempt. inputs are the bytes of the request's
+// inputs in each data centre.
 //
 // Suspected requests do not share a target: if it crashes, one of them is the cause, and
 // the other would be quarantined as well although it is harmless. When two requests go to
 // the same targets, the harmless one is quarantined in three of four runs of
 // platform.TestRequestThatEndsItsTargets; with separate targets, in none of six. Suspected
 // requests share a target only if no other is left.
-func (c *chooser) place(ctx context.Context, inputs map[string]int64) (destination, bool) {
+func (c *chooser) chooseTarget(ctx context.Context, inputs map[string]int64) (destination, bool) {
 	if !c.quarantine.Suspected(c.digest) {
-		return c.choose(ctx, inputs, c.tried, false)
+		return c.chooseAllowed(ctx, inputs, c.tried, false)
 	}
 	for {
-		d, ok := c.choose(ctx, inputs, slices.Concat(c.tried, c.targets.withSuspects()), true)
+		d, ok := c.chooseAllowed(ctx, inputs, slices.Concat(c.tried, c.targets.isolatedTargets()), true)
 		if !ok {
-			return c.choose(ctx, inputs, c.tried, true)
+			return c.chooseAllowed(ctx, inputs, c.tried, true)
 		}
 		if c.targets.isolate(d.ID) {
-			d.alone = true
+			d.isolated = true
 			return d, true
 		}
 	}
 }
 
-// leave ends the isolation of a target after an attempt.
-func (c *chooser) leave(d destination) {
-	if d.alone {
+// endIsolation ends the isolation of a target after an attempt.
+func (c *chooser) endIsolation(d destination) {
+	if d.isolated {
 		c.targets.endIsolation(d.ID)
 	}
 }
 
-// choose chooses among the targets that are not excluded and may get a request.
-func (c *chooser) choose(ctx context.Context, inputs map[string]int64, exclude []string, suspect bool) (destination, bool) {
+// chooseAllowed chooses among the targets that are not excluded and may get a request.
+func (c *chooser) chooseAllowed(ctx context.Context, inputs map[string]int64, exclude []string, suspect bool) (destination, bool) {
 	exclude = slices.Concat(exclude, c.gate.Blocked(c.view().Directory))
 	for {
 		d, ok := c.candidate(ctx, inputs, exclude, suspect)
@@ -104,7 +104,7 @@
 			return d, true
 		}
 	}
-	target, ok := c.own(inputs, exclude)
+	target, ok := c.chooseLocally(inputs, exclude)
 	return destination{Target: target}, ok
 }
 
@@ -126,8 +126,8 @@
 	return destination{Target: target, copyFrom: placed.CopyFrom}, true
 }
 
-// own chooses a target by the information of this node alone.
-func (c *chooser) own(inputs map[string]int64, exclude []string) (directory.Target, bool) {
+// chooseLocally chooses a target by the information of this node alone.
+func (c *chooser) chooseLocally(inputs map[string]int64, exclude []string) (directory.Target, bool) {
 	list := c.view().Directory.Service(c.service.Name)
 	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, GivesOut: c.givesOut}
 	if c.service.Engine {
@@ -147,8 +147,9 @@
 	return c.targets.choose(c.service, list, q)
 }
 
-// pauses returns the remaining pause of each target of the service that is not leaving.
-func (c *chooser) pauses() []time.Duration {
+// targetPauses returns the remaining pause of each target of the service that is not
+// leaving.
+func (c *chooser) targetPauses() []time.Duration {
 	now := c.now()
 	var list []time.Duration
 	for _, t := range c.view().Directory.Service(c.service.Name) {
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -12,29 +12,29 @@
 
 // delivery sends one request to targets until one of them has responded.
 type delivery struct {
-	*resolved
-	now     func() time.Time
-	decided func(Decision)
-	budgets *retryBudgets
-	chooser *chooser
-	work    *stageWork
-	sender  *sender
-	answer  *answer
-	outcome *Outcome
-	// resends, refusals and sends count attempts as rules.Failure does.
-	resends, refusals, sends int
+	*resolvedRequest
+	now            func() time.Time
+	reportDecision func(Decision)
+	budgets        *retryBudgets
+	chooser        *chooser
+	runner         *stageRunner
+	sender         *sender
+	response       *clientResponse
+	outcome        *Outcome
+	// resends, refusals and possibleRuns count attempts as rules.Failure does.
+	resends, refusals, possibleRuns int
 }
 
-func (s *Server) delivery(r *resolved, out Responder, outcome *Outcome) *delivery {
-	c, decided := s.chooser(r), s.decided(r)
-	work := newStageWork(r, &s.cfg, decided, c)
-	answer := &answer{out: out, arrived: r.req.Arrived, now: s.cfg.Now, outcome: outcome, lastEvent: r.req.LastEvent}
+func (s *Server) newDelivery(r *resolvedRequest, out Responder, outcome *Outcome) *delivery {
+	c, reportDecision := s.newChooser(r), s.decisionReporter(r)
+	runner := newStageRunner(r, &s.cfg, reportDecision, c)
+	response := &clientResponse{out: out, arrived: r.req.Arrived, now: s.cfg.Now, outcome: outcome, lastEvent: r.req.LastEvent}
 	return &delivery{
-		resolved: r, now: s.cfg.Now, decided: decided, budgets: s.budgets, chooser: c, work: work, answer: answer, outcome: outcome,
+		resolvedRequest: r, now: s.cfg.Now, reportDecision: reportDecision, budgets: s.budgets, chooser: c, runner: runner, response: response, outcome: outcome,
 		sender: &sender{
-			resolved: r, upstream: s.cfg.Upstream, placer: s.cfg.Placer, view: s.cfg.View, now: s.cfg.Now,
-			targets: s.targets, budgets: s.budgets, prefills: s.prefills, inputsGone: s.inputsGone, work: work, answer: answer, outcome: outcome,
-			stopping: s.stopping, decided: decided, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
+			resolvedRequest: r, upstream: s.cfg.Upstream, placer: s.cfg.Placer, view: s.cfg.View, now: s.cfg.Now,
+			targets: s.targets, budgets: s.budgets, prefills: s.prefills, missingInputs: s.missingInputs, runner: runner, response: response, outcome: outcome,
+			stopping: s.stopping, reportDecision: reportDecision, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
 		},
 	}
 }
@@ -42,46 +42,46 @@
 // deliver sends the request to targets until one responds, the deadline passes or no other
 // target may be tried.
 func (d *delivery) deliver(ctx context.Context) *verdict.Error {
-	d.budgets.first(d.service.Name)
+	d.budgets.countRequest(d.service.Name)
 	for first := true; ; first = false {
-		if err := d.work.ensure(ctx); err != nil {
+		if err := d.runner.ensureInputs(ctx); err != nil {
 			return err
 		}
 		if !first && !d.budgets.spend(d.service.Name) {
 			return d.endError(verdict.ReasonRetryExhausted, "the retry budget is exhausted")
 		}
-		target, ok := d.chooser.place(ctx, d.work.results.bytes())
+		target, ok := d.chooser.chooseTarget(ctx, d.runner.results.inputBytes())
 		if !ok {
 			return d.endError(verdict.ReasonNoTarget, "no target is available")
 		}
-		next, err := d.try(ctx, target)
-		d.chooser.leave(target)
+		next, err := d.sendTo(ctx, target)
+		d.chooser.endIsolation(target)
 		if err == nil {
 			return nil
 		}
-		d.report(next)
+		d.reportFailure(next)
 		switch next.(type) {
 		case rules.GiveUp:
 			return err
 		case rules.Recompute:
-			d.work.results.lose()
+			d.runner.results.markInputsLost()
 		case rules.OtherTarget:
 			d.chooser.tried = append(d.chooser.tried, target.ID)
 		}
 	}
 }
 
-// try sends the request to one target, again over another connection if an idle one was
+// sendTo sends the request to one target, again over another connection if an idle one was
 // closed. An error comes with the next step.
-func (d *delivery) try(ctx context.Context, target destination) (rules.NextAttempt, *verdict.Error) {
+func (d *delivery) sendTo(ctx context.Context, target destination) (rules.NextAttempt, *verdict.Error) {
 	for {
-		err := d.sender.send(ctx, target, d.sends)
+		err := d.sender.send(ctx, target, d.possibleRuns)
 		if err == nil {
 			return nil, nil
 		}
 		next := rules.AfterFailure(rules.Failure{
 			Verdict: err.Verdict(), Reason: err.Reason(), Ended: ctx.Err() != nil,
-			Resends: d.resends, Refusals: d.refusals, Sends: d.sends,
+			Resends: d.resends, Refusals: d.refusals, Sends: d.possibleRuns,
 			Retryable: d.route.MayRepeat(), MaxAttempts: d.route.MaxAttempts,
 		})
 		if _, ok := next.(rules.Resend); ok {
@@ -91,21 +91,21 @@
 		if err.Verdict() == verdict.NotRun {
 			d.refusals++
 		} else {
-			d.sends++
+			d.possibleRuns++
 		}
 		return next, err
 	}
 }
 
-// report reports a failed attempt and the next step. If too many targets refused the
+// reportFailure reports a failed attempt and the next step. If too many targets refused the
 // request, that is left to the report of the request's end, which lists the attempts.
-func (d *delivery) report(next rules.NextAttempt) {
+func (d *delivery) reportFailure(next rules.NextAttempt) {
 	giveUp, over := next.(rules.GiveUp)
 	if over && giveUp.Reason == rules.RefusalsSpent {
 		return
 	}
-	d.decided(AttemptFailed{
-		Attempt: d.outcome.Attempts[len(d.outcome.Attempts)-1], Events: d.outcome.Events, LastEvent: d.answer.lastEvent,
+	d.reportDecision(AttemptFailed{
+		Attempt: d.outcome.Attempts[len(d.outcome.Attempts)-1], Events: d.outcome.Events, LastEvent: d.response.lastEvent,
 		Left: d.times.Answer.Sub(d.now()), WillRetry: !over, Next: next,
 	})
 }
@@ -119,16 +119,16 @@
 	return rules.EndError(last, verdict.New(verdict.NotRun, reason, "%s", text))
 }
 
-// final completes the error that ends the request: whether the request may have run and
-// when the client should retry.
-func (d *delivery) final(err *verdict.Error) *verdict.Error {
+// finalError completes the error that ends the request: whether the request may have run
+// and when the client should retry.
+func (d *delivery) finalError(err *verdict.Error) *verdict.Error {
 	if hold, held := d.hold(); held && err.Reason() == verdict.ReasonQuarantined {
-		err = errHeld(hold, d.now())
+		err = quarantinedError(hold, d.now())
 	}
-	err = rules.FinalVerdict(err, d.sends, d.route.MayRepeat())
+	err = rules.FinalVerdict(err, d.possibleRuns, d.route.MayRepeat())
 	if err.Verdict() == verdict.NotRun && err.RetryAfter() == 0 {
 		own := retryAfter(d.times.Answer.Sub(d.now()))
-		err = err.WithRetryAfter(rules.AfterPauses(own, d.chooser.pauses(), rand.Float64()))
+		err = err.WithRetryAfter(rules.AfterPauses(own, d.chooser.targetPauses(), rand.Float64()))
 	}
 	return err
 }
--- a/internal/gateway/relay/inputs.go
+++ b/internal/gateway/relay/inputs.go
@@ -8,51 +8,51 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// inputsGone records when inputs that were released early turned out to be missing, by the
-// service that reads them. It is safe for concurrent use.
-type inputsGone struct {
+// missingInputs records when inputs that were released early turned out to be missing, by
+// the service that reads them. It is safe for concurrent use.
+type missingInputs struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 }
 
-func newInputsGone() *inputsGone { return &inputsGone{last: map[string]time.Time{}} }
+func newMissingInputs() *missingInputs { return &missingInputs{last: map[string]time.Time{}} }
 
-// of returns when inputs of a service were last missing; zero for never.
-func (g *inputsGone) of(service string) time.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.last[service]
+// lastMissing returns when inputs of a service were last missing; zero for never.
+func (m *missingInputs) lastMissing(service string) time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.last[service]
 }
 
-// note records that inputs of a service were missing.
-func (g *inputsGone) note(now time.Time, service string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.last[service] = now
+// record records that inputs of a service were missing.
+func (m *missingInputs) record(now time.Time, service string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.last[service] = now
 }
 
-// releaseInputs schedules the release of the request's inputs for when the engine that the
-// request was just sent to should have fetched them. The returned function cancels the
-// release and is called when the attempt ends.
-func (s *sender) releaseInputs() (end func()) {
-	transfers := s.work.results.transfers(s.route.LastStages())
+// scheduleInputRelease schedules the release of the request's inputs for when the engine
+// that the request was just sent to should have fetched them. The returned function
+// cancels the release and is called when the attempt ends.
+func (s *sender) scheduleInputRelease() (end func()) {
+	transfers := s.runner.results.transfers(s.route.LastStages())
 	if !s.service.Engine || len(transfers) == 0 {
 		return func() {}
 	}
 	longest := rules.LongestTransfer(transfers)
-	if !rules.ReleaseBeforeAnswer(s.now(), longest, s.inputsGone.of(s.service.Name)) {
+	if !rules.ReleaseBeforeAnswer(s.now(), longest, s.missingInputs.lastMissing(s.service.Name)) {
 		return func() {}
 	}
-	results := s.work.results
-	timer := time.AfterFunc(rules.InputsReadTime(longest), func() { results.consumed(releasedEarly) })
+	results := s.runner.results
+	timer := time.AfterFunc(rules.InputsReadTime(longest), func() { results.releaseInputs(inputsReleasedEarly) })
 	return func() { timer.Stop() }
 }
 
-// noteInputsGone records it if an attempt failed because its inputs were missing and they
-// had been released early.
-func (s *sender) noteInputsGone(err *verdict.Error) {
-	if err != nil && err.Reason() == verdict.ReasonInputGone && s.work.results.wereReleasedEarly() {
-		s.inputsGone.note(s.now(), s.service.Name)
+// recordMissingInputs records it if an attempt failed because its inputs were missing and
+// they had been released early.
+func (s *sender) recordMissingInputs(err *verdict.Error) {
+	if err != nil && err.Reason() == verdict.ReasonInputGone && s.runner.results.wereReleasedEarly() {
+		s.missingInputs.record(s.now(), s.service.Name)
 	}
 }
 
@@ -65,10 +65,10 @@
 	for _, i := range stages {
 		held := make(map[string]int64)
 		for _, result := range r.results[i] {
-			held[result.Target] += r.work.route.Stages[i].ResultBytes
+			held[result.Target] += r.runner.route.Stages[i].ResultBytes
 		}
 		for _, bytes := range held {
-			list = append(list, rules.Transfer{Bytes: bytes, BytesPerSecond: r.work.stages[i].BytesPerSecond})
+			list = append(list, rules.Transfer{Bytes: bytes, BytesPerSecond: r.runner.stages[i].BytesPerSecond})
 		}
 	}
 	return list
--- a/internal/gateway/relay/measured.go
+++ b/internal/gateway/relay/measured.go
@@ -18,8 +18,8 @@
 	return &clientTimeouts{longest: map[string]time.Duration{}}
 }
 
-// retried records a client's timeout and reports whether its request is a retry.
-func (c *clientTimeouts) retried(route string, timeout time.Duration) bool {
+// observe records a client's timeout and reports whether its request is a retry.
+func (c *clientTimeouts) observe(route string, timeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.longest[route] = max(c.longest[route], timeout)
@@ -37,24 +37,24 @@
 	return &prefillRates{services: map[string]rules.PrefillRate{}}
 }
 
-// of returns a service's rate; the caller must hold the mutex.
-func (p *prefillRates) of(service string) rules.PrefillRate {
+// rate returns a service's rate; the caller must hold the mutex.
+func (p *prefillRates) rate(service string) rules.PrefillRate {
 	if rate, ok := p.services[service]; ok {
 		return rate
 	}
 	return rules.NewPrefillRate()
 }
 
-// time estimates a service's time to the first event of a prompt.
-func (p *prefillRates) time(service string, tokens int) time.Duration {
+// firstEventTime estimates a service's time to the first event of a prompt.
+func (p *prefillRates) firstEventTime(service string, tokens int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.of(service).Time(tokens)
+	return p.rate(service).Time(tokens)
 }
 
-// note records the time to the first event of a prompt.
-func (p *prefillRates) note(service string, tokens int, took time.Duration) {
+// observe records the time to the first event of a prompt.
+func (p *prefillRates) observe(service string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.services[service] = p.of(service).WithPrompt(tokens, took)
+	p.services[service] = p.rate(service).WithPrompt(tokens, took)
 }
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -133,10 +133,10 @@
 
 // Batcher runs the items of stages at their services' targets.
 type Batcher interface {
-	// Run returns the results in the order of the items' indices. It calls started, at most
-	// once, when the items should have read their inputs. An error with
+	// Run returns the results in the order of the items' indices. It calls inputsRead, at
+	// most once, when the items should have read their inputs. An error with
 	// verdict.ReasonInputGone means that inputs are lost and must be recomputed.
-	Run(ctx context.Context, service string, g Group, started func()) ([]batching.Result, *verdict.Error)
+	Run(ctx context.Context, service string, g Group, inputsRead func()) ([]batching.Result, *verdict.Error)
 	// Release releases results at their targets.
 	Release(service string, results []batching.Result)
 	// Plan announces the stages that a request will run, and returns each service's
@@ -185,9 +185,9 @@
 type Placer interface {
 	// Place chooses an engine; false if there was no answer in time.
 	Place(ctx context.Context, service string, p placement.Prompt) (Placed, bool)
-	// Prefilled reports that a placed prompt no longer loads its engine; whole says whether
-	// the prefill was completed.
-	Prefilled(service, request string, whole bool)
+	// Prefilled reports that a placed prompt no longer loads its engine; complete says
+	// whether the prefill was completed.
+	Prefilled(service, request string, complete bool)
 }
 
 // Placed is the choice of a Placer.
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -68,12 +68,12 @@
 	stopping context.Context
 	stop     context.CancelFunc
 
-	targets  *targets
+	targets  *targetStats
 	budgets  *retryBudgets
 	timeouts *clientTimeouts
 	prefills *prefillRates
-	// inputsGone records when inputs were released too early.
-	inputsGone *inputsGone
+	// missingInputs records when inputs were released too early.
+	missingInputs *missingInputs
 }
 
 // New returns a server.
@@ -81,8 +81,8 @@
 	stopping, stop := context.WithCancel(context.Background())
 	return &Server{
 		cfg: cfg, stopping: stopping, stop: stop,
-		targets: newTargets(cfg.Now, cfg.WarmUp), budgets: newRetryBudgets(cfg.RetryPolicy, cfg.Now),
-		timeouts: newClientTimeouts(), prefills: newPrefillRates(), inputsGone: newInputsGone(),
+		targets: newTargetStats(cfg.Now, cfg.WarmUp), budgets: newRetryBudgets(cfg.RetryPolicy, cfg.Now),
+		timeouts: newClientTimeouts(), prefills: newPrefillRates(), missingInputs: newMissingInputs(),
 	}
 }
 
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.refuseHeld(r); err != nil {
+	if err := s.refuseQuarantined(r); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.times.Answer.Sub(s.cfg.Now()))
@@ -122,42 +122,43 @@
 	if outcome.Planned, err = s.admit(ctx, r); err != nil {
 		return err
 	}
-	d := s.delivery(r, out, outcome)
+	d := s.newDelivery(r, out, outcome)
 	defer context.AfterFunc(s.stopping, func() {
-		if !d.answer.begun.Load() {
+		if !d.response.started.Load() {
 			cancel()
 		}
 	})()
-	defer func() { outcome.Recomputed = d.work.recomputes }()
-	defer func() { d.work.results.releaseAll() }()
-	if err := d.work.results.run(ctx); err != nil {
-		return d.final(err)
+	defer func() { outcome.Recomputed = d.runner.recomputes }()
+	defer func() { d.runner.results.releaseAll() }()
+	if err := d.runner.results.run(ctx); err != nil {
+		return d.finalError(err)
 	}
 	outcome.StagesTook = s.cfg.Now().Sub(req.Arrived)
 	if err := d.deliver(ctx); err != nil {
-		return d.final(err)
+		return d.finalError(err)
 	}
 	return nil
 }
 
-// decided returns a function that reports decisions about a request to the observer.
-func (s *Server) decided(r *resolved) func(Decision) {
+// decisionReporter returns a function that reports decisions about a request to the
+// observer.
+func (s *Server) decisionReporter(r *resolvedRequest) func(Decision) {
 	return func(d Decision) { s.cfg.Observer.Decided(r.req.ID, d) }
 }
 
-// unreadyRetryAfter returns when a client should retry after a node without a
+// notReadyRetryAfter returns when a client should retry after a node without a
 // configuration refused it. When the source will respond is unknown, so the delay follows
 // from the client's timeout, as after every refusal.
-func unreadyRetryAfter(timeout time.Duration) time.Duration {
+func notReadyRetryAfter(timeout time.Duration) time.Duration {
 	if timeout <= 0 {
-		return unknownRetryAfter
+		return defaultRetryAfter
 	}
 	return retryAfter(timeout)
 }
 
-// unknownRetryAfter applies to clients that send no timeout: long enough to spare a node
+// defaultRetryAfter applies to clients that send no timeout: long enough to spare a node
 // that has just started, and short compared to any timeout.
-const unknownRetryAfter = time.Second
+const defaultRetryAfter = time.Second
 
 // retryAfter returns when a client with the given time left should retry.
 func retryAfter(left time.Duration) time.Duration {
--- a/internal/gateway/relay/resolve.go
+++ b/internal/gateway/relay/resolve.go
@@ -9,9 +9,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// resolved is a request with the part of the configuration that applies to it. It does
-// not change once the request is admitted.
-type resolved struct {
+// resolvedRequest is a request with the part of the configuration that applies to it. It
+// does not change once the request is admitted.
+type resolvedRequest struct {
 	req     *Request
 	route   *catalog.Route
 	service *catalog.Service
@@ -28,15 +28,15 @@
 
 // resolve finds the route, the organisation and the service of a request, and records in
 // the outcome those that it found.
-func (s *Server) resolve(req *Request, outcome *Outcome) (*resolved, *verdict.Error) {
+func (s *Server) resolve(req *Request, outcome *Outcome) (*resolvedRequest, *verdict.Error) {
 	v := s.cfg.View()
 	c := v.Catalog
 	if c == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "no configuration is available yet").
-			WithRetryAfter(unreadyRetryAfter(req.Timeout))
+			WithRetryAfter(notReadyRetryAfter(req.Timeout))
 	}
 	outcome.Version, outcome.Revision = c.Version, int64(v.Revision)
-	r := &resolved{req: req, route: c.Route(req.Host, req.Path)}
+	r := &resolvedRequest{req: req, route: c.Route(req.Host, req.Path)}
 	outcome.Route = r.route
 	if r.route == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotFound, "no route matches the request")
@@ -56,7 +56,7 @@
 	r.stages = stagesOf(c, r.route, req.Items)
 	r.times = rules.NewTimes(rules.TimesInput{
 		Arrived: req.Arrived, ClientTimeout: req.Timeout, RouteTimeout: r.route.Timeout, Objective: r.route.Objective,
-		Prefill: s.prefills.time(r.service.Name, req.Tokens),
+		Prefill: s.prefills.firstEventTime(r.service.Name, req.Tokens),
 	})
 	return r, nil
 }
@@ -89,12 +89,12 @@
 }
 
 // stageDigest identifies the work of one of the request's stages.
-func (r *resolved) stageDigest(i int) quarantine.Digest {
+func (r *resolvedRequest) stageDigest(i int) quarantine.Digest {
 	return quarantine.StageDigestOf(r.org.Name, r.route.Stages[i].Service, i, r.req.Content)
 }
 
 // digests returns the digests of the request itself and of the items of its stages.
-func (r *resolved) digests() []quarantine.Digest {
+func (r *resolvedRequest) digests() []quarantine.Digest {
 	list := []quarantine.Digest{r.digest}
 	for i, stage := range r.stages {
 		for item := range stage.Items {
@@ -105,6 +105,6 @@
 }
 
 // priority returns the priority of the request's items and prompt at targets.
-func (r *resolved) priority() int {
+func (r *resolvedRequest) priority() int {
 	return rules.EnginePriority(r.org.Priority, r.route.Priority)
 }
--- a/internal/gateway/relay/results.go
+++ b/internal/gateway/relay/results.go
@@ -11,13 +11,13 @@
 // stageResults holds the results of one run of a request's stages, and releases each as
 // soon as it is no longer needed.
 type stageResults struct {
-	work *stageWork
+	runner *stageRunner
 
 	mu      sync.Mutex
 	results [][]batching.Result
-	// users counts the readers of each stage's results that still need them: later stages
+	// readers counts the readers of each stage's results that still need them: later stages
 	// and the request itself.
-	users []int
+	readers []int
 	// read tells which stages have read their inputs.
 	read []bool
 	done []bool
@@ -31,24 +31,25 @@
 const (
 	// inputsHeld means that the inputs are held, as far as this node knows.
 	inputsHeld inputState = iota
-	// releasedEarly means that they were released when the engine should have fetched them.
-	releasedEarly
-	// releasedRead means that they were released after the engine had read them.
-	releasedRead
+	// inputsReleasedEarly means that they were released when the engine should have fetched
+	// them.
+	inputsReleasedEarly
+	// inputsReleasedAfterRead means that they were released after the engine had read them.
+	inputsReleasedAfterRead
 	// inputsLost means that they are missing at their targets.
 	inputsLost
 )
 
-func newStageResults(w *stageWork) *stageResults {
-	n := len(w.stages)
-	r := &stageResults{work: w, results: make([][]batching.Result, n), users: make([]int, n), read: make([]bool, n), done: make([]bool, n)}
-	for _, s := range w.stages {
+func newStageResults(runner *stageRunner) *stageResults {
+	n := len(runner.stages)
+	r := &stageResults{runner: runner, results: make([][]batching.Result, n), readers: make([]int, n), read: make([]bool, n), done: make([]bool, n)}
+	for _, s := range runner.stages {
 		for _, a := range s.After {
-			r.users[a]++
+			r.readers[a]++
 		}
 	}
-	for _, last := range w.route.LastStages() {
-		r.users[last]++
+	for _, last := range runner.route.LastStages() {
+		r.readers[last]++
 	}
 	return r
 }
@@ -60,12 +61,12 @@
 	known := r.read[i]
 	r.read[i] = true
 	r.mu.Unlock()
-	for _, a := range r.work.stages[i].After {
+	for _, a := range r.runner.stages[i].After {
 		if known {
 			r.releaseUnused(a)
 			continue
 		}
-		r.used(a)
+		r.readerDone(a)
 	}
 }
 
@@ -74,8 +75,8 @@
 func (r *stageResults) countRecompute() *verdict.Error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.work.recomputes++
-	if !rules.MayRecompute(r.work.recomputes) {
+	r.runner.recomputes++
+	if !rules.MayRecompute(r.runner.recomputes) {
 		return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "stage results were lost too often")
 	}
 	return nil
@@ -99,24 +100,24 @@
 // releaseUnused releases the results of a stage that no later stage still needs.
 func (r *stageResults) releaseUnused(i int) {
 	r.mu.Lock()
-	unused := rules.ReleaseResults(r.users[i])
+	unused := rules.ReleaseResults(r.readers[i])
 	r.mu.Unlock()
 	if unused {
 		r.set(i, nil)
 	}
 }
 
-// used records that one of the readers of a stage's results has read them.
-func (r *stageResults) used(i int) {
+// readerDone records that one of the readers of a stage's results has read them.
+func (r *stageResults) readerDone(i int) {
 	r.mu.Lock()
-	r.users[i]--
+	r.readers[i]--
 	r.mu.Unlock()
 	r.releaseUnused(i)
 }
 
 func (r *stageResults) release(i int, results []batching.Result) {
 	if len(results) > 0 {
-		r.work.batcher.Release(r.work.route.Stages[i].Service, results)
+		r.runner.batcher.Release(r.runner.route.Stages[i].Service, results)
 	}
 }
 
@@ -127,12 +128,12 @@
 	}
 }
 
-// inputs returns the handles of the request's own inputs.
-func (r *stageResults) inputs() []string {
+// inputHandles returns the handles of the request's own inputs.
+func (r *stageResults) inputHandles() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var handles []string
-	for _, last := range r.work.route.LastStages() {
+	for _, last := range r.runner.route.LastStages() {
 		for _, result := range r.results[last] {
 			handles = append(handles, result.Handle)
 		}
@@ -140,38 +141,38 @@
 	return handles
 }
 
-// bytes returns the size of the request's inputs in each data centre.
-func (r *stageResults) bytes() map[string]int64 {
+// inputBytes returns the size of the request's inputs in each data centre.
+func (r *stageResults) inputBytes() map[string]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sizes := make(map[string]int64)
-	for _, last := range r.work.route.LastStages() {
+	for _, last := range r.runner.route.LastStages() {
 		for _, result := range r.results[last] {
-			sizes[result.DataCentre] += r.work.route.Stages[last].ResultBytes
+			sizes[result.DataCentre] += r.runner.route.Stages[last].ResultBytes
 		}
 	}
 	return sizes
 }
 
-// consumed releases the inputs if they are still held. as is their new state: the request's
-// target has read them, or should have.
-func (r *stageResults) consumed(as inputState) {
+// releaseInputs releases the inputs if they are still held. state is their new state: the
+// request's target has read them, or should have.
+func (r *stageResults) releaseInputs(state inputState) {
 	r.mu.Lock()
 	held := r.inputState == inputsHeld
 	if held {
-		r.inputState = as
+		r.inputState = state
 	}
 	r.mu.Unlock()
 	if !held {
 		return
 	}
-	for _, last := range r.work.route.LastStages() {
-		r.used(last)
+	for _, last := range r.runner.route.LastStages() {
+		r.readerDone(last)
 	}
 }
 
-// lose records that the inputs are missing at their targets.
-func (r *stageResults) lose() {
+// markInputsLost records that the inputs are missing at their targets.
+func (r *stageResults) markInputsLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inputState = inputsLost
@@ -189,5 +190,5 @@
 func (r *stageResults) wereReleasedEarly() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.inputState == releasedEarly
+	return r.inputState == inputsReleasedEarly
 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -17,102 +17,102 @@
 // noPriority is the priority of a call to a target that does not support priorities.
 const noPriority = -1
 
-// errTimeout is the cancellation cause of an attempt that was silent for too long.
-var errTimeout = errors.New("the target did not respond in time")
+// errAttemptTimeout is the cancellation cause of an attempt that was silent for too long.
+var errAttemptTimeout = errors.New("the target did not respond in time")
 
 // sender sends one request to one target at a time and forwards the response.
 type sender struct {
-	*resolved
+	*resolvedRequest
 	upstream Upstream
 	placer   Placer
 	view     func() *view.View
 	now      func() time.Time
-	targets  *targets
+	targets  *targetStats
 	budgets  *retryBudgets
 	prefills *prefillRates
-	// inputsGone is the server's.
-	inputsGone *inputsGone
-	work       *stageWork
-	answer     *answer
-	outcome    *Outcome
+	// missingInputs is the server's.
+	missingInputs *missingInputs
+	runner        *stageRunner
+	response      *clientResponse
+	outcome       *Outcome
 	// stopping is cancelled when the server stops.
-	stopping   context.Context
-	decided    func(Decision)
-	quarantine Quarantine
-	gate       Gate
-	// tried is true once the request's trial has been sent.
-	tried bool
+	stopping       context.Context
+	reportDecision func(Decision)
+	quarantine     Quarantine
+	gate           Gate
+	// trialSent is true once the request's trial has been sent.
+	trialSent bool
 }
 
-// send makes one attempt. sends counts the earlier attempts that may have run.
-func (s *sender) send(ctx context.Context, target destination, sends int) *verdict.Error {
+// send makes one attempt. possibleRuns counts the earlier attempts that may have run.
+func (s *sender) send(ctx context.Context, target destination, possibleRuns int) *verdict.Error {
 	start := s.now()
 	s.targets.sent(target.Life())
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := s.startTimer(cancel, sends)
+	timer := s.startTimer(cancel, possibleRuns)
 	defer timer.stop()
-	tried := Attempt{Target: target.ID}
+	attempt := Attempt{Target: target.ID}
 	events := s.outcome.Events
 	answered := time.Duration(0)
 	call := s.call(target)
-	defer s.releaseInputs()()
+	defer s.scheduleInputRelease()()
 	reply, err := s.upstream.Send(ctx, call)
 	if err == nil {
 		answered = s.now().Sub(start)
-		tried.Status = reply.Status
-		s.answer.began = func(reply *Reply) { s.answerBegan(reply, start) }
-		err = s.passBack(ctx, reply, timer, sends)
+		attempt.Status = reply.Status
+		s.response.onStart = func(reply *Reply) { s.responseStarted(reply, start) }
+		err = s.forwardReply(ctx, reply, timer, possibleRuns)
 	}
-	if err != nil && !s.answer.begun.Load() {
-		s.prefilled(false)
+	if err != nil && !s.response.started.Load() {
+		s.reportPrefilled(false)
 	}
-	if err != nil && errors.Is(context.Cause(ctx), errTimeout) {
+	if err != nil && errors.Is(context.Cause(ctx), errAttemptTimeout) {
 		err = err.WithReason(verdict.ReasonStalled)
 	}
-	tried.Took = s.now().Sub(start)
-	tried.Err = err
-	s.outcome.Attempts = append(s.outcome.Attempts, tried)
+	attempt.Took = s.now().Sub(start)
+	attempt.Err = err
+	s.outcome.Attempts = append(s.outcome.Attempts, attempt)
 	if answered == 0 {
-		answered = tried.Took
+		answered = attempt.Took
 	}
-	s.noteEnd(target.Target, reply, err, answered)
-	s.noteInputsGone(err)
-	s.noteSurvival(target.Target, start, tried, s.outcome.Events-events)
+	s.recordResult(target.Target, reply, err, answered)
+	s.recordMissingInputs(err)
+	s.recordSurvival(target.Target, start, attempt, s.outcome.Events-events)
 	return err
 }
 
-// noteSurvival records whether the target survived an attempt that started at began.
-// events is how many events came from this target.
-func (s *sender) noteSurvival(target directory.Target, began time.Time, tried Attempt, events int) {
-	if rules.Outlived(tried.Err) {
+// recordSurvival records whether the target survived an attempt. sent is when the request
+// was sent there, and events is how many events came from this target.
+func (s *sender) recordSurvival(target directory.Target, sent time.Time, attempt Attempt, events int) {
+	if rules.Outlived(attempt.Err) {
 		s.quarantine.Answered(s.digest)
 	}
-	if !rules.ConnectionBroke(tried.Err) {
+	if !rules.ConnectionBroke(attempt.Err) {
 		return
 	}
-	ended := TargetEnded{Target: target.ID, Digest: s.digest, Events: events, Took: tried.Took}
+	ended := TargetEnded{Target: target.ID, Digest: s.digest, Events: events, Took: attempt.Took}
 	if !s.route.MayRepeat() {
-		go s.checkEnded(target, began, ended)
+		go s.checkEnded(target, sent, ended)
 		return
 	}
 	// The next attempt depends on the result.
-	s.checkEnded(target, began, ended)
+	s.checkEnded(target, sent, ended)
 }
 
-// endedTimeout limits the check whether a target has crashed: its instance refuses a
+// endedCheckTimeout limits the check whether a target has crashed: its instance refuses a
 // connection within a round trip, some milliseconds. A repeatable request waits for the
 // result.
-const endedTimeout = 200 * time.Millisecond
+const endedCheckTimeout = 200 * time.Millisecond
 
 // checkEnded checks whether the target of a request whose connection broke has crashed,
-// and reports it if so. began is when the request was sent there.
-func (s *sender) checkEnded(target directory.Target, began time.Time, ended TargetEnded) {
-	ctx, cancel := context.WithTimeout(s.stopping, endedTimeout)
+// and reports it if so. sent is when the request was sent there.
+func (s *sender) checkEnded(target directory.Target, sent time.Time, ended TargetEnded) {
+	ctx, cancel := context.WithTimeout(s.stopping, endedCheckTimeout)
 	defer cancel()
 	if s.upstream.HasEnded(ctx, target) {
-		s.decided(ended)
-		s.quarantine.TargetEnded(ended.Digest, quarantine.Crash{Target: target.Life().String(), Began: began, At: began.Add(ended.Took), Silent: ended.Events == 0})
+		s.reportDecision(ended)
+		s.quarantine.TargetEnded(ended.Digest, quarantine.Crash{Target: target.Life().String(), Began: sent, At: sent.Add(ended.Took), Silent: ended.Events == 0})
 	}
 }
 
@@ -135,26 +135,26 @@
 	}
 }
 
-func (s *sender) startTimer(cancel context.CancelCauseFunc, sends int) attemptTimer {
+func (s *sender) startTimer(cancel context.CancelCauseFunc, possibleRuns int) attemptTimer {
 	limit, limited := rules.AttemptTimeout(rules.Attempt{
-		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
+		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: possibleRuns, MaxAttempts: s.route.MaxAttempts,
 		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
 	})
 	if !limited {
 		return attemptTimer{}
 	}
-	return attemptTimer{limit: limit, timer: time.AfterFunc(limit, func() { cancel(errTimeout) })}
+	return attemptTimer{limit: limit, timer: time.AfterFunc(limit, func() { cancel(errAttemptTimeout) })}
 }
 
 func (s *sender) call(target destination) Call {
 	c := Call{
 		Target: target.Target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.Answer,
-		Organisation: s.org.Name, Priority: noPriority, LastEvent: s.answer.lastEvent,
+		Organisation: s.org.Name, Priority: noPriority, LastEvent: s.response.lastEvent,
 		Permit: func() error { return s.permit(target.Target) },
 	}
 	if s.service.Engine {
 		c.Priority = s.priority()
-		c.Inputs = s.work.results.inputs()
+		c.Inputs = s.runner.results.inputHandles()
 		c.CopyFrom = target.copyFrom
 	}
 	return c
@@ -173,7 +173,7 @@
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target, or its data centre, takes no new work")
 	}
 	if hold, held := s.quarantine.Held(s.digest); held && !s.takeTrial() {
-		return errHeld(hold, now)
+		return quarantinedError(hold, now)
 	}
 	return nil
 }
@@ -181,32 +181,32 @@
 // takeTrial reports whether the request may be sent although it is quarantined: once, if
 // it was admitted as a trial.
 func (s *sender) takeTrial() bool {
-	first := s.trial && !s.tried
-	s.tried = true
+	first := s.trial && !s.trialSent
+	s.trialSent = true
 	return first
 }
 
-// answerBegan handles the first bytes of the response to an attempt that was sent at the
-// given time: they show that the engine has read the prompt and the inputs.
-func (s *sender) answerBegan(reply *Reply, sent time.Time) {
-	s.prefilled(true)
+// responseStarted handles the first bytes of the response to an attempt that was sent at
+// the given time: they show that the engine has read the prompt and the inputs.
+func (s *sender) responseStarted(reply *Reply, sent time.Time) {
+	s.reportPrefilled(true)
 	if s.service.Engine && reply.Succeeded {
-		s.prefills.note(s.service.Name, s.req.Tokens, s.now().Sub(sent))
+		s.prefills.observe(s.service.Name, s.req.Tokens, s.now().Sub(sent))
 	}
-	s.work.results.consumed(releasedRead)
+	s.runner.results.releaseInputs(inputsReleasedAfterRead)
 }
 
-// prefilled reports to the placer that the prompt no longer loads its engine; whole says
-// whether the prefill was completed.
-func (s *sender) prefilled(whole bool) {
+// reportPrefilled reports to the placer that the prompt no longer loads its engine;
+// complete says whether the prefill was completed.
+func (s *sender) reportPrefilled(complete bool) {
 	if s.service.Engine {
-		s.placer.Prefilled(s.service.Name, s.req.ID, whole)
+		s.placer.Prefilled(s.service.Name, s.req.ID, complete)
 	}
 }
 
-// noteEnd records the result of an attempt in the statistics of its target.
-func (s *sender) noteEnd(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
-	e := attemptEnd{target: target.Life(), took: took}
+// recordResult records the result of an attempt in the statistics of its target.
+func (s *sender) recordResult(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
+	e := attemptResult{target: target.Life(), took: took}
 	if reply != nil {
 		e.load = reply.Load
 	}
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -11,13 +11,13 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// stageWork runs the stages of one request.
-type stageWork struct {
-	*resolved
-	batcher Batcher
-	now     func() time.Time
-	decided func(Decision)
-	chooser *chooser
+// stageRunner runs the stages of one request.
+type stageRunner struct {
+	*resolvedRequest
+	batcher        Batcher
+	now            func() time.Time
+	reportDecision func(Decision)
+	chooser        *chooser
 	// recomputes counts how often results were recomputed. It is guarded by the mutex of
 	// results.
 	recomputes int
@@ -26,29 +26,29 @@
 	results *stageResults
 }
 
-func newStageWork(r *resolved, cfg *Config, decided func(Decision), c *chooser) *stageWork {
-	w := &stageWork{resolved: r, batcher: cfg.Batcher, now: cfg.Now, decided: decided, chooser: c}
-	w.results = newStageResults(w)
-	return w
+func newStageRunner(r *resolvedRequest, cfg *Config, reportDecision func(Decision), c *chooser) *stageRunner {
+	s := &stageRunner{resolvedRequest: r, batcher: cfg.Batcher, now: cfg.Now, reportDecision: reportDecision, chooser: c}
+	s.results = newStageResults(s)
+	return s
 }
 
-// ensure recomputes the request's inputs if they were released or lost.
-func (w *stageWork) ensure(ctx context.Context) *verdict.Error {
-	if w.results.holdsInputs() || len(w.stages) == 0 {
+// ensureInputs recomputes the request's inputs if they were released or lost.
+func (s *stageRunner) ensureInputs(ctx context.Context) *verdict.Error {
+	if s.results.holdsInputs() || len(s.stages) == 0 {
 		return nil
 	}
-	if err := w.results.countRecompute(); err != nil {
+	if err := s.results.countRecompute(); err != nil {
 		return err
 	}
-	w.results.releaseAll()
-	w.results = newStageResults(w)
-	return w.results.run(ctx)
+	s.results.releaseAll()
+	s.results = newStageResults(s)
+	return s.results.run(ctx)
 }
 
 // run runs all stages that are not done, each as soon as the stages that it depends on are
 // done. If a stage fails, the others are cancelled.
 func (r *stageResults) run(ctx context.Context) *verdict.Error {
-	stages := r.work.stages
+	stages := r.runner.stages
 	if len(stages) == 0 {
 		return nil
 	}
@@ -100,7 +100,7 @@
 	if done {
 		return nil
 	}
-	if r.work.stages[i].Items > 0 {
+	if r.runner.stages[i].Items > 0 {
 		if err := r.compute(ctx, i); err != nil {
 			return err
 		}
@@ -126,7 +126,7 @@
 		if err := r.countRecompute(); err != nil {
 			return err
 		}
-		for _, a := range r.work.stages[i].After {
+		for _, a := range r.runner.stages[i].After {
 			r.set(a, nil)
 		}
 	}
@@ -134,15 +134,15 @@
 
 // runItems runs a stage's items and stores their results.
 func (r *stageResults) runItems(ctx context.Context, i int) *verdict.Error {
-	w := r.work
-	service, begun := w.route.Stages[i].Service, w.now()
-	results, err := w.batcher.Run(ctx, service, r.group(i), func() { r.inputsRead(i) })
-	took := w.now().Sub(begun)
+	runner := r.runner
+	service, begun := runner.route.Stages[i].Service, runner.now()
+	results, err := runner.batcher.Run(ctx, service, r.group(i), func() { r.inputsRead(i) })
+	took := runner.now().Sub(begun)
 	if err != nil {
-		w.decided(StageFailed{Stage: i, Service: service, Items: w.stages[i].Items, Took: took, Err: err})
+		runner.reportDecision(StageFailed{Stage: i, Service: service, Items: runner.stages[i].Items, Took: took, Err: err})
 		return err
 	}
-	w.decided(StageDone{Stage: i, Service: service, Items: len(results), Took: took, Targets: targetsOf(results)})
+	runner.reportDecision(StageDone{Stage: i, Service: service, Items: len(results), Took: took, Targets: targetsOf(results)})
 	r.set(i, results)
 	return nil
 }
@@ -160,15 +160,15 @@
 
 // computeInputs computes the results that a stage needs and that are not held.
 func (r *stageResults) computeInputs(ctx context.Context, i int) *verdict.Error {
-	for _, a := range r.work.stages[i].After {
-		if !rules.NeedsInput(r.work.stages[a].Items, r.held(a)) {
+	for _, a := range r.runner.stages[i].After {
+		if !rules.NeedsInput(r.runner.stages[a].Items, r.held(a)) {
 			continue
 		}
 		if err := r.compute(ctx, a); err != nil {
 			return err
 		}
 		// The inputs of a recomputed result have no other use.
-		for _, b := range r.work.stages[a].After {
+		for _, b := range r.runner.stages[a].After {
 			r.releaseUnused(b)
 		}
 	}
@@ -177,43 +177,43 @@
 
 // group returns the items of a stage with their times, inputs and preferred data centre.
 func (r *stageResults) group(i int) Group {
-	w := r.work
-	times := w.times.Stage(w.stages.Following(i))
+	runner := r.runner
+	times := runner.times.Stage(runner.stages.Following(i))
 	g := Group{
-		Digest:  w.stageDigest(i),
-		Request: w.req.ID, Stage: i, Count: w.stages[i].Items, Bytes: w.route.Stages[i].ResultBytes,
-		Due: times.Due, Deadline: times.Deadline, Priority: w.priority(),
+		Digest:  runner.stageDigest(i),
+		Request: runner.req.ID, Stage: i, Count: runner.stages[i].Items, Bytes: runner.route.Stages[i].ResultBytes,
+		Due: times.Due, Deadline: times.Deadline, Priority: runner.priority(),
 	}
-	if len(w.stages[i].After) == 0 {
-		g.Source = w.req.Source
-		g.DataCentre = r.nearEngine(i)
+	if len(runner.stages[i].After) == 0 {
+		g.Source = runner.req.Source
+		g.DataCentre = r.engineDataCentre(i)
 		return g
 	}
-	g.ReadTime = rules.InputsReadTime(rules.LongestTransfer(r.transfers(w.stages[i].After)))
+	g.ReadTime = rules.InputsReadTime(rules.LongestTransfer(r.transfers(runner.stages[i].After)))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sizes := make(map[string]int64)
-	for _, a := range w.stages[i].After {
+	for _, a := range runner.stages[i].After {
 		for _, result := range r.results[a] {
 			g.Inputs = append(g.Inputs, result.Handle)
-			sizes[result.DataCentre] += w.route.Stages[a].ResultBytes * int64(g.Count)
+			sizes[result.DataCentre] += runner.route.Stages[a].ResultBytes * int64(g.Count)
 		}
 	}
 	g.DataCentre = rules.NearestDataCentre(sizes)
 	return g
 }
 
-// nearEngine returns the data centre of the engine that will probably read the results of
-// a first stage; empty if they are small or are read by a later stage.
-func (r *stageResults) nearEngine(i int) string {
-	w := r.work
-	if !slices.Contains(w.route.LastStages(), i) || !w.service.Engine {
+// engineDataCentre returns the data centre of the engine that will probably read the
+// results of a first stage; empty if they are small or are read by a later stage.
+func (r *stageResults) engineDataCentre(i int) string {
+	runner := r.runner
+	if !slices.Contains(runner.route.LastStages(), i) || !runner.service.Engine {
 		return ""
 	}
-	if !rules.WorthNearness(w.route.Stages[i].ResultBytes * int64(w.stages[i].Items)) {
+	if !rules.WorthNearness(runner.route.Stages[i].ResultBytes * int64(runner.stages[i].Items)) {
 		return ""
 	}
-	target, ok := w.chooser.own(w.results.bytes(), w.chooser.tried)
+	target, ok := runner.chooser.chooseLocally(runner.results.inputBytes(), runner.chooser.tried)
 	if !ok {
 		return ""
 	}
--- a/internal/gateway/relay/stream.go
+++ b/internal/gateway/relay/stream.go
@@ -12,8 +12,8 @@
 // forwarded; events have some hundred bytes.
 const maxEventBytes = 1 << 20
 
-// errTornEvent means that a stream ended within an event.
-var errTornEvent = errors.New("the stream ended in the middle of an event")
+// errTruncatedEvent means that a stream ended within an event.
+var errTruncatedEvent = errors.New("the stream ended in the middle of an event")
 
 // event is one complete event of a stream, including the empty line that ends it.
 type event struct {
@@ -44,7 +44,7 @@
 			continue
 		}
 		if err == io.EOF && len(e.text) > 0 {
-			return event{}, errTornEvent
+			return event{}, errTruncatedEvent
 		}
 		if err != nil {
 			return event{}, err
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -12,8 +12,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// targets holds this node's statistics of targets. It is safe for concurrent use.
-type targets struct {
+// targetStats holds this node's statistics of targets. It is safe for concurrent use.
+type targetStats struct {
 	now    func() time.Time
 	margin warmup.Margin
 
@@ -25,12 +25,12 @@
 	isolated map[string]bool
 }
 
-func newTargets(now func() time.Time, margin warmup.Margin) *targets {
-	return &targets{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
+func newTargetStats(now func() time.Time, margin warmup.Margin) *targetStats {
+	return &targetStats{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
 }
 
 // limitsOf returns the limits of a service; the caller must hold the mutex.
-func (t *targets) limitsOf(service *catalog.Service) *warmup.Limits {
+func (t *targetStats) limitsOf(service *catalog.Service) *warmup.Limits {
 	limits := t.limits[service.Name]
 	if limits == nil {
 		limits = warmup.New()
@@ -42,7 +42,7 @@
 
 // choose chooses an engine by the shared parts of a prompt, or the least loaded target of
 // a plain service.
-func (t *targets) choose(service *catalog.Service, list []directory.Target, q placement.Query) (directory.Target, bool) {
+func (t *targetStats) choose(service *catalog.Service, list []directory.Target, q placement.Query) (directory.Target, bool) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,14 +54,14 @@
 }
 
 // ejected returns the IDs of the targets that are temporarily not used.
-func (t *targets) ejected(now time.Time, d *directory.Directory) []string {
+func (t *targetStats) ejected(now time.Time, d *directory.Directory) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Ejected(now, d)
 }
 
-// withSuspects returns the targets that a suspected request of this node was sent to.
-func (t *targets) withSuspects() []string {
+// isolatedTargets returns the targets that a suspected request of this node was sent to.
+func (t *targetStats) isolatedTargets() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Collect(maps.Keys(t.isolated))
@@ -69,7 +69,7 @@
 
 // isolate keeps other suspected requests of this node away from a target. It returns false
 // if the target already has one.
-func (t *targets) isolate(id string) bool {
+func (t *targetStats) isolate(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.isolated[id] {
@@ -79,20 +79,20 @@
 	return true
 }
 
-func (t *targets) endIsolation(id string) {
+func (t *targetStats) endIsolation(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.isolated, id)
 }
 
-func (t *targets) sent(l directory.Life) {
+func (t *targetStats) sent(l directory.Life) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.Sent(l)
 }
 
-// attemptEnd is the result of an attempt at a target.
-type attemptEnd struct {
+// attemptResult is the result of an attempt at a target.
+type attemptResult struct {
 	target directory.Life
 	// load is the load that the target reported; nil for none.
 	load *placement.Load
@@ -103,7 +103,7 @@
 	fault, unreachable bool
 }
 
-func (t *targets) ended(e attemptEnd) {
+func (t *targetStats) ended(e attemptResult) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-func (t *targets) prune(d *directory.Directory) {
+func (t *targetStats) prune(d *directory.Directory) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.Prune(d)
