--- a/internal/gateway/relay/bench_test.go
+++ b/internal/gateway/relay/bench_test.go
@@ -8,9 +8,9 @@
 // BenchmarkAdmit measures the refusal of a request with three stages: resolving its route,
 // planning its stages and comparing their estimated time.
 func BenchmarkAdmit(b *testing.B) {
-	w, s := setup(chain(), true)
-	w.wait = 3 * time.Second
-	out := &client{}
+	f, s := setup(chainRoute(), true)
+	f.backlog = 3 * time.Second
+	out := &fakeClient{}
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := s.Serve(b.Context(), request(1, 4, 2), out); err == nil {
--- a/internal/gateway/relay/evacuated_test.go
+++ b/internal/gateway/relay/evacuated_test.go
@@ -15,18 +15,18 @@
 // refused before any of its stages runs.
 func TestEvacuated(t *testing.T) {
 	convey.Convey("A request whose engines are all in evacuated data centres is refused immediately", t, func() {
-		w, s := setupView(chain(), true, 0, func(v *view.View) *view.View {
+		f, s := setupWithView(chainRoute(), true, 0, func(v *view.View) *view.View {
 			return v.WithChanges(time.Now(), view.Changes{Revision: 2, List: []view.Change{
 				view.EvacuationChange{Evacuation: view.Evacuation{DataCentre: "d", Active: true, Revision: 2}},
 			}}, time.Time{})
 		})
-		err := s.Serve(t.Context(), request(1, 4, 2), &client{})
+		err := s.Serve(t.Context(), request(1, 4, 2), &fakeClient{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonEvacuated)
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
 		convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 0)
 		convey.So(err.Text(), convey.ShouldContainSubstring, "evacuated")
-		convey.So(w.groups, convey.ShouldBeEmpty)
-		convey.So(w.calls, convey.ShouldBeEmpty)
+		convey.So(f.groups, convey.ShouldBeEmpty)
+		convey.So(f.calls, convey.ShouldBeEmpty)
 	})
 }
 
@@ -34,14 +34,14 @@
 // placer does not respond: all nodes choose by themselves then and would overload them.
 func TestColdEnginesWithoutPlacer(t *testing.T) {
 	convey.Convey("If the placer does not respond and all engines are cold, a request is refused", t, func() {
-		w, s := setupView(&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2}, true, 0, func(v *view.View) *view.View {
+		f, s := setupWithView(&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2}, true, 0, func(v *view.View) *view.View {
 			return v.WithChanges(time.Now(), view.Changes{Revision: 2, List: allCold(v)}, time.Time{})
 		})
-		err := s.Serve(t.Context(), request(), &client{})
+		err := s.Serve(t.Context(), request(), &fakeClient{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonNoTarget)
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
 		convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 0)
-		convey.So(w.calls, convey.ShouldBeEmpty)
+		convey.So(f.calls, convey.ShouldBeEmpty)
 	})
 }
 
@@ -58,10 +58,10 @@
 // announces that it is leaving or pausing before the first byte is written.
 func TestHeldBackTarget(t *testing.T) {
 	convey.Convey("A request goes to another target when the chosen one is held back", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
-		w.heldBack = map[string]bool{"t0": true, "t1": true}
-		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
-		convey.So(w.calls, convey.ShouldHaveLength, 1)
-		convey.So(w.calls[0].Target.ID, convey.ShouldBeIn, "t2", "t3")
+		f, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
+		f.heldBack = map[string]bool{"t0": true, "t1": true}
+		convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
+		convey.So(f.calls, convey.ShouldHaveLength, 1)
+		convey.So(f.calls[0].Target.ID, convey.ShouldBeIn, "t2", "t3")
 	})
 }
--- a/internal/gateway/relay/world_test.go
+++ b/internal/gateway/relay/fakes_test.go
@@ -21,8 +21,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// answer is the behaviour of a fake target for one call.
-type answer struct {
+// fakeReply is the behaviour of a fake target for one call.
+type fakeReply struct {
 	status int
 	body   string
 	// cut truncates the response after body.
@@ -32,11 +32,11 @@
 	hangs bool
 }
 
-// world implements all ports of the relay with fake targets and batch services, and
+// fakePorts implements all ports of the relay with fake targets and batch services, and
 // records what they are asked for.
-type world struct {
+type fakePorts struct {
 	mu      sync.Mutex
-	answers []answer
+	replies []fakeReply
 	calls   []relay.Call
 	// ran counts the calls that a target may have run.
 	ran int
@@ -44,9 +44,12 @@
 	// order.
 	groups    []relay.Group
 	groupErrs []*verdict.Error
-	held      map[string]bool
-	last      int
-	wait      time.Duration
+	// held are the handles of the results that are not released, handles the number of
+	// handles so far.
+	held    map[string]bool
+	handles int
+	// backlog is that of each service.
+	backlog time.Duration
 	// planned counts the stages that were planned and not cancelled.
 	planned int
 	// ended are the targets that have crashed.
@@ -55,152 +58,152 @@
 	heldBack map[string]bool
 	// ends are the targets that were reported as crashed.
 	ends []relay.TargetEnded
-	// ctx is the context of requests that helpers send, slow the delay before a target
+	// ctx is the context of requests that helpers send, failDelay the delay before a target
 	// fails a call.
-	ctx  context.Context
-	slow time.Duration
-	// body is the response of targets when answers is empty.
+	ctx       context.Context
+	failDelay time.Duration
+	// body is the response of targets when replies is empty.
 	body    string
 	outcome *relay.Outcome
 }
 
-func (w *world) Send(ctx context.Context, c relay.Call) (*relay.Reply, *verdict.Error) {
+func (f *fakePorts) Send(ctx context.Context, c relay.Call) (*relay.Reply, *verdict.Error) {
 	if err := c.Permit(); err != nil {
 		return nil, verdict.From(err)
 	}
-	w.mu.Lock()
-	a := answer{status: 200, body: w.body}
-	if len(w.answers) > 0 {
-		a, w.answers = w.answers[0], w.answers[1:]
+	f.mu.Lock()
+	a := fakeReply{status: 200, body: f.body}
+	if len(f.replies) > 0 {
+		a, f.replies = f.replies[0], f.replies[1:]
 	}
-	w.calls = append(w.calls, c)
+	f.calls = append(f.calls, c)
 	if a.err == nil || a.err.Verdict() != verdict.NotRun {
-		w.ran++
+		f.ran++
 	}
 	for _, h := range c.Inputs {
-		if !w.held[h] {
-			w.mu.Unlock()
+		if !f.held[h] {
+			f.mu.Unlock()
 			return nil, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "gone")
 		}
 	}
-	w.mu.Unlock()
+	f.mu.Unlock()
 	if a.hangs {
 		<-ctx.Done()
 		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonDeadline, "hung").WithCause(ctx.Err())
 	}
 	if a.err != nil {
-		time.Sleep(w.slow)
+		time.Sleep(f.failDelay)
 		return nil, a.err
 	}
 	var body io.Reader = strings.NewReader(a.body)
 	if a.cut {
-		body = io.MultiReader(body, broken{})
+		body = io.MultiReader(body, failingReader{})
 	}
 	return &relay.Reply{Status: a.status, Succeeded: a.status < 300, Body: io.NopCloser(body)}, nil
 }
 
 // HasEnded reports whether the test marked a target as crashed.
-func (w *world) HasEnded(_ context.Context, target directory.Target) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.ended[target.ID]
+func (f *fakePorts) HasEnded(_ context.Context, target directory.Target) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.ended[target.ID]
 }
 
 // callsSeen returns the calls so far.
-func (w *world) callsSeen() []relay.Call {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]relay.Call(nil), w.calls...)
+func (f *fakePorts) callsSeen() []relay.Call {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]relay.Call(nil), f.calls...)
 }
 
 // awaitCalls waits up to 5 s until there were n calls.
-func (w *world) awaitCalls(n int) {
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && len(w.callsSeen()) < n; time.Sleep(time.Millisecond) {
+func (f *fakePorts) awaitCalls(n int) {
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && len(f.callsSeen()) < n; time.Sleep(time.Millisecond) {
 	}
 }
 
-type broken struct{}
+type failingReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, errors.New("reset") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("reset") }
 
-func (w *world) Run(_ context.Context, service string, g relay.Group, _ func()) ([]batching.Result, *verdict.Error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.groups = append(w.groups, g)
-	if len(w.groupErrs) > 0 {
-		err := w.groupErrs[0]
-		w.groupErrs = w.groupErrs[1:]
+func (f *fakePorts) Run(_ context.Context, service string, g relay.Group, _ func()) ([]batching.Result, *verdict.Error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.groups = append(f.groups, g)
+	if len(f.groupErrs) > 0 {
+		err := f.groupErrs[0]
+		f.groupErrs = f.groupErrs[1:]
 		if err != nil {
 			return nil, err
 		}
 	}
 	var results []batching.Result
 	for range g.Count {
-		w.last++
-		h := fmt.Sprintf("%s-%d", service, w.last)
-		w.held[h] = true
+		f.handles++
+		h := fmt.Sprintf("%s-%d", service, f.handles)
+		f.held[h] = true
 		results = append(results, batching.Result{Handle: h, Target: service, DataCentre: "d"})
 	}
 	return results, nil
 }
 
-func (w *world) Release(_ string, results []batching.Result) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fakePorts) Release(_ string, results []batching.Result) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for _, r := range results {
-		if !w.held[r.Handle] {
+		if !f.held[r.Handle] {
 			panic("released twice: " + r.Handle)
 		}
-		delete(w.held, r.Handle)
+		delete(f.held, r.Handle)
 	}
 }
 
-func (w *world) Plan(_ context.Context, _ string, stages []relay.PlannedStage) []time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.planned += len(stages)
+func (f *fakePorts) Plan(_ context.Context, _ string, stages []relay.PlannedStage) []time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.planned += len(stages)
 	backlogs := make([]time.Duration, len(stages))
 	for i := range backlogs {
-		backlogs[i] = w.wait
+		backlogs[i] = f.backlog
 	}
 	return backlogs
 }
 
-func (w *world) Cancel(_ string, stages []relay.PlannedStage) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.planned -= len(stages)
+func (f *fakePorts) Cancel(_ string, stages []relay.PlannedStage) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.planned -= len(stages)
 }
 
 // Place fails, so that the node chooses by itself.
-func (w *world) Place(context.Context, string, placement.Prompt) (relay.Placed, bool) {
+func (f *fakePorts) Place(context.Context, string, placement.Prompt) (relay.Placed, bool) {
 	return relay.Placed{}, false
 }
 
-func (w *world) Prefilled(string, string, bool) {}
+func (f *fakePorts) Prefilled(string, string, bool) {}
 
-func (w *world) Decided(_ string, d relay.Decision) {
+func (f *fakePorts) Decided(_ string, d relay.Decision) {
 	if ended, ok := d.(relay.TargetEnded); ok {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.ends = append(w.ends, ended)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.ends = append(f.ends, ended)
 	}
 }
 
-func (w *world) Ended(o *relay.Outcome) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.outcome = o
+func (f *fakePorts) Ended(o *relay.Outcome) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.outcome = o
 }
 
-// client is a fake client that records the response.
-type client struct {
+// fakeClient is a fake client that records the response.
+type fakeClient struct {
 	begun  bool
 	status int
 	body   strings.Builder
 }
 
-func (c *client) Begin(r *relay.Reply, _ int) error {
+func (c *fakeClient) Begin(r *relay.Reply, _ int) error {
 	if c.begun {
 		panic("begun twice")
 	}
@@ -208,44 +211,45 @@
 	return nil
 }
 
-func (c *client) Write(p []byte) error {
+func (c *fakeClient) Write(p []byte) error {
 	c.body.Write(p)
 	return nil
 }
 
 // setup returns a server for one route, whose stages have links of unknown bandwidth.
-func setup(r *catalog.Route, engine bool) (*world, *relay.Server) {
-	return setupLinked(r, engine, 0)
+func setup(r *catalog.Route, engine bool) (*fakePorts, *relay.Server) {
+	return setupWithBandwidth(r, engine, 0)
 }
 
-// setupLinked returns a server for one route, whose stages' results are fetched at the
-// given bandwidth.
-func setupLinked(r *catalog.Route, engine bool, bytesPerSecond float64) (*world, *relay.Server) {
-	return setupView(r, engine, bytesPerSecond, keepView)
+// setupWithBandwidth returns a server for one route, whose stages' results are fetched at
+// the given bandwidth.
+func setupWithBandwidth(r *catalog.Route, engine bool, bytesPerSecond float64) (*fakePorts, *relay.Server) {
+	return setupWithView(r, engine, bytesPerSecond, keepView)
 }
 
 // Blocked, Take, HeldBack and PauseLeft let all targets get all requests, except for the
 // targets in heldBack.
-func (w *world) Blocked(*directory.Directory) []string  { return nil }
-func (w *world) Take(directory.Life) bool               { return true }
-func (w *world) HeldBack(target directory.Life) bool    { return w.heldBack[target.ID] }
-func (w *world) PauseLeft(directory.Life) time.Duration { return 0 }
+func (f *fakePorts) Blocked(*directory.Directory) []string  { return nil }
+func (f *fakePorts) Take(directory.Life) bool               { return true }
+func (f *fakePorts) HeldBack(target directory.Life) bool    { return f.heldBack[target.ID] }
+func (f *fakePorts) PauseLeft(directory.Life) time.Duration { return 0 }
 
 // keepView returns the view unchanged.
 func keepView(v *view.View) *view.View { return v }
 
-// setupView returns a server for one route, with a view that change modifies.
-func setupView(r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View) (*world, *relay.Server) {
-	return setupWith(r, engine, bytesPerSecond, change, newKeeper())
+// setupWithView returns a server for one route, with a view that change modifies.
+func setupWithView(r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View) (*fakePorts, *relay.Server) {
+	return setupServer(r, engine, bytesPerSecond, change, newKeeper())
 }
 
-// setupWith returns a server for one route, with a modified view and the given quarantine.
-func setupWith(
+// setupServer returns a server for one route, with a modified view and the given
+// quarantine.
+func setupServer(
 	r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View, q relay.Quarantine,
-) (*world, *relay.Server) {
-	w := &world{held: map[string]bool{}, body: "whole"}
+) (*fakePorts, *relay.Server) {
+	f := &fakePorts{held: map[string]bool{}, body: "whole"}
 	if r.Kind == catalog.Stream {
-		w.body = events(1, 9)
+		f.body = events(1, 9)
 	}
 	r.Host, r.Prefix, r.Split = "h", "/", []catalog.Share{{Service: "s", Weight: 1}}
 	r.Timeout, r.Objective, r.PauseLimit = 10*time.Second, 2*time.Second, 400*time.Millisecond
@@ -265,11 +269,11 @@
 		targets = append(targets, directory.Target{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: "d", Slots: 4})
 	}
 	v := change(&view.View{Revision: 1, Catalog: c, Directory: directory.New(targets...)})
-	return w, relay.New(relay.Config{
-		DataCentre: "d", View: func() *view.View { return v }, Upstream: w, Batcher: w, Placer: w, Observer: w, Now: time.Now,
+	return f, relay.New(relay.Config{
+		DataCentre: "d", View: func() *view.View { return v }, Upstream: f, Batcher: f, Placer: f, Observer: f, Now: time.Now,
 		RetryPolicy: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, Members: func() int { return 1 },
 		WarmUp: warmup.Margin{Overshoot: 1.5, Tolerance: 5}, GivesOut: func(string) bool { return true },
-		Quarantine: q, Gate: w,
+		Quarantine: q, Gate: f,
 	})
 }
 
@@ -277,12 +281,12 @@
 	return &relay.Request{ID: "id", Host: "h", Path: "/x", Arrived: time.Now(), Timeout: 10 * time.Second, Items: items, Source: "k"}
 }
 
-func lost() answer {
-	return answer{err: verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")}
+func lostConnection() fakeReply {
+	return fakeReply{err: verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")}
 }
 
-func refused() answer {
-	return answer{err: verdict.New(verdict.NotRun, verdict.ReasonRefused, "full")}
+func refusedCall() fakeReply {
+	return fakeReply{err: verdict.New(verdict.NotRun, verdict.ReasonRefused, "full")}
 }
 
 func events(from, to int) string {
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -13,95 +13,95 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// allEnded marks all targets as crashed.
-func allEnded() map[string]bool {
+// allCrashed marks all targets as crashed.
+func allCrashed() map[string]bool {
 	return map[string]bool{"t0": true, "t1": true, "t2": true, "t3": true}
 }
 
-// crashes serves a request n times, and each time its target crashes.
-func crashes(w *world, s *relay.Server, n int) {
-	w.ended = allEnded()
+// crashTargets serves a request n times, and each time its target crashes.
+func crashTargets(f *fakePorts, s *relay.Server, n int) {
+	f.ended = allCrashed()
 	for i := range n {
-		w.answers = []answer{lost()}
-		_ = s.Serve(w.ctx, request(), &client{})
-		w.awaitEnds(i + 1)
+		f.replies = []fakeReply{lostConnection()}
+		_ = s.Serve(f.ctx, request(), &fakeClient{})
+		f.awaitEnds(i + 1)
 		time.Sleep(20 * time.Millisecond)
 	}
-	w.calls, w.answers = nil, nil
+	f.calls, f.replies = nil, nil
 }
 
 // shouldRefuseHeld asserts that a quarantined request was refused as not run, with a time
 // to retry, before any work was done for it.
-func shouldRefuseHeld(w *world, err *verdict.Error) {
+func shouldRefuseHeld(f *fakePorts, err *verdict.Error) {
 	convey.So(err, convey.ShouldNotBeNil)
 	convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
 	convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
 	convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 50*time.Second)
-	convey.So(w.calls, convey.ShouldBeEmpty)
-	convey.So(w.groups, convey.ShouldBeEmpty)
+	convey.So(f.calls, convey.ShouldBeEmpty)
+	convey.So(f.groups, convey.ShouldBeEmpty)
 }
 
 // TestRequestThatEndsTargets checks that a request that crashed two targets is sent to no
 // further target, and that other requests are not affected.
 func TestRequestThatEndsTargets(t *testing.T) {
 	convey.Convey("A request that crashed two targets is refused before its stages start", t, func() {
-		route := chain()
+		route := chainRoute()
 		route.Resumable, route.MaxAttempts = false, 1
-		w, s := setup(route, true)
-		w.ended = allEnded()
+		f, s := setup(route, true)
+		f.ended = allCrashed()
 		for i := range 2 {
-			w.answers = []answer{lost()}
-			convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldNotBeNil)
-			w.awaitEnds(i + 1)
+			f.replies = []fakeReply{lostConnection()}
+			convey.So(s.Serve(t.Context(), request(1, 4, 2), &fakeClient{}), convey.ShouldNotBeNil)
+			f.awaitEnds(i + 1)
 			time.Sleep(20 * time.Millisecond)
 		}
-		w.calls, w.groups = nil, nil
-		shouldRefuseHeld(w, s.Serve(t.Context(), request(1, 4, 2), &client{}))
+		f.calls, f.groups = nil, nil
+		shouldRefuseHeld(f, s.Serve(t.Context(), request(1, 4, 2), &fakeClient{}))
 		convey.Convey("and another request is served", func() {
 			other := request(1, 4, 2)
 			other.Content = 1
-			convey.So(s.Serve(t.Context(), other, &client{}), convey.ShouldBeNil)
+			convey.So(s.Serve(t.Context(), other, &fakeClient{}), convey.ShouldBeNil)
 		})
 	})
 	convey.Convey("A response in between clears it, even a failure of the target itself", t, func() {
-		for _, a := range []answer{{status: 200, body: "whole"}, {status: 500}} {
-			w, s := setup(plainRoute(), false)
-			w.ctx = t.Context()
-			crashes(w, s, 1)
-			w.answers = []answer{a}
-			convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
-			w.ends = nil
-			crashes(w, s, 1)
-			convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
+		for _, a := range []fakeReply{{status: 200, body: "whole"}, {status: 500}} {
+			f, s := setup(onceRoute(), false)
+			f.ctx = t.Context()
+			crashTargets(f, s, 1)
+			f.replies = []fakeReply{a}
+			convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
+			f.ends = nil
+			crashTargets(f, s, 1)
+			convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
 		}
 	})
 	convey.Convey("Connections that break while their targets are running do not quarantine a request", t, func() {
-		w, s := setup(plainRoute(), false)
+		f, s := setup(onceRoute(), false)
 		for range 5 {
-			w.answers = []answer{lost()}
-			convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldNotBeNil)
+			f.replies = []fakeReply{lostConnection()}
+			convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldNotBeNil)
 		}
-		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
+		convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
 	})
 	convey.Convey("A repeatable request goes to no third target, and its client is told that it may have run", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, false)
-		w.ended = allEnded()
-		w.slow = 10 * time.Millisecond
-		w.answers = []answer{lost(), lost(), lost(), lost()}
-		err := s.Serve(t.Context(), request(), &client{})
+		f, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, false)
+		f.ended = allCrashed()
+		f.failDelay = 10 * time.Millisecond
+		f.replies = []fakeReply{lostConnection(), lostConnection(), lostConnection(), lostConnection()}
+		err := s.Serve(t.Context(), request(), &fakeClient{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
-		convey.So(w.calls, convey.ShouldHaveLength, 2)
+		convey.So(f.calls, convey.ShouldHaveLength, 2)
 	})
 	convey.Convey("A stream is not resumed at a third target", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 4}, true)
-		w.ended = allEnded()
-		w.slow = 10 * time.Millisecond
-		w.answers = []answer{lost(), lost(), lost(), lost()}
-		c := &client{}
+		f, s := setup(&catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 4}, true)
+		f.ended = allCrashed()
+		f.failDelay = 10 * time.Millisecond
+		f.replies = []fakeReply{lostConnection(), lostConnection(), lostConnection(), lostConnection()}
+		c := &fakeClient{}
 		convey.So(s.Serve(t.Context(), request(), c), convey.ShouldNotBeNil)
 		convey.So(c.begun, convey.ShouldBeFalse)
-		convey.So(w.calls, convey.ShouldHaveLength, 2)
+		convey.So(f.calls, convey.ShouldHaveLength, 2)
 	})
 }
 
@@ -129,34 +129,34 @@
 func TestTrial(t *testing.T) {
 	convey.Convey("A trial is sent, and its response forwarded", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Trial{}, held: true}
-		w, s := setupQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
-		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
-		convey.So(w.calls, convey.ShouldHaveLength, 1)
+		f, s := setupWithQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
+		convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
+		convey.So(f.calls, convey.ShouldHaveLength, 1)
 		convey.So(q.answered, convey.ShouldEqual, 1)
 	})
 	convey.Convey("A trial that fails is not sent to another target", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Trial{}, held: true}
-		w, s := setupQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
-		w.answers = []answer{lost(), lost()}
-		err := s.Serve(t.Context(), request(), &client{})
+		f, s := setupWithQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
+		f.replies = []fakeReply{lostConnection(), lostConnection()}
+		err := s.Serve(t.Context(), request(), &fakeClient{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
-		convey.So(w.calls, convey.ShouldHaveLength, 1)
+		convey.So(f.calls, convey.ShouldHaveLength, 1)
 		convey.So(q.answered, convey.ShouldEqual, 0)
 	})
 	convey.Convey("A request that is quarantined after its admission is refused just before it is written", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Free{}, held: true}
-		w, s := setupQuarantine(plainRoute(), q)
-		err := s.Serve(t.Context(), request(), &client{})
+		f, s := setupWithQuarantine(onceRoute(), q)
+		err := s.Serve(t.Context(), request(), &fakeClient{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
-		convey.So(w.calls, convey.ShouldBeEmpty)
+		convey.So(f.calls, convey.ShouldBeEmpty)
 	})
 }
 
-// setupQuarantine returns a server for one route with the given quarantine.
-func setupQuarantine(r *catalog.Route, q relay.Quarantine) (*world, *relay.Server) {
-	return setupWith(r, false, 0, keepView, q)
+// setupWithQuarantine returns a server for one route with the given quarantine.
+func setupWithQuarantine(r *catalog.Route, q relay.Quarantine) (*fakePorts, *relay.Server) {
+	return setupServer(r, false, 0, keepView, q)
 }
 
 // newKeeper returns a keeper that notifies no one and runs no trials.
@@ -171,8 +171,8 @@
 func TestSuspectsApart(t *testing.T) {
 	convey.Convey("Four suspects at once go to four targets, and a fifth shares one", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Free{}, suspected: true}
-		w, s := setupWith(plainRoute(), true, 0, keepView, q)
-		w.answers = []answer{{hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}}
+		f, s := setupServer(onceRoute(), true, 0, keepView, q)
+		f.replies = []fakeReply{{hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}}
 		ended := make(chan struct{})
 		for i := range 5 {
 			go func() {
@@ -180,22 +180,22 @@
 				req.Timeout = 500 * time.Millisecond
 				// Because of the shared part all prefer the same engine.
 				req.Parts = []relay.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 10}}
-				_ = s.Serve(t.Context(), req, &client{})
+				_ = s.Serve(t.Context(), req, &fakeClient{})
 				ended <- struct{}{}
 			}()
-			w.awaitCalls(i + 1)
+			f.awaitCalls(i + 1)
 		}
 		targets := map[string]bool{}
-		for _, c := range w.callsSeen()[:4] {
+		for _, c := range f.callsSeen()[:4] {
 			targets[c.Target.ID] = true
 		}
 		convey.So(targets, convey.ShouldHaveLength, 4)
-		convey.So(w.callsSeen(), convey.ShouldHaveLength, 5)
+		convey.So(f.callsSeen(), convey.ShouldHaveLength, 5)
 		for range 5 {
 			<-ended
 		}
 		convey.Convey("and the targets are available again once they have ended", func() {
-			convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
+			convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
 		})
 	})
 }
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -13,34 +13,34 @@
 
 func TestOnce(t *testing.T) {
 	convey.Convey("A request that must not run twice", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
-		out := &client{}
+		f, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+		out := &fakeClient{}
 		convey.Convey("is not sent again when it may have run, and its client is told so", func() {
-			w.answers = []answer{lost()}
+			f.replies = []fakeReply{lostConnection()}
 			err := s.Serve(t.Context(), request(), out)
 			convey.So(err.Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
-			convey.So(w.calls, convey.ShouldHaveLength, 1)
+			convey.So(f.calls, convey.ShouldHaveLength, 1)
 		})
 		convey.Convey("is sent to another target if it provably did not run", func() {
-			w.answers = []answer{refused()}
+			f.replies = []fakeReply{refusedCall()}
 			convey.So(s.Serve(t.Context(), request(), out), convey.ShouldBeNil)
-			convey.So(w.calls, convey.ShouldHaveLength, 2)
-			convey.So(w.calls[0].Target.ID, convey.ShouldNotEqual, w.calls[1].Target.ID)
+			convey.So(f.calls, convey.ShouldHaveLength, 2)
+			convey.So(f.calls[0].Target.ID, convey.ShouldNotEqual, f.calls[1].Target.ID)
 		})
 		convey.Convey("is refused with a time to retry if no target accepts it", func() {
-			w.answers = []answer{refused(), refused(), refused()}
+			f.replies = []fakeReply{refusedCall(), refusedCall(), refusedCall()}
 			err := s.Serve(t.Context(), request(), out)
 			convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
 			convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 0)
 		})
 		convey.Convey("gets an error response of its target unchanged", func() {
-			w.answers = []answer{{status: 500, body: "sorry"}}
+			f.replies = []fakeReply{{status: 500, body: "sorry"}}
 			convey.So(s.Serve(t.Context(), request(), out), convey.ShouldBeNil)
 			convey.So(out.status, convey.ShouldEqual, 500)
 			convey.So(out.body.String(), convey.ShouldEqual, "sorry")
 		})
 		convey.Convey("fails if its response is truncated", func() {
-			w.answers = []answer{{status: 200, body: "who", cut: true}}
+			f.replies = []fakeReply{{status: 200, body: "who", cut: true}}
 			convey.So(s.Serve(t.Context(), request(), out).Verdict(), convey.ShouldEqual, verdict.MayHaveRun)
 			convey.So(out.begun, convey.ShouldBeFalse)
 		})
@@ -52,7 +52,7 @@
 		_, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
 		late := request()
 		late.Arrived = late.Arrived.Add(-late.Timeout)
-		err := s.Serve(t.Context(), late, &client{})
+		err := s.Serve(t.Context(), late, &fakeClient{})
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonDeadline)
 		convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 0)
@@ -61,56 +61,56 @@
 
 func TestRepeatable(t *testing.T) {
 	convey.Convey("A repeatable request goes to another target, as often as its route allows", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
-		out := &client{}
-		for name, first := range map[string]answer{"lost": lost(), "failed": {status: 500}, "cut": {status: 200, body: "w", cut: true}} {
+		f, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
+		out := &fakeClient{}
+		for name, first := range map[string]fakeReply{"lost": lostConnection(), "failed": {status: 500}, "cut": {status: 200, body: "w", cut: true}} {
 			convey.Convey("after an attempt that is "+name, func() {
-				w.answers = []answer{first}
+				f.replies = []fakeReply{first}
 				convey.So(s.Serve(t.Context(), request(), out), convey.ShouldBeNil)
 				convey.So(out.body.String(), convey.ShouldEqual, "whole")
-				convey.So(w.calls, convey.ShouldHaveLength, 2)
+				convey.So(f.calls, convey.ShouldHaveLength, 2)
 			})
 		}
 		convey.Convey("and not more often", func() {
-			w.answers = []answer{lost(), lost()}
+			f.replies = []fakeReply{lostConnection(), lostConnection()}
 			convey.So(s.Serve(t.Context(), request(), out), convey.ShouldNotBeNil)
-			convey.So(w.calls, convey.ShouldHaveLength, 2)
+			convey.So(f.calls, convey.ShouldHaveLength, 2)
 		})
 	})
 }
 
 func TestStream(t *testing.T) {
 	convey.Convey("A resumable stream", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2}, true)
-		out := &client{}
+		f, s := setup(&catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2}, true)
+		out := &fakeClient{}
 		convey.Convey("is resumed at another target after its last complete event", func() {
-			w.answers = []answer{{status: 200, body: events(1, 3) + "id: 4\nda", cut: true}, {status: 200, body: events(4, 6)}}
+			f.replies = []fakeReply{{status: 200, body: events(1, 3) + "id: 4\nda", cut: true}, {status: 200, body: events(4, 6)}}
 			convey.So(s.Serve(t.Context(), request(), out), convey.ShouldBeNil)
 			convey.So(out.body.String(), convey.ShouldEqual, events(1, 6))
-			convey.So(w.calls[1].LastEvent, convey.ShouldEqual, "3")
+			convey.So(f.calls[1].LastEvent, convey.ShouldEqual, "3")
 		})
 		convey.Convey("does not forward events again that another target repeats", func() {
-			w.answers = []answer{{status: 200, body: events(1, 3), cut: true}, {status: 200, body: events(2, 6)}}
+			f.replies = []fakeReply{{status: 200, body: events(1, 3), cut: true}, {status: 200, body: events(2, 6)}}
 			convey.So(s.Serve(t.Context(), request(), out), convey.ShouldBeNil)
 			convey.So(out.body.String(), convey.ShouldEqual, events(1, 6))
 		})
 		convey.Convey("fails if it ends within an event", func() {
-			w.answers = []answer{{status: 200, body: events(1, 2) + "id: 3\n"}, lost()}
+			f.replies = []fakeReply{{status: 200, body: events(1, 2) + "id: 3\n"}, lostConnection()}
 			convey.So(s.Serve(t.Context(), request(), out), convey.ShouldNotBeNil)
 			convey.So(out.body.String(), convey.ShouldEqual, events(1, 2))
 		})
 	})
 	convey.Convey("A stream that is not resumable is not sent again", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2}, true)
-		w.answers = []answer{{status: 200, body: events(1, 2), cut: true}}
-		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldNotBeNil)
-		convey.So(w.calls, convey.ShouldHaveLength, 1)
+		f, s := setup(&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2}, true)
+		f.replies = []fakeReply{{status: 200, body: events(1, 2), cut: true}}
+		convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldNotBeNil)
+		convey.So(f.calls, convey.ShouldHaveLength, 1)
 	})
 	convey.Convey("A stream whose target is silent is resumed at another", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			w, s := setup(&catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2}, true)
-			w.answers = []answer{{hangs: true}, {status: 200, body: events(1, 2)}}
-			out := &client{}
+			f, s := setup(&catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2}, true)
+			f.replies = []fakeReply{{hangs: true}, {status: 200, body: events(1, 2)}}
+			out := &fakeClient{}
 			if err := s.Serve(t.Context(), request(), out); err != nil || out.body.String() != events(1, 2) {
 				t.Fatalf("got %q and %v", out.body.String(), err)
 			}
@@ -121,11 +121,11 @@
 func TestStop(t *testing.T) {
 	convey.Convey("A stopping node abandons requests without a response, and reports those that were sent as may have run", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			w, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
-			w.answers = []answer{{hangs: true}}
+			f, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+			f.replies = []fakeReply{{hangs: true}}
 			time.AfterFunc(time.Second, s.Stop)
 			began := time.Now()
-			err := s.Serve(t.Context(), request(), &client{})
+			err := s.Serve(t.Context(), request(), &fakeClient{})
 			if err == nil || err.Verdict() != verdict.MayHaveRun || time.Since(began) != time.Second {
 				t.Fatalf("got %v after %v", err, time.Since(began))
 			}
--- a/internal/gateway/relay/stages_test.go
+++ b/internal/gateway/relay/stages_test.go
@@ -11,94 +11,94 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// chain returns a route with three stages, each of which depends on the one before.
-func chain() *catalog.Route {
+// chainRoute returns a route with three stages, each of which depends on the one before.
+func chainRoute() *catalog.Route {
 	return &catalog.Route{Kind: catalog.Stream, Resumable: true, MaxAttempts: 2, Stages: []catalog.Stage{
 		{Service: "one", ResultBytes: 8000}, {Service: "two", After: []int{0}, ResultBytes: 60000}, {Service: "three", After: []int{1}, ResultBytes: 6000},
 	}}
 }
 
-func gone() *verdict.Error { return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "gone") }
+func inputGone() *verdict.Error { return verdict.New(verdict.NotRun, verdict.ReasonInputGone, "gone") }
 
 func TestStages(t *testing.T) {
 	convey.Convey("Stages run in order, each on all results of the stages before it", t, func() {
-		w, s := setup(chain(), true)
-		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
-		convey.So(w.groups, convey.ShouldHaveLength, 3)
-		convey.So(w.groups[0].Source, convey.ShouldEqual, "k")
-		convey.So(w.groups[1].Source, convey.ShouldBeEmpty)
-		convey.So(w.groups[1].Inputs, convey.ShouldHaveLength, 1)
-		convey.So(w.groups[2].Inputs, convey.ShouldHaveLength, 4)
-		convey.So(w.calls[0].Inputs, convey.ShouldHaveLength, 2)
-		convey.So(w.held, convey.ShouldBeEmpty)
+		f, s := setup(chainRoute(), true)
+		convey.So(s.Serve(t.Context(), request(1, 4, 2), &fakeClient{}), convey.ShouldBeNil)
+		convey.So(f.groups, convey.ShouldHaveLength, 3)
+		convey.So(f.groups[0].Source, convey.ShouldEqual, "k")
+		convey.So(f.groups[1].Source, convey.ShouldBeEmpty)
+		convey.So(f.groups[1].Inputs, convey.ShouldHaveLength, 1)
+		convey.So(f.groups[2].Inputs, convey.ShouldHaveLength, 4)
+		convey.So(f.calls[0].Inputs, convey.ShouldHaveLength, 2)
+		convey.So(f.held, convey.ShouldBeEmpty)
 	})
 	convey.Convey("The stages of a long prompt are due earlier", t, func() {
 		due := func(tokens int) time.Duration {
-			w, s := setup(chain(), true)
+			f, s := setup(chainRoute(), true)
 			r := request(1, 4, 2)
 			r.Tokens = tokens
-			convey.So(s.Serve(t.Context(), r, &client{}), convey.ShouldBeNil)
-			return w.groups[0].Due.Sub(r.Arrived)
+			convey.So(s.Serve(t.Context(), r, &fakeClient{}), convey.ShouldBeNil)
+			return f.groups[0].Due.Sub(r.Arrived)
 		}
 		convey.So(due(100)-due(2000), convey.ShouldEqual, 0)
 		convey.So(due(100)-due(30_000), convey.ShouldBeGreaterThan, 400*time.Millisecond)
 	})
 	convey.Convey("A stage without items is not run", t, func() {
-		w, s := setup(chain(), true)
-		convey.So(s.Serve(t.Context(), request(1, 1, 0), &client{}), convey.ShouldBeNil)
-		convey.So(w.groups, convey.ShouldHaveLength, 2)
+		f, s := setup(chainRoute(), true)
+		convey.So(s.Serve(t.Context(), request(1, 1, 0), &fakeClient{}), convey.ShouldBeNil)
+		convey.So(f.groups, convey.ShouldHaveLength, 2)
 	})
 	convey.Convey("A stage that fails ends the request as not run", t, func() {
-		w, s := setup(chain(), true)
-		w.groupErrs = []*verdict.Error{nil, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "late")}
-		err := s.Serve(t.Context(), request(1, 4, 2), &client{})
+		f, s := setup(chainRoute(), true)
+		f.groupErrs = []*verdict.Error{nil, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "late")}
+		err := s.Serve(t.Context(), request(1, 4, 2), &fakeClient{})
 		convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
 		convey.So(err.RetryAfter(), convey.ShouldBeGreaterThan, 0)
-		convey.So(w.calls, convey.ShouldBeEmpty)
-		convey.So(w.held, convey.ShouldBeEmpty)
+		convey.So(f.calls, convey.ShouldBeEmpty)
+		convey.So(f.held, convey.ShouldBeEmpty)
 	})
 }
 
 func TestLostInputs(t *testing.T) {
 	convey.Convey("If an input is missing, the stages run again from the first one whose results are not held", t, func() {
-		w, s := setup(chain(), true)
-		w.groupErrs = []*verdict.Error{nil, nil, gone()}
-		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
-		for i, m := range w.groups {
+		f, s := setup(chainRoute(), true)
+		f.groupErrs = []*verdict.Error{nil, nil, inputGone()}
+		convey.So(s.Serve(t.Context(), request(1, 4, 2), &fakeClient{}), convey.ShouldBeNil)
+		for i, m := range f.groups {
 			convey.So(m.Stage == 0 || len(m.Inputs) > 0, convey.ShouldBeTrue)
 			convey.So(m.Stage, convey.ShouldEqual, []int{0, 1, 2, 0, 1, 2}[i])
 		}
-		convey.So(w.held, convey.ShouldBeEmpty)
+		convey.So(f.held, convey.ShouldBeEmpty)
 	})
 	convey.Convey("If a stream is resumed at another target, its released inputs are recomputed", t, func() {
-		w, s := setup(chain(), true)
-		w.answers = []answer{{status: 200, body: events(1, 2), cut: true}, {status: 200, body: events(3, 4)}}
-		out := &client{}
+		f, s := setup(chainRoute(), true)
+		f.replies = []fakeReply{{status: 200, body: events(1, 2), cut: true}, {status: 200, body: events(3, 4)}}
+		out := &fakeClient{}
 		convey.So(s.Serve(t.Context(), request(1, 4, 2), out), convey.ShouldBeNil)
 		convey.So(out.body.String(), convey.ShouldEqual, events(1, 4))
-		convey.So(w.held, convey.ShouldBeEmpty)
+		convey.So(f.held, convey.ShouldBeEmpty)
 	})
 }
 
 func TestAdmission(t *testing.T) {
 	convey.Convey("If the stages cannot be done in time", t, func() {
-		w, s := setup(chain(), true)
-		w.wait = 3 * time.Second
+		f, s := setup(chainRoute(), true)
+		f.backlog = 3 * time.Second
 		convey.Convey("the request is refused before any item is run, and its plans are cancelled", func() {
-			err := s.Serve(t.Context(), request(1, 4, 2), &client{})
+			err := s.Serve(t.Context(), request(1, 4, 2), &fakeClient{})
 			convey.So(err.Verdict(), convey.ShouldEqual, verdict.NotRun)
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonOverload)
 			convey.So(err.RetryAfter(), convey.ShouldBeBetween, time.Second, 10*time.Second/3)
-			convey.So(w.groups, convey.ShouldBeEmpty)
-			convey.So(w.planned, convey.ShouldEqual, 0)
+			convey.So(f.groups, convey.ShouldBeEmpty)
+			convey.So(f.planned, convey.ShouldEqual, 0)
 		})
 	})
 	convey.Convey("An idle system refuses no request, however short its objective", t, func() {
-		r := chain()
-		w, s := setup(r, true)
+		r := chainRoute()
+		f, s := setup(r, true)
 		r.Objective = 500 * time.Millisecond
-		convey.So(s.Serve(t.Context(), request(1, 4, 2), &client{}), convey.ShouldBeNil)
-		convey.So(w.groups, convey.ShouldHaveLength, 3)
+		convey.So(s.Serve(t.Context(), request(1, 4, 2), &fakeClient{}), convey.ShouldBeNil)
+		convey.So(f.groups, convey.ShouldHaveLength, 3)
 	})
 }
 
@@ -107,15 +107,15 @@
 func TestRetryAdmission(t *testing.T) {
 	convey.Convey("A retry that does not fit is refused immediately with a time to retry, before any item is run", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			w, s := setup(chain(), true)
-			w.wait = 3 * time.Second
-			_ = s.Serve(t.Context(), request(1, 4, 2), &client{})
+			f, s := setup(chainRoute(), true)
+			f.backlog = 3 * time.Second
+			_ = s.Serve(t.Context(), request(1, 4, 2), &fakeClient{})
 			retry := request(1, 4, 2)
 			retry.Timeout = 7 * time.Second
-			err := s.Serve(t.Context(), retry, &client{})
+			err := s.Serve(t.Context(), retry, &fakeClient{})
 			took := time.Since(retry.Arrived)
-			if err == nil || err.Verdict() != verdict.NotRun || err.RetryAfter() <= 0 || len(w.groups) > 0 || w.planned > 0 {
-				t.Errorf("got %v after %d groups, %d stages planned", err, len(w.groups), w.planned)
+			if err == nil || err.Verdict() != verdict.NotRun || err.RetryAfter() <= 0 || len(f.groups) > 0 || f.planned > 0 {
+				t.Errorf("got %v after %d groups, %d stages planned", err, len(f.groups), f.planned)
 			}
 			if took > 0 {
 				t.Errorf("held for %v", took)
@@ -124,13 +124,13 @@
 	})
 	convey.Convey("A retry that fits its whole objective is admitted, however little of it is left", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			w, s := setup(chain(), true)
-			w.wait = 3 * time.Second
-			_ = s.Serve(t.Context(), request(1, 4, 2), &client{})
-			w.wait = 0
+			f, s := setup(chainRoute(), true)
+			f.backlog = 3 * time.Second
+			_ = s.Serve(t.Context(), request(1, 4, 2), &fakeClient{})
+			f.backlog = 0
 			retry := request(1, 4, 2)
 			retry.Timeout = 7 * time.Second
-			if err := s.Serve(t.Context(), retry, &client{}); err != nil {
+			if err := s.Serve(t.Context(), retry, &fakeClient{}); err != nil {
 				t.Error(err)
 			}
 		})
@@ -145,19 +145,19 @@
 	// given time, and how many groups were run until a second engine has responded.
 	serve := func(t *testing.T, bytesPerSecond float64, after time.Duration) (held, groups int) {
 		synctest.Test(t, func(t *testing.T) {
-			w, s := setupLinked(chain(), true, bytesPerSecond)
-			w.answers = []answer{{hangs: true}}
+			f, s := setupWithBandwidth(chainRoute(), true, bytesPerSecond)
+			f.replies = []fakeReply{{hangs: true}}
 			time.AfterFunc(after, func() {
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				held = len(w.held)
+				f.mu.Lock()
+				defer f.mu.Unlock()
+				held = len(f.held)
 			})
-			if err := s.Serve(t.Context(), request(1, 4, 2), &client{}); err != nil {
+			if err := s.Serve(t.Context(), request(1, 4, 2), &fakeClient{}); err != nil {
 				t.Error(err)
 			}
-			groups = len(w.groups)
-			if len(w.held) > 0 {
-				t.Errorf("%v are still held", w.held)
+			groups = len(f.groups)
+			if len(f.held) > 0 {
+				t.Errorf("%v are still held", f.held)
 			}
 		})
 		return held, groups
