--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -81,7 +81,7 @@
 		}
 		next := rules.AfterFailure(rules.Failure{
 			Verdict: err.Verdict(), Reason: err.Reason(), Ended: ctx.Err() != nil,
-			Resends: d.resends, Refusals: d.refusals, Sends: d.possibleRuns,
+			Resends: d.resends, Refusals: d.refusals, PossibleRuns: d.possibleRuns,
 			Retryable: d.route.MayRepeat(), MaxAttempts: d.route.MaxAttempts,
 		})
 		if _, ok := next.(rules.Resend); ok {
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -22,7 +22,7 @@
 	Succeeded bool
 	// Begun is true if the client already has a part of an earlier target's stream.
 	Begun bool
-	// Retryable, Sends and MaxAttempts are as in Failure.
+	// Retryable, PossibleRuns and MaxAttempts are as in Failure.
 	Retryable          bool
 	Sends, MaxAttempts int
 	// Budget is the number of retries that the service's retry budget allows now.
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -19,9 +19,9 @@
 	// Ended is true if the request itself has ended: its deadline has passed, its client
 	// has disconnected or the node is stopping.
 	Ended bool
-	// Resends, Refusals and Sends count the earlier attempts: those repeated over another
-	// connection, those that provably did not run, and those that may have run.
-	Resends, Refusals, Sends int
+	// Resends, Refusals and PossibleRuns count the earlier attempts: those repeated over
+	// another connection, those that provably did not run, and those that may have run.
+	Resends, Refusals, PossibleRuns int
 	// Retryable is true if the route allows more than one target to run the request;
 	// MaxAttempts limits how many.
 	Retryable   bool
@@ -112,7 +112,7 @@
 		return "", false
 	case !f.Retryable:
 		return MayHaveRun, true
-	case f.Sends+1 >= f.MaxAttempts:
+	case f.PossibleRuns+1 >= f.MaxAttempts:
 		return AttemptsSpent, true
 	}
 	return "", false
--- a/internal/gateway/relay/rules/retry_test.go
+++ b/internal/gateway/relay/rules/retry_test.go
@@ -66,7 +66,7 @@
 		})
 		convey.Convey("is given up if it may have run as often as its route allows", func() {
 			f := mayHaveRun(verdict.ReasonStalled)
-			f.Sends = 1
+			f.PossibleRuns = 1
 			shouldFollow(f, GiveUp{Reason: AttemptsSpent})
 		})
 		convey.Convey("is given up if its deadline has passed or its client has disconnected", func() {
--- a/internal/gateway/relay/rules/timeout.go
+++ b/internal/gateway/relay/rules/timeout.go
@@ -21,7 +21,7 @@
 	Stream bool
 	// Retryable is true if the route allows more than one target to run the request.
 	Retryable bool
-	// Sends counts the earlier attempts that may have run; MaxAttempts is the most that
+	// PossibleRuns counts the earlier attempts that may have run; MaxAttempts is the most that
 	// the route allows.
 	Sends, MaxAttempts int
 	// Objective is the route's response time objective, PauseLimit its longest pause
