--- a/internal/gateway/relay/rules/retry_test.go
+++ b/internal/gateway/relay/rules/retry_test.go
@@ -137,7 +137,7 @@
 	convey.Convey("An attempt that no other may follow lasts as long as the request", t, func() {
 		once, last := plain, plain
 		once.Retryable = false
-		last.Sends = 1
+		last.PossibleRuns = 1
 		shouldNotLimit(once)
 		shouldNotLimit(last)
 	})
--- a/internal/gateway/relay/rules/timeout.go
+++ b/internal/gateway/relay/rules/timeout.go
@@ -23,7 +23,7 @@
 	Retryable bool
 	// PossibleRuns counts the earlier attempts that may have run; MaxAttempts is the most that
 	// the route allows.
-	Sends, MaxAttempts int
+	PossibleRuns, MaxAttempts int
 	// Objective is the route's response time objective, PauseLimit its longest pause
 	// between events.
 	Objective, PauseLimit time.Duration
@@ -36,7 +36,7 @@
 // request's time on a target that is stuck.
 func AttemptTimeout(a Attempt) (limit time.Duration, limited bool) {
 	switch {
-	case !a.Retryable || a.Sends+1 >= a.MaxAttempts:
+	case !a.Retryable || a.PossibleRuns+1 >= a.MaxAttempts:
 		return 0, false
 	case a.Stream:
 		return max(minStreamIdleTimeout, streamIdleTimeoutFactor*a.PauseLimit), true
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -137,7 +137,7 @@
 
 func (s *sender) startTimer(cancel context.CancelCauseFunc, possibleRuns int) attemptTimer {
 	limit, limited := rules.AttemptTimeout(rules.Attempt{
-		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: possibleRuns, MaxAttempts: s.route.MaxAttempts,
+		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), PossibleRuns: possibleRuns, MaxAttempts: s.route.MaxAttempts,
 		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
 	})
 	if !limited {
