--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -23,8 +23,8 @@
 	// Begun is true if the client already has a part of an earlier target's stream.
 	Begun bool
 	// Retryable, PossibleRuns and MaxAttempts are as in Failure.
-	Retryable          bool
-	Sends, MaxAttempts int
+	Retryable                 bool
+	PossibleRuns, MaxAttempts int
 	// Budget is the number of retries that the service's retry budget allows now.
 	Budget float64
 	// Left is the time to the response deadline, Objective the route's objective.
@@ -68,7 +68,7 @@
 // or the remaining time does not allow another attempt.
 func shouldRetry(a Answer) bool {
 	return !a.Succeeded && a.Status >= minServerErrorStatus &&
-		a.Retryable && a.Sends+1 < a.MaxAttempts &&
+		a.Retryable && a.PossibleRuns+1 < a.MaxAttempts &&
 		a.Budget >= 1 && a.Left > a.Objective/retryTimeDivisor
 }
 
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -27,7 +27,7 @@
 		{"a success, whatever its status", func(a *Answer) { a.Succeeded = true }},
 		{"a failure that another target would report as well", func(a *Answer) { a.Status = 404 }},
 		{"a failure of a request that must not run twice", func(a *Answer) { a.Retryable = false }},
-		{"a failure of the last attempt", func(a *Answer) { a.Sends = 1 }},
+		{"a failure of the last attempt", func(a *Answer) { a.PossibleRuns = 1 }},
 		{"a failure while the retry budget is exhausted", func(a *Answer) { a.Budget = 0.9 }},
 		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }},
 	} {
