--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -43,7 +43,7 @@
 
 func (s *sender) responseInput(reply *Reply, possibleRuns int) rules.Answer {
 	return rules.Answer{
-		Status: reply.Status, Succeeded: reply.Succeeded, Begun: s.response.started.Load(),
+		Status: reply.Status, Succeeded: reply.Succeeded, Started: s.response.started.Load(),
 		Retryable: s.route.MayRepeat(), PossibleRuns: possibleRuns, MaxAttempts: s.route.MaxAttempts,
 		Budget: s.budgets.remaining(s.service.Name), Left: s.times.Answer.Sub(s.now()), Objective: s.route.Objective,
 	}
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -20,8 +20,8 @@
 	// Status is the target's status, Succeeded whether it is a success.
 	Status    int
 	Succeeded bool
-	// Begun is true if the client already has a part of an earlier target's stream.
-	Begun bool
+	// Started is true if the client already has a part of an earlier target's stream.
+	Started bool
 	// Retryable, PossibleRuns and MaxAttempts are as in Failure.
 	Retryable                 bool
 	PossibleRuns, MaxAttempts int
@@ -57,7 +57,7 @@
 	switch {
 	case shouldRetry(a):
 		return TryAnother{}
-	case a.Begun:
+	case a.Started:
 		return BreakOff{}
 	}
 	return PassOn{}
