--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -32,7 +32,7 @@
 	if err != nil || len(body) > maxResponseBytes {
 		return truncatedError(ctx, err)
 	}
-	switch rules.AfterAnswer(s.responseInput(reply, possibleRuns)).(type) {
+	switch rules.AfterResponse(s.responseInput(reply, possibleRuns)).(type) {
 	case rules.TryAnother:
 		return verdict.New(verdict.Ran, verdict.ReasonTargetError, "the target answered with status %d", reply.Status)
 	case rules.BreakOff:
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -47,13 +47,13 @@
 func (TryAnother) isAnswerDecision() {}
 func (BreakOff) isAnswerDecision()   {}
 
-// AfterAnswer decides what happens to a whole response. A failure of the target itself is
+// AfterResponse decides what happens to a whole response. A failure of the target itself is
 // retried at another target if the route, the budget and the remaining time allow it, in
 // this order. Otherwise the response is forwarded, unless the client already has events
 // of a stream: the response cannot follow them, so the stream is aborted. A wrong retry
 // adds load to a failing service; a wrongly forwarded response returns an error that
 // another target would not have had.
-func AfterAnswer(a Answer) AnswerDecision {
+func AfterResponse(a Answer) AnswerDecision {
 	switch {
 	case shouldRetry(a):
 		return TryAnother{}
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -13,7 +13,7 @@
 }
 
 func shouldDecide(a Answer, want AnswerDecision) {
-	convey.So(AfterAnswer(a), convey.ShouldResemble, want)
+	convey.So(AfterResponse(a), convey.ShouldResemble, want)
 }
 
 func TestAfterAnswer(t *testing.T) {
