--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -41,8 +41,8 @@
 	return s.response.forwardWhole(reply, body)
 }
 
-func (s *sender) responseInput(reply *Reply, possibleRuns int) rules.Answer {
-	return rules.Answer{
+func (s *sender) responseInput(reply *Reply, possibleRuns int) rules.Response {
+	return rules.Response{
 		Status: reply.Status, Succeeded: reply.Succeeded, Started: s.response.started.Load(),
 		Retryable: s.route.MayRepeat(), PossibleRuns: possibleRuns, MaxAttempts: s.route.MaxAttempts,
 		Budget: s.budgets.remaining(s.service.Name), Left: s.times.Answer.Sub(s.now()), Objective: s.route.Objective,
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -14,9 +14,9 @@
 	retryTimeDivisor = 2
 )
 
-// Answer is a target's whole response that is not a stream of events. On a streaming
+// Response is a target's whole response that is not a stream of events. On a streaming
 // route that is a response whose status is not a success.
-type Answer struct {
+type Response struct {
 	// Status is the target's status, Succeeded whether it is a success.
 	Status    int
 	Succeeded bool
@@ -53,7 +53,7 @@
 // of a stream: the response cannot follow them, so the stream is aborted. A wrong retry
 // adds load to a failing service; a wrongly forwarded response returns an error that
 // another target would not have had.
-func AfterResponse(a Answer) AnswerDecision {
+func AfterResponse(a Response) AnswerDecision {
 	switch {
 	case shouldRetry(a):
 		return TryAnother{}
@@ -66,7 +66,7 @@
 // shouldRetry reports whether another target is tried. That is not the case for a
 // success, for a client error, which any target would report, or if the route, the budget
 // or the remaining time does not allow another attempt.
-func shouldRetry(a Answer) bool {
+func shouldRetry(a Response) bool {
 	return !a.Succeeded && a.Status >= minServerErrorStatus &&
 		a.Retryable && a.PossibleRuns+1 < a.MaxAttempts &&
 		a.Budget >= 1 && a.Left > a.Objective/retryTimeDivisor
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -8,11 +8,11 @@
 )
 
 // targetFailure returns a failure of a target that may be retried at another one.
-func targetFailure() Answer {
-	return Answer{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
+func targetFailure() Response {
+	return Response{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
 }
 
-func shouldDecide(a Answer, want AnswerDecision) {
+func shouldDecide(a Response, want AnswerDecision) {
 	convey.So(AfterResponse(a), convey.ShouldResemble, want)
 }
 
@@ -22,14 +22,14 @@
 	})
 	for _, c := range []struct {
 		what   string
-		change func(*Answer)
+		change func(*Response)
 	}{
-		{"a success, whatever its status", func(a *Answer) { a.Succeeded = true }},
-		{"a failure that another target would report as well", func(a *Answer) { a.Status = 404 }},
-		{"a failure of a request that must not run twice", func(a *Answer) { a.Retryable = false }},
-		{"a failure of the last attempt", func(a *Answer) { a.PossibleRuns = 1 }},
-		{"a failure while the retry budget is exhausted", func(a *Answer) { a.Budget = 0.9 }},
-		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }},
+		{"a success, whatever its status", func(a *Response) { a.Succeeded = true }},
+		{"a failure that another target would report as well", func(a *Response) { a.Status = 404 }},
+		{"a failure of a request that must not run twice", func(a *Response) { a.Retryable = false }},
+		{"a failure of the last attempt", func(a *Response) { a.PossibleRuns = 1 }},
+		{"a failure while the retry budget is exhausted", func(a *Response) { a.Budget = 0.9 }},
+		{"a failure when less than half of the objective is left", func(a *Response) { a.Left = time.Second }},
 	} {
 		a := targetFailure()
 		c.change(&a)
