--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -31,8 +31,8 @@
 	Left, Objective time.Duration
 }
 
-// AnswerDecision is PassOn, TryAnother or BreakOff.
-type AnswerDecision interface{ isAnswerDecision() }
+// ResponseDecision is PassOn, TryAnother or BreakOff.
+type ResponseDecision interface{ isAnswerDecision() }
 
 // PassOn forwards the response to the client unchanged.
 type PassOn struct{}
@@ -53,7 +53,7 @@
 // of a stream: the response cannot follow them, so the stream is aborted. A wrong retry
 // adds load to a failing service; a wrongly forwarded response returns an error that
 // another target would not have had.
-func AfterResponse(a Response) AnswerDecision {
+func AfterResponse(a Response) ResponseDecision {
 	switch {
 	case shouldRetry(a):
 		return TryAnother{}
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -12,7 +12,7 @@
 	return Response{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
 }
 
-func shouldDecide(a Response, want AnswerDecision) {
+func shouldDecide(a Response, want ResponseDecision) {
 	convey.So(AfterResponse(a), convey.ShouldResemble, want)
 }
 
