--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -31,11 +31,11 @@
 	Left, Objective time.Duration
 }
 
-// ResponseDecision is PassOn, TryAnother or BreakOff.
+// ResponseDecision is Forward, TryAnother or BreakOff.
 type ResponseDecision interface{ isAnswerDecision() }
 
-// PassOn forwards the response to the client unchanged.
-type PassOn struct{}
+// Forward forwards the response to the client unchanged.
+type Forward struct{}
 
 // TryAnother treats the response as a failed attempt.
 type TryAnother struct{}
@@ -43,7 +43,7 @@
 // BreakOff aborts a stream that has started and that no target resumes.
 type BreakOff struct{}
 
-func (PassOn) isAnswerDecision()     {}
+func (Forward) isAnswerDecision()    {}
 func (TryAnother) isAnswerDecision() {}
 func (BreakOff) isAnswerDecision()   {}
 
@@ -60,7 +60,7 @@
 	case a.Started:
 		return BreakOff{}
 	}
-	return PassOn{}
+	return Forward{}
 }
 
 // shouldRetry reports whether another target is tried. That is not the case for a
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -33,7 +33,7 @@
 	} {
 		a := targetFailure()
 		c.change(&a)
-		convey.Convey("The client gets "+c.what, t, func() { shouldDecide(a, PassOn{}) })
+		convey.Convey("The client gets "+c.what, t, func() { shouldDecide(a, Forward{}) })
 		a.Started = true
 		convey.Convey("A stream that has started is aborted by "+c.what, t, func() { shouldDecide(a, BreakOff{}) })
 	}
