--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -33,7 +33,7 @@
 		return truncatedError(ctx, err)
 	}
 	switch rules.AfterResponse(s.responseInput(reply, possibleRuns)).(type) {
-	case rules.TryAnother:
+	case rules.TryAnotherTarget:
 		return verdict.New(verdict.Ran, verdict.ReasonTargetError, "the target answered with status %d", reply.Status)
 	case rules.BreakOff:
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "the stream could not be resumed: status %d", reply.Status)
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -31,21 +31,21 @@
 	Left, Objective time.Duration
 }
 
-// ResponseDecision is Forward, TryAnother or BreakOff.
+// ResponseDecision is Forward, TryAnotherTarget or BreakOff.
 type ResponseDecision interface{ isAnswerDecision() }
 
 // Forward forwards the response to the client unchanged.
 type Forward struct{}
 
-// TryAnother treats the response as a failed attempt.
-type TryAnother struct{}
+// TryAnotherTarget treats the response as a failed attempt.
+type TryAnotherTarget struct{}
 
 // BreakOff aborts a stream that has started and that no target resumes.
 type BreakOff struct{}
 
-func (Forward) isAnswerDecision()    {}
-func (TryAnother) isAnswerDecision() {}
-func (BreakOff) isAnswerDecision()   {}
+func (Forward) isAnswerDecision()          {}
+func (TryAnotherTarget) isAnswerDecision() {}
+func (BreakOff) isAnswerDecision()         {}
 
 // AfterResponse decides what happens to a whole response. A failure of the target itself is
 // retried at another target if the route, the budget and the remaining time allow it, in
@@ -56,7 +56,7 @@
 func AfterResponse(a Response) ResponseDecision {
 	switch {
 	case shouldRetry(a):
-		return TryAnother{}
+		return TryAnotherTarget{}
 	case a.Started:
 		return BreakOff{}
 	}
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -18,7 +18,7 @@
 
 func TestAfterAnswer(t *testing.T) {
 	convey.Convey("A failure of the target itself is retried at another target", t, func() {
-		shouldDecide(targetFailure(), TryAnother{})
+		shouldDecide(targetFailure(), TryAnotherTarget{})
 	})
 	for _, c := range []struct {
 		what   string
