--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -35,7 +35,7 @@
 	switch rules.AfterResponse(s.responseInput(reply, possibleRuns)).(type) {
 	case rules.TryAnotherTarget:
 		return verdict.New(verdict.Ran, verdict.ReasonTargetError, "the target answered with status %d", reply.Status)
-	case rules.BreakOff:
+	case rules.AbortStream:
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "the stream could not be resumed: status %d", reply.Status)
 	}
 	return s.response.forwardWhole(reply, body)
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -31,7 +31,7 @@
 	Left, Objective time.Duration
 }
 
-// ResponseDecision is Forward, TryAnotherTarget or BreakOff.
+// ResponseDecision is Forward, TryAnotherTarget or AbortStream.
 type ResponseDecision interface{ isAnswerDecision() }
 
 // Forward forwards the response to the client unchanged.
@@ -40,12 +40,12 @@
 // TryAnotherTarget treats the response as a failed attempt.
 type TryAnotherTarget struct{}
 
-// BreakOff aborts a stream that has started and that no target resumes.
-type BreakOff struct{}
+// AbortStream aborts a stream that has started and that no target resumes.
+type AbortStream struct{}
 
 func (Forward) isAnswerDecision()          {}
 func (TryAnotherTarget) isAnswerDecision() {}
-func (BreakOff) isAnswerDecision()         {}
+func (AbortStream) isAnswerDecision()      {}
 
 // AfterResponse decides what happens to a whole response. A failure of the target itself is
 // retried at another target if the route, the budget and the remaining time allow it, in
@@ -58,7 +58,7 @@
 	case shouldRetry(a):
 		return TryAnotherTarget{}
 	case a.Started:
-		return BreakOff{}
+		return AbortStream{}
 	}
 	return Forward{}
 }
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -35,7 +35,7 @@
 		c.change(&a)
 		convey.Convey("The client gets "+c.what, t, func() { shouldDecide(a, Forward{}) })
 		a.Started = true
-		convey.Convey("A stream that has started is aborted by "+c.what, t, func() { shouldDecide(a, BreakOff{}) })
+		convey.Convey("A stream that has started is aborted by "+c.what, t, func() { shouldDecide(a, AbortStream{}) })
 	}
 }
 
