--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -110,7 +110,7 @@
 			return truncatedError(ctx, err)
 		}
 		timer.reset()
-		if rules.EventPassed(ev.id, r.lastEvent) {
+		if rules.EventForwarded(ev.id, r.lastEvent) {
 			continue
 		}
 		if err := r.forwardEvent(reply, ev); err != nil {
--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -72,11 +72,11 @@
 		a.Budget >= 1 && a.Left > a.Objective/retryTimeDivisor
 }
 
-// EventPassed reports whether the client already has an event, which is then skipped when
-// a stream is resumed (docs/decisions/0009). id is the number of the event, and last the
-// number of the last event that was forwarded. An event without a number counts as new. A
-// false positive leaves a gap in the stream; a false negative repeats an event.
-func EventPassed(id, last string) bool {
+// EventForwarded reports whether the client already has an event, which is then skipped
+// when a stream is resumed (docs/decisions/0009). id is the number of the event, and last
+// the number of the last event that was forwarded. An event without a number counts as
+// new. A false positive leaves a gap in the stream; a false negative repeats an event.
+func EventForwarded(id, last string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return false
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -53,7 +53,7 @@
 			{"", "3", false},
 			{"a", "b", false},
 		} {
-			convey.So(EventPassed(c.id, c.last), convey.ShouldEqual, c.want)
+			convey.So(EventForwarded(c.id, c.last), convey.ShouldEqual, c.want)
 		}
 	})
 }
