--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -38,7 +38,7 @@
 func (s *Server) refuse(r *resolvedRequest, d Refused) *verdict.Error {
 	s.cfg.Observer.Decided(r.req.ID, d)
 	return verdict.New(verdict.NotRun, verdict.ReasonOverload, "the stages would take %v", d.Estimated).
-		WithRetryAfter(retryAfter(r.times.Answer.Sub(s.cfg.Now())))
+		WithRetryAfter(retryAfter(r.times.ResponseDeadline.Sub(s.cfg.Now())))
 }
 
 // refuseEvacuated refuses a request that needs a service whose targets are all in
@@ -49,7 +49,7 @@
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of %s are evacuated", service).
-		WithRetryAfter(retryAfter(r.times.Answer.Sub(s.cfg.Now())))
+		WithRetryAfter(retryAfter(r.times.ResponseDeadline.Sub(s.cfg.Now())))
 }
 
 // services returns the services that the request needs, in the order of their use.
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -106,7 +106,7 @@
 	}
 	d.reportDecision(AttemptFailed{
 		Attempt: d.outcome.Attempts[len(d.outcome.Attempts)-1], Events: d.outcome.Events, LastEvent: d.response.lastEvent,
-		Left: d.times.Answer.Sub(d.now()), WillRetry: !over, Next: next,
+		Left: d.times.ResponseDeadline.Sub(d.now()), WillRetry: !over, Next: next,
 	})
 }
 
@@ -127,7 +127,7 @@
 	}
 	err = rules.FinalVerdict(err, d.possibleRuns, d.route.MayRepeat())
 	if err.Verdict() == verdict.NotRun && err.RetryAfter() == 0 {
-		own := retryAfter(d.times.Answer.Sub(d.now()))
+		own := retryAfter(d.times.ResponseDeadline.Sub(d.now()))
 		err = err.WithRetryAfter(rules.AfterPauses(own, d.chooser.targetPauses(), rand.Float64()))
 	}
 	return err
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -114,7 +114,7 @@
 	if err := s.refuseQuarantined(r); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.times.Answer.Sub(s.cfg.Now()))
+	ctx, cancel := context.WithTimeout(ctx, r.times.ResponseDeadline.Sub(s.cfg.Now()))
 	defer cancel()
 	if err := s.refuseEvacuated(r); err != nil {
 		return err
--- a/internal/gateway/relay/rules/times.go
+++ b/internal/gateway/relay/rules/times.go
@@ -34,8 +34,8 @@
 // Times are the deadlines of one request. They do not change after its arrival.
 type Times struct {
 	Arrived time.Time
-	// Answer is when the response must be complete.
-	Answer time.Time
+	// ResponseDeadline is when the response must be complete.
+	ResponseDeadline time.Time
 	// Objective is when the response should have started.
 	Objective time.Time
 	// Lead is the time planned from the last stage to the start of the response.
@@ -56,10 +56,10 @@
 		timeout = min(timeout, in.RouteTimeout)
 	}
 	return Times{
-		Arrived:   in.Arrived,
-		Answer:    in.Arrived.Add(timeout - min(responseMargin, timeout/responseMarginDivisor)),
-		Objective: in.Arrived.Add(in.Objective),
-		Lead:      max(engineLead, in.Prefill),
+		Arrived:          in.Arrived,
+		ResponseDeadline: in.Arrived.Add(timeout - min(responseMargin, timeout/responseMarginDivisor)),
+		Objective:        in.Arrived.Add(in.Objective),
+		Lead:             max(engineLead, in.Prefill),
 	}
 }
 
@@ -79,6 +79,6 @@
 func (t Times) Stage(following time.Duration) StageTimes {
 	return StageTimes{
 		Due:      t.Objective.Add(-t.Lead - following),
-		Deadline: t.Answer.Add(-engineLead - following),
+		Deadline: t.ResponseDeadline.Add(-engineLead - following),
 	}
 }
--- a/internal/gateway/relay/rules/times_test.go
+++ b/internal/gateway/relay/rules/times_test.go
@@ -11,7 +11,7 @@
 
 func shouldAnswerWithin(in TimesInput, want time.Duration) {
 	in.Arrived = arrived
-	convey.So(NewTimes(in).Answer.Sub(arrived), convey.ShouldEqual, want)
+	convey.So(NewTimes(in).ResponseDeadline.Sub(arrived), convey.ShouldEqual, want)
 }
 
 func TestAnswerDeadline(t *testing.T) {
@@ -48,7 +48,7 @@
 	})
 	convey.Convey("An item's deadline leaves the engine its least lead before the response deadline", t, func() {
 		times := NewTimes(in)
-		convey.So(times.Stage(0).Deadline, convey.ShouldHappenBefore, times.Answer)
+		convey.So(times.Stage(0).Deadline, convey.ShouldHappenBefore, times.ResponseDeadline)
 		convey.So(engineLead, convey.ShouldBeGreaterThan, responseMargin)
 	})
 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -148,7 +148,7 @@
 
 func (s *sender) call(target destination) Call {
 	c := Call{
-		Target: target.Target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.Answer,
+		Target: target.Target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.ResponseDeadline,
 		Organisation: s.org.Name, Priority: noPriority, LastEvent: s.response.lastEvent,
 		Permit: func() error { return s.permit(target.Target) },
 	}
@@ -166,7 +166,7 @@
 // request.
 func (s *sender) permit(target directory.Target) error {
 	now := s.now()
-	if !now.Before(s.times.Answer) {
+	if !now.Before(s.times.ResponseDeadline) {
 		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline has passed")
 	}
 	if !s.view().Directory.Usable(target.ID, now) || s.gate.HeldBack(target.Life()) {
