--- a/internal/gateway/relay/inputs.go
+++ b/internal/gateway/relay/inputs.go
@@ -40,7 +40,7 @@
 		return func() {}
 	}
 	longest := rules.LongestTransfer(transfers)
-	if !rules.ReleaseBeforeAnswer(s.now(), longest, s.missingInputs.lastMissing(s.service.Name)) {
+	if !rules.ReleaseBeforeResponse(s.now(), longest, s.missingInputs.lastMissing(s.service.Name)) {
 		return func() {}
 	}
 	results := s.runner.results
--- a/internal/gateway/relay/rules/inputs.go
+++ b/internal/gateway/relay/rules/inputs.go
@@ -60,7 +60,7 @@
 	return inputsReadBase + time.Duration(transfer*float64(time.Second))
 }
 
-// ReleaseBeforeAnswer decides whether an engine's inputs are released as soon as it
+// ReleaseBeforeResponse decides whether an engine's inputs are released as soon as it
 // should have fetched them (InputsReadTime), or only at its first event.
 //
 // Early release needs a known transfer time. lastGone is when inputs of the service that
@@ -70,7 +70,7 @@
 //
 // A false positive makes the engine refuse the request, and its inputs are recomputed; a
 // false negative holds memory that other items wait for.
-func ReleaseBeforeAnswer(now time.Time, t Transfer, lastGone time.Time) bool {
+func ReleaseBeforeResponse(now time.Time, t Transfer, lastGone time.Time) bool {
 	if t.BytesPerSecond <= 0 {
 		return false
 	}
--- a/internal/gateway/relay/rules/inputs_test.go
+++ b/internal/gateway/relay/rules/inputs_test.go
@@ -40,7 +40,7 @@
 	}
 	convey.Convey("Inputs of an engine", t, func() {
 		for _, c := range cases {
-			convey.Convey(c.why, func() { convey.So(ReleaseBeforeAnswer(now, c.transfer, c.lastGone), convey.ShouldEqual, c.want) })
+			convey.Convey(c.why, func() { convey.So(ReleaseBeforeResponse(now, c.transfer, c.lastGone), convey.ShouldEqual, c.want) })
 		}
 	})
 }
