--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -128,7 +128,7 @@
 	err = rules.FinalVerdict(err, d.possibleRuns, d.route.MayRepeat())
 	if err.Verdict() == verdict.NotRun && err.RetryAfter() == 0 {
 		own := retryAfter(d.times.ResponseDeadline.Sub(d.now()))
-		err = err.WithRetryAfter(rules.AfterPauses(own, d.chooser.targetPauses(), rand.Float64()))
+		err = err.WithRetryAfter(rules.RetryAfterPauses(own, d.chooser.targetPauses(), rand.Float64()))
 	}
 	return err
 }
--- a/internal/gateway/relay/rules/retryafter.go
+++ b/internal/gateway/relay/rules/retryafter.go
@@ -35,12 +35,12 @@
 	return max(least+spread, minRetryAfter)
 }
 
-// AfterPauses decides when a client should retry that found no target. own is the delay
-// by RetryAfter, and pauses are the remaining pauses requested by the service's targets,
-// 0 for a target that requested none. If all targets pause, a retry before the shortest
-// pause ends is refused again. jitter, in [0, 1), spreads the clients that wait for the
-// same pause.
-func AfterPauses(own time.Duration, pauses []time.Duration, jitter float64) time.Duration {
+// RetryAfterPauses decides when a client should retry that found no target. own is the
+// delay by RetryAfter, and pauses are the remaining pauses requested by the service's
+// targets, 0 for a target that requested none. If all targets pause, a retry before the
+// shortest pause ends is refused again. jitter, in [0, 1), spreads the clients that wait
+// for the same pause.
+func RetryAfterPauses(own time.Duration, pauses []time.Duration, jitter float64) time.Duration {
 	if len(pauses) == 0 {
 		return own
 	}
--- a/internal/gateway/relay/rules/retryafter_test.go
+++ b/internal/gateway/relay/rules/retryafter_test.go
@@ -35,7 +35,7 @@
 // same moment.
 func TestPausesSpread(t *testing.T) {
 	convey.Convey("Retries are spread over a quarter of the pause", t, func() {
-		latest := AfterPauses(0, []time.Duration{4 * time.Second}, 0.999)
+		latest := RetryAfterPauses(0, []time.Duration{4 * time.Second}, 0.999)
 		convey.So(latest, convey.ShouldBeBetween, 4900*time.Millisecond, 5*time.Second)
 	})
 }
@@ -52,7 +52,7 @@
 			{[]time.Duration{short, long}, own},
 			{[]time.Duration{long, 2 * long}, long},
 		} {
-			convey.So(AfterPauses(own, c.pauses, 0), convey.ShouldEqual, c.want)
+			convey.So(RetryAfterPauses(own, c.pauses, 0), convey.ShouldEqual, c.want)
 		}
 	})
 }
