--- a/internal/gateway/relay/rules/results.go
+++ b/internal/gateway/relay/rules/results.go
@@ -24,9 +24,9 @@
 // how often they were, this time included. Otherwise the request ends as not run.
 func MayRecompute(recomputes int) bool { return recomputes <= maxRecomputes }
 
-// WorthNearness reports whether results are large enough to prefer targets in their data
+// WorthLocality reports whether results are large enough to prefer targets in their data
 // centre.
-func WorthNearness(bytes int64) bool { return bytes >= minLocalityBytes }
+func WorthLocality(bytes int64) bool { return bytes >= minLocalityBytes }
 
 // NearestDataCentre decides which data centre a stage's targets should be in: the one
 // that holds the most bytes of its inputs, any of several with equally many, and none if
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -210,7 +210,7 @@
 	if !slices.Contains(runner.route.LastStages(), i) || !runner.service.Engine {
 		return ""
 	}
-	if !rules.WorthNearness(runner.route.Stages[i].ResultBytes * int64(runner.stages[i].Items)) {
+	if !rules.WorthLocality(runner.route.Stages[i].ResultBytes * int64(runner.stages[i].Items)) {
 		return ""
 	}
 	target, ok := runner.chooser.chooseLocally(runner.results.inputBytes(), runner.chooser.tried)
