--- a/internal/gateway/relay/rules/results.go
+++ b/internal/gateway/relay/rules/results.go
@@ -28,11 +28,11 @@
 // centre.
 func WorthLocality(bytes int64) bool { return bytes >= minLocalityBytes }
 
-// NearestDataCentre decides which data centre a stage's targets should be in: the one
+// PreferredDataCentre decides which data centre a stage's targets should be in: the one
 // that holds the most bytes of its inputs, any of several with equally many, and none if
 // no data centre holds minLocalityBytes. A wrong choice costs a transfer between data
 // centres, or an unnecessary wait for a target.
-func NearestDataCentre(bytes map[string]int64) string {
+func PreferredDataCentre(bytes map[string]int64) string {
 	best, most := "", int64(minLocalityBytes)
 	for dc, n := range bytes {
 		if n >= most {
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -199,7 +199,7 @@
 			sizes[result.DataCentre] += runner.route.Stages[a].ResultBytes * int64(g.Count)
 		}
 	}
-	g.DataCentre = rules.NearestDataCentre(sizes)
+	g.DataCentre = rules.PreferredDataCentre(sizes)
 	return g
 }
 
