--- a/internal/gateway/relay/rules/answer.go
+++ b/internal/gateway/relay/rules/answer.go
@@ -9,8 +9,8 @@
 	// minServerErrorStatus is the first status that reports a failure of the target itself, as
 	// in HTTP.
 	minServerErrorStatus = 500
-	// retryTimeDivisor divides the objective into the time that another attempt needs. With
-	// less time left the response of the first attempt is forwarded instead.
+	// retryTimeDivisor divides the objective: another attempt needs more time than the
+	// quotient. With less left the response of the first attempt is forwarded instead.
 	retryTimeDivisor = 2
 )
 
@@ -32,7 +32,7 @@
 }
 
 // ResponseDecision is Forward, TryAnotherTarget or AbortStream.
-type ResponseDecision interface{ isAnswerDecision() }
+type ResponseDecision interface{ isResponseDecision() }
 
 // Forward forwards the response to the client unchanged.
 type Forward struct{}
@@ -43,9 +43,9 @@
 // AbortStream aborts a stream that has started and that no target resumes.
 type AbortStream struct{}
 
-func (Forward) isAnswerDecision()          {}
-func (TryAnotherTarget) isAnswerDecision() {}
-func (AbortStream) isAnswerDecision()      {}
+func (Forward) isResponseDecision()          {}
+func (TryAnotherTarget) isResponseDecision() {}
+func (AbortStream) isResponseDecision()      {}
 
 // AfterResponse decides what happens to a whole response. A failure of the target itself is
 // retried at another target if the route, the budget and the remaining time allow it, in
@@ -53,11 +53,11 @@
 // of a stream: the response cannot follow them, so the stream is aborted. A wrong retry
 // adds load to a failing service; a wrongly forwarded response returns an error that
 // another target would not have had.
-func AfterResponse(a Response) ResponseDecision {
+func AfterResponse(r Response) ResponseDecision {
 	switch {
-	case shouldRetry(a):
+	case shouldRetry(r):
 		return TryAnotherTarget{}
-	case a.Started:
+	case r.Started:
 		return AbortStream{}
 	}
 	return Forward{}
@@ -66,10 +66,10 @@
 // shouldRetry reports whether another target is tried. That is not the case for a
 // success, for a client error, which any target would report, or if the route, the budget
 // or the remaining time does not allow another attempt.
-func shouldRetry(a Response) bool {
-	return !a.Succeeded && a.Status >= minServerErrorStatus &&
-		a.Retryable && a.PossibleRuns+1 < a.MaxAttempts &&
-		a.Budget >= 1 && a.Left > a.Objective/retryTimeDivisor
+func shouldRetry(r Response) bool {
+	return !r.Succeeded && r.Status >= minServerErrorStatus &&
+		r.Retryable && r.PossibleRuns+1 < r.MaxAttempts &&
+		r.Budget >= 1 && r.Left > r.Objective/retryTimeDivisor
 }
 
 // EventForwarded reports whether the client already has an event, which is then skipped
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -16,7 +16,7 @@
 	convey.So(AfterResponse(a), convey.ShouldResemble, want)
 }
 
-func TestAfterAnswer(t *testing.T) {
+func TestAfterResponse(t *testing.T) {
 	convey.Convey("A failure of the target itself is retried at another target", t, func() {
 		shouldDecide(targetFailure(), TryAnotherTarget{})
 	})
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEventPassed(t *testing.T) {
+func TestEventForwarded(t *testing.T) {
 	convey.Convey("A resumed stream skips the events that the client already has", t, func() {
 		for _, c := range []struct {
 			id, last string
--- a/internal/gateway/relay/rules/estimate_test.go
+++ b/internal/gateway/relay/rules/estimate_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestNearestDataCentre(t *testing.T) {
+func TestPreferredDataCentre(t *testing.T) {
 	convey.Convey("Items run in the data centre with the most bytes of their inputs, if there are many", t, func() {
 		convey.So(PreferredDataCentre(map[string]int64{"a": 200_000, "b": 300_000}), convey.ShouldEqual, "b")
 		convey.So(PreferredDataCentre(map[string]int64{"a": minLocalityBytes - 1}), convey.ShouldBeEmpty)
--- a/internal/gateway/relay/rules/inputs_test.go
+++ b/internal/gateway/relay/rules/inputs_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestReleaseBeforeAnswer(t *testing.T) {
+func TestReleaseBeforeResponse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	known := Transfer{Bytes: 1, BytesPerSecond: 1e9}
 	cases := []struct {
--- a/internal/gateway/relay/rules/retryafter_test.go
+++ b/internal/gateway/relay/rules/retryafter_test.go
@@ -31,16 +31,16 @@
 	})
 }
 
-// TestPausesSpread checks that clients that wait for the same pause do not retry at the
-// same moment.
-func TestPausesSpread(t *testing.T) {
+// TestRetryAfterPausesJitter checks that clients that wait for the same pause do not
+// retry at the same moment.
+func TestRetryAfterPausesJitter(t *testing.T) {
 	convey.Convey("Retries are spread over a quarter of the pause", t, func() {
 		latest := RetryAfterPauses(0, []time.Duration{4 * time.Second}, 0.999)
 		convey.So(latest, convey.ShouldBeBetween, 4900*time.Millisecond, 5*time.Second)
 	})
 }
 
-func TestAfterPauses(t *testing.T) {
+func TestRetryAfterPauses(t *testing.T) {
 	const own, short, long = 2 * time.Second, time.Second, 5 * time.Second
 	convey.Convey("A client should retry after its own delay or the shortest pause, whichever is longer", t, func() {
 		for _, c := range []struct {
--- a/internal/gateway/relay/rules/times_test.go
+++ b/internal/gateway/relay/rules/times_test.go
@@ -9,25 +9,25 @@
 
 var arrived = time.Unix(1_764_000_000, 0)
 
-func shouldAnswerWithin(in TimesInput, want time.Duration) {
+func shouldRespondWithin(in TimesInput, want time.Duration) {
 	in.Arrived = arrived
 	convey.So(NewTimes(in).ResponseDeadline.Sub(arrived), convey.ShouldEqual, want)
 }
 
-func TestAnswerDeadline(t *testing.T) {
+func TestResponseDeadline(t *testing.T) {
 	convey.Convey("The response is due", t, func() {
 		convey.Convey("a margin before the client's timeout", func() {
-			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second}, 10*time.Second-responseMargin)
+			shouldRespondWithin(TimesInput{ClientTimeout: 10 * time.Second}, 10*time.Second-responseMargin)
 		})
 		convey.Convey("by the route's timeout if it is shorter", func() {
-			shouldAnswerWithin(TimesInput{ClientTimeout: 10 * time.Second, RouteTimeout: 4 * time.Second}, 4*time.Second-responseMargin)
-			shouldAnswerWithin(TimesInput{ClientTimeout: 2 * time.Second, RouteTimeout: 4 * time.Second}, 2*time.Second-responseMargin)
+			shouldRespondWithin(TimesInput{ClientTimeout: 10 * time.Second, RouteTimeout: 4 * time.Second}, 4*time.Second-responseMargin)
+			shouldRespondWithin(TimesInput{ClientTimeout: 2 * time.Second, RouteTimeout: 4 * time.Second}, 2*time.Second-responseMargin)
 		})
 		convey.Convey("by the default timeout if the client sends none", func() {
-			shouldAnswerWithin(TimesInput{}, defaultTimeout-responseMargin)
+			shouldRespondWithin(TimesInput{}, defaultTimeout-responseMargin)
 		})
 		convey.Convey("a tenth before the end of a short timeout", func() {
-			shouldAnswerWithin(TimesInput{ClientTimeout: 100 * time.Millisecond}, 90*time.Millisecond)
+			shouldRespondWithin(TimesInput{ClientTimeout: 100 * time.Millisecond}, 90*time.Millisecond)
 		})
 	})
 }
--- a/internal/gateway/relay/stages_test.go
+++ b/internal/gateway/relay/stages_test.go
@@ -137,10 +137,10 @@
 	})
 }
 
-// TestInputsAreReleasedBeforeTheAnswer checks when the results that an engine reads are
+// TestInputsReleasedBeforeResponse checks when the results that an engine reads are
 // released: once it should have fetched them, or at its first event if the transfer time is
 // unknown. The attempt at an engine that does not respond times out after 1.2 s.
-func TestInputsAreReleasedBeforeTheAnswer(t *testing.T) {
+func TestInputsReleasedBeforeResponse(t *testing.T) {
 	// serve makes the first engine hang. It returns how many results are held after the
 	// given time, and how many groups were run until a second engine has responded.
 	serve := func(t *testing.T, bytesPerSecond float64, after time.Duration) (held, groups int) {
