--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -25,10 +25,10 @@
 	placer  Placer
 	targets *targetStats
 	now     func() time.Time
-	// members returns how many nodes share the targets' connections.
-	members func() int
-	// givesOut reports whether this node sends requests to a cold target.
-	givesOut func(target string) bool
+	// nodeCount returns how many nodes share the targets' connections.
+	nodeCount func() int
+	// sendsToCold reports whether this node sends requests to a cold target.
+	sendsToCold func(target string) bool
 	// tried are the targets that the request was already sent to.
 	tried      []string
 	quarantine Quarantine
@@ -38,7 +38,7 @@
 func (s *Server) newChooser(r *resolvedRequest) *chooser {
 	return &chooser{
 		resolvedRequest: r, dataCentre: s.cfg.DataCentre, node: s.cfg.Node, view: s.cfg.View, placer: s.cfg.Placer, targets: s.targets,
-		now: s.cfg.Now, members: s.cfg.Members, givesOut: s.cfg.GivesOut, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
+		now: s.cfg.Now, nodeCount: s.cfg.Members, sendsToCold: s.cfg.GivesOut, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
 	}
 }
 
@@ -129,7 +129,7 @@
 // chooseLocally chooses a target by the information of this node alone.
 func (c *chooser) chooseLocally(inputs map[string]int64, exclude []string) (directory.Target, bool) {
 	list := c.view().Directory.Service(c.service.Name)
-	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, GivesOut: c.givesOut}
+	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, GivesOut: c.sendsToCold}
 	if c.service.Engine {
 		// Many nodes may choose by themselves at the same time, such as after the loss of
 		// the Placer, and they do not know of each other's prompts.
@@ -140,7 +140,7 @@
 		q.SharedTokens += part.Tokens
 	}
 	if c.service.MaxConnections > 0 {
-		nodes := c.members()
+		nodes := c.nodeCount()
 		q.MaxInflight = rules.ConnectionShare(c.service.MaxConnections, nodes)
 		q.Subset = placement.Subset{Node: c.node, Size: rules.TargetsPerNode(c.service.MaxConnections, nodes, len(list))}
 	}
