--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -229,7 +229,7 @@
 // actor.
 func (c *coordinator) noteEnd(e batching.Send, began time.Time, err *verdict.Error) (ended bool) {
 	switch {
-	case rules.Outlived(err):
+	case rules.TargetSurvived(err):
 		for _, item := range e.Items {
 			if item.Digest != 0 {
 				c.quarantine.Answered(item.Digest)
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -159,10 +159,10 @@
 		(err.Reason() == verdict.ReasonConnection || err.Reason() == verdict.ReasonCut)
 }
 
-// Outlived reports whether an attempt proves that its target survives the request: it
+// TargetSurvived reports whether an attempt proves that its target survives the request: it
 // responded, even if with a failure of its own. err is nil for a whole response. A false
 // positive lets a request crash more targets; a false negative leaves a harmless request
 // under suspicion.
-func Outlived(err *verdict.Error) bool {
+func TargetSurvived(err *verdict.Error) bool {
 	return err == nil || err.Verdict() == verdict.Ran
 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -85,7 +85,7 @@
 // recordSurvival records whether the target survived an attempt. sent is when the request
 // was sent there, and events is how many events came from this target.
 func (s *sender) recordSurvival(target directory.Target, sent time.Time, attempt Attempt, events int) {
-	if rules.Outlived(attempt.Err) {
+	if rules.TargetSurvived(attempt.Err) {
 		s.quarantine.Answered(s.digest)
 	}
 	if !rules.ConnectionBroke(attempt.Err) {
