--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -163,7 +163,7 @@
 
 // sharedParts returns the parts of a prompt that other requests may share: all but the
 // last, which is specific to the request or its session.
-func sharedParts(parts []Part) []placement.SharedPart {
+func sharedParts(parts []PromptPart) []placement.SharedPart {
 	if len(parts) < 2 {
 		return nil
 	}
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -12,8 +12,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// Part is a part of a prompt; parts are shared between requests.
-type Part struct {
+// PromptPart is a part of a prompt; parts are shared between requests.
+type PromptPart struct {
 	ID string
 	// Tokens is the length of the part.
 	Tokens int
@@ -31,7 +31,7 @@
 	// Timeout is how long the client waits; 0 if unknown.
 	Timeout time.Duration
 	// Parts are the shared parts of the prompt, in order.
-	Parts []Part
+	Parts []PromptPart
 	// Tokens is the length of the whole prompt.
 	Tokens int
 	// Items is the request's number of items in each stage of its route.
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -179,7 +179,7 @@
 				req := request()
 				req.Timeout = 500 * time.Millisecond
 				// Because of the shared part all prefer the same engine.
-				req.Parts = []relay.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 10}}
+				req.Parts = []relay.PromptPart{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 10}}
 				_ = s.Serve(t.Context(), req, &fakeClient{})
 				ended <- struct{}{}
 			}()
