--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -53,8 +53,8 @@
 	ID     string
 	// Payload is that of the Request.
 	Payload any
-	// Until is the response deadline, after which the response is of no use.
-	Until time.Time
+	// Deadline is the response deadline, after which the response is of no use.
+	Deadline time.Time
 	// Organisation is the holder of the client's API key; empty for none.
 	Organisation string
 	// Priority is the priority at an engine, from 0 (first) to 9; -1 for none.
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -148,7 +148,7 @@
 
 func (s *sender) call(target destination) Call {
 	c := Call{
-		Target: target.Target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.ResponseDeadline,
+		Target: target.Target, ID: s.req.ID, Payload: s.req.Payload, Deadline: s.times.ResponseDeadline,
 		Organisation: s.org.Name, Priority: noPriority, LastEvent: s.response.lastEvent,
 		Permit: func() error { return s.permit(target.Target) },
 	}
