--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -51,9 +51,9 @@
 	Members func() int
 	// WarmUp widens the request rate limits of cold targets.
 	WarmUp warmup.Margin
-	// GivesOut reports whether this node sends requests to a cold target of a plain
+	// SendsToCold reports whether this node sends requests to a cold target of a plain
 	// service. Only the Placer assigns requests to cold engines.
-	GivesOut func(target string) bool
+	SendsToCold func(target string) bool
 	// Quarantine tracks the requests that crash the targets that run them.
 	Quarantine Quarantine
 	// Gate controls which targets may get a request.
