--- /dev/null
+++ b/internal/gateway/relay/fakes_test.go
@@ -0,0 +1,298 @@
+package relay_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/honeydyke/honeydyke/internal/gateway/batching"
+	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
+	"github.com/honeydyke/honeydyke/internal/gateway/directory"
+	"github.com/honeydyke/honeydyke/internal/gateway/placement"
+	"github.com/honeydyke/honeydyke/internal/gateway/relay"
+	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
+	"github.com/honeydyke/honeydyke/internal/gateway/view"
+	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
+	"github.com/honeydyke/honeydyke/pkg/verdict"
+)
+
+// fakeReply is the behaviour of a fake target for one call.
+type fakeReply struct {
+	status int
+	body   string
+	// cut truncates the response after body.
+	cut bool
+	err *verdict.Error
+	// hangs delays the response until the call is cancelled.
+	hangs bool
+}
+
+// fakePorts implements all ports of the relay with fake targets and batch services, and
+// records what they are asked for.
+type fakePorts struct {
+	mu      sync.Mutex
+	replies []fakeReply
+	calls   []relay.Call
+	// ran counts the calls that a target may have run.
+	ran int
+	// groups are the groups that were run, groupErrs the errors to return for them, in
+	// order.
+	groups    []relay.Group
+	groupErrs []*verdict.Error
+	// held are the handles of the results that are not released, handles the number of
+	// handles so far.
+	held    map[string]bool
+	handles int
+	// backlog is that of each service.
+	backlog time.Duration
+	// planned counts the stages that were planned and not cancelled.
+	planned int
+	// ended are the targets that have crashed.
+	ended map[string]bool
+	// heldBack are the targets that are held back once they have been chosen.
+	heldBack map[string]bool
+	// ends are the targets that were reported as crashed.
+	ends []relay.TargetEnded
+	// ctx is the context of requests that helpers send, failDelay the delay before a target
+	// fails a call.
+	ctx       context.Context
+	failDelay time.Duration
+	// body is the response of targets when replies is empty.
+	body    string
+	outcome *relay.Outcome
+}
+
+func (f *fakePorts) Send(ctx context.Context, c relay.Call) (*relay.Reply, *verdict.Error) {
+	if err := c.Permit(); err != nil {
+		return nil, verdict.From(err)
+	}
+	f.mu.Lock()
+	a := fakeReply{status: 200, body: f.body}
+	if len(f.replies) > 0 {
+		a, f.replies = f.replies[0], f.replies[1:]
+	}
+	f.calls = append(f.calls, c)
+	if a.err == nil || a.err.Verdict() != verdict.NotRun {
+		f.ran++
+	}
+	for _, h := range c.Inputs {
+		if !f.held[h] {
+			f.mu.Unlock()
+			return nil, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "gone")
+		}
+	}
+	f.mu.Unlock()
+	if a.hangs {
+		<-ctx.Done()
+		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonDeadline, "hung").WithCause(ctx.Err())
+	}
+	if a.err != nil {
+		time.Sleep(f.failDelay)
+		return nil, a.err
+	}
+	var body io.Reader = strings.NewReader(a.body)
+	if a.cut {
+		body = io.MultiReader(body, failingReader{})
+	}
+	return &relay.Reply{Status: a.status, Succeeded: a.status < 300, Body: io.NopCloser(body)}, nil
+}
+
+// HasEnded reports whether the test marked a target as crashed.
+func (f *fakePorts) HasEnded(_ context.Context, target directory.Target) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.ended[target.ID]
+}
+
+// callsSeen returns the calls so far.
+func (f *fakePorts) callsSeen() []relay.Call {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]relay.Call(nil), f.calls...)
+}
+
+// awaitCalls waits up to 5 s until there were n calls.
+func (f *fakePorts) awaitCalls(n int) {
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && len(f.callsSeen()) < n; time.Sleep(time.Millisecond) {
+	}
+}
+
+type failingReader struct{}
+
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("reset") }
+
+func (f *fakePorts) Run(_ context.Context, service string, g relay.Group, _ func()) ([]batching.Result, *verdict.Error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.groups = append(f.groups, g)
+	if len(f.groupErrs) > 0 {
+		err := f.groupErrs[0]
+		f.groupErrs = f.groupErrs[1:]
+		if err != nil {
+			return nil, err
+		}
+	}
+	var results []batching.Result
+	for range g.Count {
+		f.handles++
+		h := fmt.Sprintf("%s-%d", service, f.handles)
+		f.held[h] = true
+		results = append(results, batching.Result{Handle: h, Target: service, DataCentre: "d"})
+	}
+	return results, nil
+}
+
+func (f *fakePorts) Release(_ string, results []batching.Result) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, r := range results {
+		if !f.held[r.Handle] {
+			panic("released twice: " + r.Handle)
+		}
+		delete(f.held, r.Handle)
+	}
+}
+
+func (f *fakePorts) Plan(_ context.Context, _ string, stages []relay.PlannedStage) []time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.planned += len(stages)
+	backlogs := make([]time.Duration, len(stages))
+	for i := range backlogs {
+		backlogs[i] = f.backlog
+	}
+	return backlogs
+}
+
+func (f *fakePorts) Cancel(_ string, stages []relay.PlannedStage) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.planned -= len(stages)
+}
+
+// Place fails, so that the node chooses by itself.
+func (f *fakePorts) Place(context.Context, string, placement.Prompt) (relay.Placed, bool) {
+	return relay.Placed{}, false
+}
+
+func (f *fakePorts) Prefilled(string, string, bool) {}
+
+func (f *fakePorts) Decided(_ string, d relay.Decision) {
+	if ended, ok := d.(relay.TargetEnded); ok {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.ends = append(f.ends, ended)
+	}
+}
+
+func (f *fakePorts) Ended(o *relay.Outcome) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.outcome = o
+}
+
+// fakeClient is a fake client that records the response.
+type fakeClient struct {
+	begun  bool
+	status int
+	body   strings.Builder
+}
+
+func (c *fakeClient) Begin(r *relay.Reply, _ int) error {
+	if c.begun {
+		panic("begun twice")
+	}
+	c.begun, c.status = true, r.Status
+	return nil
+}
+
+func (c *fakeClient) Write(p []byte) error {
+	c.body.Write(p)
+	return nil
+}
+
+// setup returns a server for one route, whose stages have links of unknown bandwidth.
+func setup(r *catalog.Route, engine bool) (*fakePorts, *relay.Server) {
+	return setupWithBandwidth(r, engine, 0)
+}
+
+// setupWithBandwidth returns a server for one route, whose stages' results are fetched at
+// the given bandwidth.
+func setupWithBandwidth(r *catalog.Route, engine bool, bytesPerSecond float64) (*fakePorts, *relay.Server) {
+	return setupWithView(r, engine, bytesPerSecond, keepView)
+}
+
+// Blocked, Take, HeldBack and PauseLeft let all targets get all requests, except for the
+// targets in heldBack.
+func (f *fakePorts) Blocked(*directory.Directory) []string  { return nil }
+func (f *fakePorts) Take(directory.Life) bool               { return true }
+func (f *fakePorts) HeldBack(target directory.Life) bool    { return f.heldBack[target.ID] }
+func (f *fakePorts) PauseLeft(directory.Life) time.Duration { return 0 }
+
+// keepView returns the view unchanged.
+func keepView(v *view.View) *view.View { return v }
+
+// setupWithView returns a server for one route, with a view that change modifies.
+func setupWithView(r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View) (*fakePorts, *relay.Server) {
+	return setupServer(r, engine, bytesPerSecond, change, newKeeper())
+}
+
+// setupServer returns a server for one route, with a modified view and the given
+// quarantine.
+func setupServer(
+	r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View, q relay.Quarantine,
+) (*fakePorts, *relay.Server) {
+	f := &fakePorts{held: map[string]bool{}, body: "whole"}
+	if r.Kind == catalog.Stream {
+		f.body = events(1, 9)
+	}
+	r.Host, r.Prefix, r.Split = "h", "/", []catalog.Share{{Service: "s", Weight: 1}}
+	r.Timeout, r.Objective, r.PauseLimit = 10*time.Second, 2*time.Second, 400*time.Millisecond
+	services := []*catalog.Service{{Name: "s", WarmUp: catalog.WarmUp{Time: 3 * time.Second, PerSecond: 10}}}
+	if engine {
+		services[0].Engine = true
+	}
+	for _, name := range []string{"one", "two", "three"} {
+		services = append(services, &catalog.Service{Name: name, Batch: &catalog.Batch{MaxItems: 4, CallLatency: 240 * time.Millisecond, PerItem: 20 * time.Millisecond, LinkBytesPerSecond: bytesPerSecond}})
+	}
+	c, err := catalog.New(1, []*catalog.Route{r}, services, nil, catalog.Limits{})
+	if err != nil {
+		panic(err)
+	}
+	var targets []directory.Target
+	for i := range 4 {
+		targets = append(targets, directory.Target{ID: fmt.Sprintf("t%d", i), Service: "s", DataCentre: "d", Slots: 4})
+	}
+	v := change(&view.View{Revision: 1, Catalog: c, Directory: directory.New(targets...)})
+	return f, relay.New(relay.Config{
+		DataCentre: "d", View: func() *view.View { return v }, Upstream: f, Batcher: f, Placer: f, Observer: f, Now: time.Now,
+		RetryPolicy: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, Members: func() int { return 1 },
+		WarmUp: warmup.Margin{Overshoot: 1.5, Tolerance: 5}, SendsToCold: func(string) bool { return true },
+		Quarantine: q, Gate: f,
+	})
+}
+
+func request(items ...int) *relay.Request {
+	return &relay.Request{ID: "id", Host: "h", Path: "/x", Arrived: time.Now(), Timeout: 10 * time.Second, Items: items, Source: "k"}
+}
+
+func lostConnection() fakeReply {
+	return fakeReply{err: verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")}
+}
+
+func refusedCall() fakeReply {
+	return fakeReply{err: verdict.New(verdict.NotRun, verdict.ReasonRefused, "full")}
+}
+
+func events(from, to int) string {
+	var b strings.Builder
+	for i := from; i <= to; i++ {
+		fmt.Fprintf(&b, "id: %d\ndata: x\n\n", i)
+	}
+	return b.String()
+}
--- a/internal/gateway/relay/resolve.go
+++ b/internal/gateway/relay/resolve.go
@@ -9,42 +9,42 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// resolved is a request with the part of the configuration that governs it. It
+// resolvedRequest is a request with the part of the configuration that applies to it. It
 // does not change once the request is admitted.
-type resolved struct {
+type resolvedRequest struct {
 	req     *Request
 	route   *catalog.Route
 	service *catalog.Service
-	// org is the holder of the caller's key; the zero value for none.
+	// org is the holder of the client's API key; the zero value for none.
 	org catalog.Organisation
-	// digest is what the request asks for.
+	// digest identifies the work that the request asks for.
 	digest quarantine.Digest
-	// trial says that the request is held and may be sent once.
+	// trial is true if the request is quarantined and may be sent once.
 	trial bool
 	// stages has one entry for each stage of the route.
 	stages rules.Stages
 	times  rules.Times
 }
 
-// resolve finds the route, the organisation and the service of a request, and
-// notes them in the outcome as far as it comes.
-func (s *Server) resolve(req *Request, outcome *Outcome) (*resolved, *verdict.Error) {
+// resolve finds the route, the organisation and the service of a request, and records in
+// the outcome those that it found.
+func (s *Server) resolve(req *Request, outcome *Outcome) (*resolvedRequest, *verdict.Error) {
 	v := s.cfg.View()
 	c := v.Catalog
 	if c == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "no configuration is known yet").
-			WithRetryAfter(unreadyRetryAfter(req.Timeout))
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "no configuration is available yet").
+			WithRetryAfter(notReadyRetryAfter(req.Timeout))
 	}
 	outcome.Version, outcome.Revision = c.Version, int64(v.Revision)
-	r := &resolved{req: req, route: c.Route(req.Host, req.Path)}
+	r := &resolvedRequest{req: req, route: c.Route(req.Host, req.Path)}
 	outcome.Route = r.route
 	if r.route == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotFound, "no route leads there")
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotFound, "no route matches the request")
 	}
 	if !r.route.Public && c.NeedsKeys() {
 		org := c.Organisation(req.Key)
 		if org == nil {
-			return nil, verdict.New(verdict.NotRun, verdict.ReasonUnauthorised, "the key is not known")
+			return nil, verdict.New(verdict.NotRun, verdict.ReasonUnauthorised, "the API key is unknown")
 		}
 		r.org = *org
 		outcome.Organisation = org.Name
@@ -56,14 +56,13 @@
 	r.stages = stagesOf(c, r.route, req.Items)
 	r.times = rules.NewTimes(rules.TimesInput{
 		Arrived: req.Arrived, ClientTimeout: req.Timeout, RouteTimeout: r.route.Timeout, Objective: r.route.Objective,
-		Prefill: s.prefills.time(r.service.Name, req.Tokens),
+		Prefill: s.prefills.firstEventTime(r.service.Name, req.Tokens),
 	})
 	return r, nil
 }
 
-// serviceOf returns the service that a request goes to; the route's split is
-// drawn by the request's identity, so that a retry by a client that keeps it goes
-// to the same one.
+// serviceOf returns the service that a request goes to. The route's traffic split is
+// keyed by the request ID, so that a retry with the same ID goes to the same service.
 func serviceOf(c *catalog.Catalog, route *catalog.Route, id string) *catalog.Service {
 	name := route.Service(xxhash.Sum64String(id))
 	if service := c.Service(name); service != nil {
@@ -89,13 +88,13 @@
 	return stages
 }
 
-// stageDigest is what one of the request's stages asks for.
-func (r *resolved) stageDigest(i int) quarantine.Digest {
+// stageDigest identifies the work of one of the request's stages.
+func (r *resolvedRequest) stageDigest(i int) quarantine.Digest {
 	return quarantine.StageDigestOf(r.org.Name, r.route.Stages[i].Service, i, r.req.Content)
 }
 
-// digests are what the request asks for: itself, and the items of its stages.
-func (r *resolved) digests() []quarantine.Digest {
+// digests returns the digests of the request itself and of the items of its stages.
+func (r *resolvedRequest) digests() []quarantine.Digest {
 	list := []quarantine.Digest{r.digest}
 	for i, stage := range r.stages {
 		for item := range stage.Items {
@@ -106,6 +105,6 @@
 }
 
 // priority returns the priority of the request's items and prompt at targets.
-func (r *resolved) priority() int {
+func (r *resolvedRequest) priority() int {
 	return rules.EnginePriority(r.org.Priority, r.route.Priority)
 }
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -7,40 +7,40 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// failed is a failure of a target's own that may be tried elsewhere.
-func failed() Answer {
-	return Answer{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
+// targetFailure returns a failure of a target that may be retried at another one.
+func targetFailure() Response {
+	return Response{Status: 503, Retryable: true, MaxAttempts: 2, Budget: 1, Left: 2 * time.Second, Objective: 2 * time.Second}
 }
 
-func shouldBecome(a Answer, want AnswerDecision) {
-	convey.So(AfterAnswer(a), convey.ShouldResemble, want)
+func shouldDecide(a Response, want ResponseDecision) {
+	convey.So(AfterResponse(a), convey.ShouldResemble, want)
 }
 
-func TestAfterAnswer(t *testing.T) {
-	convey.Convey("A target's own failure is tried at another target", t, func() {
-		shouldBecome(failed(), TryAnother{})
+func TestAfterResponse(t *testing.T) {
+	convey.Convey("A failure of the target itself is retried at another target", t, func() {
+		shouldDecide(targetFailure(), TryAnotherTarget{})
 	})
 	for _, c := range []struct {
 		what   string
-		change func(*Answer)
+		change func(*Response)
 	}{
-		{"a success, whatever its status", func(a *Answer) { a.Succeeded = true }},
-		{"a failure that another target would report as well", func(a *Answer) { a.Status = 404 }},
-		{"a failure of a request that must not run twice", func(a *Answer) { a.Retryable = false }},
-		{"a failure of the last attempt", func(a *Answer) { a.Sends = 1 }},
-		{"a failure while the retry budget is spent", func(a *Answer) { a.Budget = 0.9 }},
-		{"a failure when less than half of the objective is left", func(a *Answer) { a.Left = time.Second }},
+		{"a success, whatever its status", func(a *Response) { a.Succeeded = true }},
+		{"a failure that another target would report as well", func(a *Response) { a.Status = 404 }},
+		{"a failure of a request that must not run twice", func(a *Response) { a.Retryable = false }},
+		{"a failure of the last attempt", func(a *Response) { a.PossibleRuns = 1 }},
+		{"a failure while the retry budget is exhausted", func(a *Response) { a.Budget = 0.9 }},
+		{"a failure when less than half of the objective is left", func(a *Response) { a.Left = time.Second }},
 	} {
-		a := failed()
+		a := targetFailure()
 		c.change(&a)
-		convey.Convey("The caller gets "+c.what, t, func() { shouldBecome(a, PassOn{}) })
-		a.Begun = true
-		convey.Convey("A stream that has begun is broken off by "+c.what, t, func() { shouldBecome(a, BreakOff{}) })
+		convey.Convey("The client gets "+c.what, t, func() { shouldDecide(a, Forward{}) })
+		a.Started = true
+		convey.Convey("A stream that has started is aborted by "+c.what, t, func() { shouldDecide(a, AbortStream{}) })
 	}
 }
 
-func TestEventPassed(t *testing.T) {
-	convey.Convey("A continued stream leaves out what the caller has", t, func() {
+func TestEventForwarded(t *testing.T) {
+	convey.Convey("A resumed stream skips the events that the client already has", t, func() {
 		for _, c := range []struct {
 			id, last string
 			want     bool
@@ -53,7 +53,7 @@
 			{"", "3", false},
 			{"a", "b", false},
 		} {
-			convey.So(EventPassed(c.id, c.last), convey.ShouldEqual, c.want)
+			convey.So(EventForwarded(c.id, c.last), convey.ShouldEqual, c.want)
 		}
 	})
 }
--- a/internal/gateway/relay/rules/retryafter_test.go
+++ b/internal/gateway/relay/rules/retryafter_test.go
@@ -15,33 +15,34 @@
 		convey.So(latest, convey.ShouldBeLessThanOrEqualTo, most)
 	}
 	convey.Convey("A refused client should retry", t, func() {
-		convey.Convey("after three quarters to all of a share of its time", func() {
+		convey.Convey("after three quarters to all of a fraction of its time", func() {
 			between(10*time.Second, 2100*time.Millisecond, 2800*time.Millisecond)
 		})
 		convey.Convey("within the third of its time that clients wait", func() {
 			convey.So(RetryAfter(9*time.Second, 0.999999), convey.ShouldBeLessThan, 3*time.Second)
 		})
-		convey.Convey("after the upper bound at most", func() {
+		convey.Convey("no later than the upper bound", func() {
 			between(time.Minute, 3*time.Second, maxRetryAfter)
 		})
-		convey.Convey("after the lower bound when no time is left", func() {
+		convey.Convey("after the lower bound if no time is left", func() {
 			between(0, minRetryAfter, minRetryAfter)
 			between(-time.Second, minRetryAfter, minRetryAfter)
 		})
 	})
 }
 
-// TestPausesSpread holds that clients do not all come back when a pause ends.
-func TestPausesSpread(t *testing.T) {
-	convey.Convey("The last comes back a quarter of the pause later than the first", t, func() {
-		latest := AfterPauses(0, []time.Duration{4 * time.Second}, 0.999)
+// TestRetryAfterPausesJitter checks that clients that wait for the same pause do not
+// retry at the same moment.
+func TestRetryAfterPausesJitter(t *testing.T) {
+	convey.Convey("Retries are spread over a quarter of the pause", t, func() {
+		latest := RetryAfterPauses(0, []time.Duration{4 * time.Second}, 0.999)
 		convey.So(latest, convey.ShouldBeBetween, 4900*time.Millisecond, 5*time.Second)
 	})
 }
 
-func TestAfterPauses(t *testing.T) {
+func TestRetryAfterPauses(t *testing.T) {
 	const own, short, long = 2 * time.Second, time.Second, 5 * time.Second
-	convey.Convey("A client for whom no target was left should retry", t, func() {
+	convey.Convey("A client should retry after its own delay or the shortest pause, whichever is longer", t, func() {
 		for _, c := range []struct {
 			pauses []time.Duration
 			want   time.Duration
@@ -51,7 +52,7 @@
 			{[]time.Duration{short, long}, own},
 			{[]time.Duration{long, 2 * long}, long},
 		} {
-			convey.So(AfterPauses(own, c.pauses, 0), convey.ShouldEqual, c.want)
+			convey.So(RetryAfterPauses(own, c.pauses, 0), convey.ShouldEqual, c.want)
 		}
 	})
 }
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -12,25 +12,25 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// targets is what this node has measured of targets, safe for concurrent use.
-type targets struct {
+// targetStats holds this node's statistics of targets. It is safe for concurrent use.
+type targetStats struct {
 	now    func() time.Time
 	margin warmup.Margin
 
 	mu    sync.Mutex
 	table *placement.TargetTable
-	// limits bound what cold targets get, by service.
+	// limits are the request rate limits of cold targets, by service.
 	limits map[string]*warmup.Limits
-	// isolated are the targets that have a suspected request of this node.
+	// isolated are the targets that a suspected request of this node was sent to.
 	isolated map[string]bool
 }
 
-func newTargets(now func() time.Time, margin warmup.Margin) *targets {
-	return &targets{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
+func newTargetStats(now func() time.Time, margin warmup.Margin) *targetStats {
+	return &targetStats{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
 }
 
-// limitsOf returns the limits of a service; the caller holds the lock.
-func (t *targets) limitsOf(service *catalog.Service) *warmup.Limits {
+// limitsOf returns the limits of a service; the caller must hold the mutex.
+func (t *targetStats) limitsOf(service *catalog.Service) *warmup.Limits {
 	limits := t.limits[service.Name]
 	if limits == nil {
 		limits = warmup.New()
@@ -40,9 +40,9 @@
 	return limits
 }
 
-// choose chooses an engine by the shared parts of a prompt, or a target for a request
-// without one.
-func (t *targets) choose(service *catalog.Service, list []directory.Target, q placement.Query) (directory.Target, bool) {
+// choose chooses an engine by the shared parts of a prompt, or the least loaded target of
+// a plain service.
+func (t *targetStats) choose(service *catalog.Service, list []directory.Target, q placement.Query) (directory.Target, bool) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,23 +53,23 @@
 	return t.table.LeastLoaded(now, list, q)
 }
 
-// ejected returns the identities of the targets that are not used for now.
-func (t *targets) ejected(now time.Time, d *directory.Directory) []string {
+// ejected returns the IDs of the targets that are temporarily not used.
+func (t *targetStats) ejected(now time.Time, d *directory.Directory) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Ejected(now, d)
 }
 
-// withSuspects returns the targets that have a suspected request of this node.
-func (t *targets) withSuspects() []string {
+// isolatedTargets returns the targets that a suspected request of this node was sent to.
+func (t *targetStats) isolatedTargets() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Collect(maps.Keys(t.isolated))
 }
 
-// isolate keeps other suspected requests of this node away from a target; false when
-// there is one already.
-func (t *targets) isolate(id string) bool {
+// isolate keeps other suspected requests of this node away from a target. It returns false
+// if the target already has one.
+func (t *targetStats) isolate(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.isolated[id] {
@@ -79,31 +79,31 @@
 	return true
 }
 
-func (t *targets) endIsolation(id string) {
+func (t *targetStats) endIsolation(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.isolated, id)
 }
 
-func (t *targets) sent(l directory.Life) {
+func (t *targetStats) sent(l directory.Life) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.Sent(l)
 }
 
-// attemptEnd is how an attempt at a target ended.
-type attemptEnd struct {
+// attemptResult is the result of an attempt at a target.
+type attemptResult struct {
 	target directory.Life
-	// load is what the target reported of itself; nil for nothing.
+	// load is the load that the target reported; nil for none.
 	load *placement.Load
-	// took is the time to the answer's head, or to the failure.
+	// took is the time to the response header or to the failure.
 	took time.Duration
-	// fault says that a failure counts against the target, unreachable that it took
-	// no connection.
+	// fault is true if a failure counts against the target, unreachable if the target did
+	// not accept a connection.
 	fault, unreachable bool
 }
 
-func (t *targets) ended(e attemptEnd) {
+func (t *targetStats) ended(e attemptResult) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-func (t *targets) prune(d *directory.Directory) {
+func (t *targetStats) prune(d *directory.Directory) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.Prune(d)
