--- a/internal/gateway/retrybudget/retrybudget.go
+++ b/internal/gateway/retrybudget/retrybudget.go
@@ -1,18 +1,17 @@
-// Package retrybudget bounds retries so that the bound holds when summed over all
-// nodes, without any node knowing what the others spend.
+// Package retrybudget limits retries of failed requests. The limit holds for the sum
+// over all nodes, although no node knows how many retries the others have spent.
 //
-// Every node may retry a ratio of the requests that it sent itself, plus its share of
-// a fixed extra. The share is the extra divided by the most nodes that may exist: a
-// fixed number, or more where more were ever known, so that a node which has lost
-// sight of others does not spend their shares. Without a budget each request that
-// meets a failing service would be sent several times, and a service that is
-// overloaded could not recover.
+// Each node may retry a fixed ratio of the requests that it sent itself, plus its share
+// of a cluster-wide extra allowance. The share is the extra allowance divided by the
+// largest number of nodes that may exist: a configured number, or more if more nodes
+// have been seen. A node that has lost contact with other nodes therefore does not
+// spend their shares. Without a budget, each request to a failing service would be sent
+// several times, and an overloaded service could not recover.
 //
-// The package owns the events of one service at one node, in memory; a node that
-// restarts begins with an empty window. It relies on the caller for the number of
-// nodes, does no input or output and reads no clock. The sum can exceed the bound
-// where many nodes start at once and never know of each other; see
-// docs/decisions/0011.
+// A Budget covers one service on one node and is kept in memory; a node that restarts
+// begins with an empty window. The caller supplies the number of nodes. The package
+// performs no I/O and does not read the clock. The sum can exceed the limit if many
+// nodes start at once and never learn of each other; see docs/decisions/0011.
 package retrybudget
 
 import (
@@ -20,28 +19,31 @@
 	"time"
 )
 
-// Policy is the bound that holds over all nodes in each window. Its figures are
-// settings of the deployment (gateway.retries).
+// Policy is the retry limit that holds for the sum over all nodes in each window. Its
+// values come from the gateway.retries settings.
 type Policy struct {
-	// Ratio is how many retries are allowed for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Extra is how many retries are allowed beyond the ratio, over all nodes.
+	// Extra is the number of retries allowed per window in addition to Ratio, summed
+	// over all nodes.
 	Extra float64
-	// MaxNodes is the least number of nodes that the extra is shared by.
+	// MaxNodes is the configured maximum number of nodes. Extra is divided by at least
+	// this many nodes, even if fewer are known.
 	MaxNodes int
-	// Nodes returns how many nodes may share the extra, where that may be more than
-	// MaxNodes; nil for never. It must not fall within a node's life, and returns
-	// UnknownNodes while there may be any number.
+	// Nodes returns the number of nodes that may share Extra, which takes effect if it
+	// exceeds MaxNodes. It is nil if that never happens. The number must not decrease
+	// while the process runs. Nodes returns UnknownNodes as long as there may be any
+	// number of nodes.
 	Nodes func() int
 }
 
-// UnknownNodes says that there may be any number of nodes, so that a node has no
-// share of the extra.
+// UnknownNodes is the node count that Policy.Nodes returns if there may be any number of
+// nodes. A node then has no share of Policy.Extra.
 const UnknownNodes = math.MaxInt
 
-// share is a node's share of the extra, in retries.
+// share returns the number of retries that one node may take from Extra.
 func (p Policy) share() float64 {
 	nodes := max(p.MaxNodes, 1)
 	if p.Nodes != nil {
@@ -50,29 +52,29 @@
 	return p.Extra / float64(nodes)
 }
 
-// Budget is what one node may spend for one service. It is not safe for concurrent
-// use.
+// Budget tracks the retries that one node may spend on one service. It is not safe for
+// concurrent use.
 type Budget struct {
 	policy  Policy
 	firsts  []time.Time
 	retries []time.Time
 }
 
-// New returns a budget of which nothing is spent.
+// New returns a budget with no retries spent.
 func New(p Policy) *Budget { return &Budget{policy: p} }
 
-// First counts a request that is sent for the first time.
+// First records the first attempt of a request.
 func (b *Budget) First(now time.Time) {
 	b.trim(now)
 	b.firsts = append(b.firsts, now)
 }
 
-// Spend asks for one retry, and counts it when it is allowed. Retries are whole: a
-// part of one that is left allows none.
+// Spend reports whether one retry is allowed, and records it if so. A fractional
+// remainder below 1 allows no retry.
 //
-// Inputs are the first sends and the retries of this node within the last window, and
-// the number of nodes when it is called. A wrong yes adds load to a service that
-// fails; a wrong no refuses a request that another target would have answered.
+// The decision depends on this node's first attempts and retries within the last window
+// and on the current number of nodes. Allowing too much adds load to a failing service;
+// allowing too little rejects requests that another target would have answered.
 func (b *Budget) Spend(now time.Time) bool {
 	if b.Left(now) < 1 {
 		return false
@@ -81,21 +83,21 @@
 	return true
 }
 
-// Left returns how many retries are allowed now, in parts; negative when the number
-// of nodes has risen since they were spent.
+// Left returns the number of retries that are currently allowed, which may be
+// fractional. It is negative if the number of nodes has grown since retries were spent.
 func (b *Budget) Left(now time.Time) float64 {
 	b.trim(now)
 	return b.policy.Ratio*float64(len(b.firsts)) + b.policy.share() - float64(len(b.retries))
 }
 
-// trim forgets what has left the window. Requests count for one window only, so that
-// no retry rests on requests that are outside of it.
+// trim drops events that are older than the window, so that retries are only allowed on
+// account of requests within the window.
 func (b *Budget) trim(now time.Time) {
 	b.firsts = since(b.firsts, now.Add(-b.policy.Window))
 	b.retries = since(b.retries, now.Add(-b.policy.Window))
 }
 
-// since returns the events from a time on; they are in order.
+// since returns the events at or after start. The events must be sorted by time.
 func since(events []time.Time, start time.Time) []time.Time {
 	n := 0
 	for n < len(events) && events[n].Before(start) {
--- a/internal/gateway/retrybudget/retrybudget_test.go
+++ b/internal/gateway/retrybudget/retrybudget_test.go
@@ -11,8 +11,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/retrybudget"
 )
 
-// TestSumOverNodes lets nodes that know nothing of each other send and retry at
-// will, come and go, and holds the sum against the bound in every window.
+// TestSumOverNodes verifies that the retries of all nodes together stay within the limit
+// in every window, while the nodes send and retry independently of each other.
 func TestSumOverNodes(t *testing.T) {
 	const window = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -36,7 +36,7 @@
 		for _, end := range retries {
 			spent, sent := count(retries, end, window), count(firsts, end, 2*window)
 			if allowed := policy.Ratio*float64(sent) + policy.Extra; float64(spent) > allowed {
-				t.Fatalf("%d retries in a window, %.1f are allowed", spent, allowed)
+				t.Fatalf("got %d retries in one window, want at most %.1f", spent, allowed)
 			}
 		}
 	})
@@ -52,22 +52,24 @@
 	return n
 }
 
+// TestUnknownNodes verifies that a node that does not know the number of nodes may only
+// retry a ratio of its own requests.
 func TestUnknownNodes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := retrybudget.New(retrybudget.Policy{
 		Ratio: 0.5, Window: time.Second, Extra: 1000, MaxNodes: 1, Nodes: func() int { return retrybudget.UnknownNodes },
 	})
 	if b.Spend(now) {
-		t.Error("a node that knows nobody has a share of the extra")
+		t.Error("node with an unknown number of peers has a share of the extra retries")
 	}
 	b.First(now)
 	b.First(now)
 	if !b.Spend(now) {
-		t.Error("the ratio of its own requests is refused")
+		t.Error("retry within the ratio of the node's own requests was rejected")
 	}
 }
 
-// TestSpendTable counts the retries that a node may spend at once.
+// TestSpendTable verifies how many retries a node may spend at once.
 func TestSpendTable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	policy := retrybudget.Policy{Ratio: 0.1, Window: 10 * time.Second, Extra: 32, MaxNodes: 16}
@@ -83,16 +85,16 @@
 		after  time.Duration
 		want   int
 	}{
-		{"its share of the extra without any request", policy, 0, 0, 2},
-		{"one more for ten requests", policy, 10, 0, 3},
-		{"none more for nine", policy, 9, 0, 2},
-		{"the same at the end of the window", policy, 10, 10 * time.Second, 3},
-		{"none more for requests before the window", policy, 10, 10*time.Second + 1, 2},
-		{"no more where fewer nodes are known than the least", known(4), 0, 0, 2},
-		{"less where more are known", known(32), 0, 0, 1},
-		{"only the ratio where any number may be", known(retrybudget.UnknownNodes), 20, 0, 2},
-		{"no part of one", known(64), 5, 0, 1},
-		{"nothing where neither is enough", known(64), 0, 0, 0},
+		{"its share of the extra retries if it sent no requests", policy, 0, 0, 2},
+		{"one more after ten requests", policy, 10, 0, 3},
+		{"no more after nine requests", policy, 9, 0, 2},
+		{"one more until the requests leave the window", policy, 10, 10 * time.Second, 3},
+		{"no more once the requests have left the window", policy, 10, 10*time.Second + 1, 2},
+		{"no more if fewer nodes than MaxNodes are known", known(4), 0, 0, 2},
+		{"fewer if more nodes than MaxNodes are known", known(32), 0, 0, 1},
+		{"only the ratio if the number of nodes is unknown", known(retrybudget.UnknownNodes), 20, 0, 2},
+		{"no fraction of a retry", known(64), 5, 0, 1},
+		{"nothing if neither ratio nor share amounts to a retry", known(64), 0, 0, 0},
 	}
 	convey.Convey("A node may retry", t, func() {
 		for _, c := range cases {
@@ -109,13 +111,13 @@
 			})
 		}
 	})
-	convey.Convey("A retry may be spent again when it has left the window", t, func() {
+	convey.Convey("A retry may be spent again after the previous one has left the window", t, func() {
 		b := retrybudget.New(known(32))
 		convey.So(b.Spend(now), convey.ShouldBeTrue)
 		convey.So(b.Spend(now.Add(10*time.Second)), convey.ShouldBeFalse)
 		convey.So(b.Spend(now.Add(10*time.Second+1)), convey.ShouldBeTrue)
 	})
-	convey.Convey("More nodes than before leave less, down to a debt", t, func() {
+	convey.Convey("The remaining budget becomes negative if the number of nodes grows", t, func() {
 		nodes := 16
 		p := policy
 		p.Nodes = func() int { return nodes }
