--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -17,39 +17,40 @@
 )
 
 const (
-	// modelRound and modelPartners are the gateway's interval of gossip and its partners in
-	// a round; modelTimeout is how long it waits for the member that places prompts.
+	// modelRound and modelPartners are the interval between gossip rounds and the number of
+	// partners in a round, as in the gateway. modelTimeout is how long a node waits for the
+	// member that places prompts.
 	modelRound    = 500 * time.Millisecond
 	modelPartners = 2
 	modelTimeout  = 60 * time.Millisecond
-	// modelStep is the resolution of the simulated time.
+	// modelStep is the resolution of the simulated clock.
 	modelStep = 20 * time.Millisecond
-	// modelRequests is how many requests come in a step: 200 a second, all of which would go
-	// to the cold target.
+	// modelRequests is the number of requests that arrive in a step, which makes 200 a
+	// second. Without the limit all of them would go to the cold target.
 	modelRequests = 4
-	// modelBound is the most that may arrive in a second.
+	// modelBound is the maximum number of requests that may reach the target in a second.
 	modelBound = 20
-	// maxDelay bounds the way from a node to the target, dialling included.
+	// maxDelay is the maximum delay from a node to the target, including the dial.
 	maxDelay = 300 * time.Millisecond
 )
 
-// modelNode is a node of the model.
+// modelNode is a simulated node.
 type modelNode struct {
 	*membership.Roster
 	address string
 	limits  *warmup.Limits
 	next    time.Time
 	down    bool
-	// frozen nodes neither act nor answer; side is the part of a cut fleet that the node
-	// reaches.
+	// frozen nodes neither act nor respond. side is the partition that the node is in; it
+	// only reaches nodes in the same partition.
 	frozen bool
 	side   int
 }
 
-// arrival is a request at the cold target.
+// arrival is a request that reached the cold target.
 type arrival struct{ sent, at time.Time }
 
-// model is a fleet whose nodes would all like to send to one target that is cold.
+// model simulates a cluster whose nodes all prefer the same cold target.
 type model struct {
 	rnd      *rand.Rand
 	now      time.Time
@@ -57,9 +58,11 @@
 	at       map[string]*modelNode
 	target   directory.Target
 	arrivals []arrival
-	// givers are the members that gave the target a request, with the time of the last.
+	// givers maps each member that assigned a request to the target to the time of its last
+	// assignment.
 	givers map[string]time.Time
-	// mostGivers is the most members that gave it requests within a second.
+	// mostGivers is the maximum number of members that assigned requests to the target
+	// within a second.
 	mostGivers int
 }
 
@@ -79,7 +82,8 @@
 	return m
 }
 
-// start gives a node an empty roster and full buckets, as a process has after its start.
+// start resets a node to the state of a process that has just started, with an empty roster
+// and full buckets.
 func (m *model) start(n *modelNode) {
 	last := len(m.nodes) - 1
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
@@ -90,12 +94,12 @@
 	n.down = false
 }
 
-// reaches says whether one node gets an answer of another.
+// reaches reports whether a node gets responses from another node.
 func (n *modelNode) reaches(other *modelNode) bool {
 	return !other.down && !other.frozen && n.side == other.side
 }
 
-// run lets time pass, with requests at all nodes.
+// run advances the simulated clock by d, with gossip and requests at all nodes.
 func (m *model) run(d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); {
 		m.now = m.now.Add(modelStep)
@@ -125,9 +129,9 @@
 	}
 }
 
-// request is a prompt that comes to a node: it asks the member that places prompts, by
-// its own roster, and sends the prompt where that says. Without an answer in time the node
-// chooses alone, and then never a cold target.
+// request simulates a prompt that arrives at a node. The node asks the member that places
+// prompts according to its own roster, and sends the prompt to the engine it is assigned.
+// Without a response in time the node chooses an engine on its own, but never a cold one.
 func (m *model) request(n *modelNode) {
 	if n.down || n.frozen {
 		return
@@ -160,7 +164,8 @@
 	m.mostGivers = max(m.mostGivers, lately)
 }
 
-// mostInASecond returns the most requests that were sent and arrived within one second.
+// mostInASecond returns the maximum number of requests that were sent and arrived within the
+// same second.
 func (m *model) mostInASecond() int {
 	slices.SortFunc(m.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
 	most := 0
@@ -176,7 +181,7 @@
 	return most
 }
 
-// fault changes the fleet.
+// fault applies a random fault, or ends earlier ones.
 func (m *model) fault(t *rapid.T) {
 	some := func(label string, most int) []*modelNode {
 		share := rapid.IntRange(1, most).Draw(t, label)
@@ -220,9 +225,9 @@
 	}
 }
 
-// TestBoundHolds holds that a target which is cold for a long time gets no more from all
-// nodes in any second than it bears, while nodes start, end, freeze and are cut off from
-// each other in series, and that it gets its share again once they are calm.
+// TestBoundHolds verifies that a cold target never gets more requests in a second than the
+// limit allows, summed over all nodes, while nodes repeatedly start, stop, freeze and are
+// partitioned, and in the time after the last fault.
 func TestBoundHolds(t *testing.T) {
 	mostGivers := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -233,14 +238,15 @@
 		}
 		m.run(4 * time.Second)
 		if most := m.mostInASecond(); most > modelBound {
-			t.Fatalf("%d requests arrived in a second, given out by %d members, where %d may", most, m.mostGivers, modelBound)
+			t.Fatalf("%d requests assigned by up to %d members arrived in one second, want at most %d", most, m.mostGivers, modelBound)
 		}
 		mostGivers = max(mostGivers, m.mostGivers)
 	})
-	t.Logf("at most %d members gave out requests within a second", mostGivers)
+	t.Logf("at most %d members assigned requests within a second", mostGivers)
 }
 
-// TestColdTargetIsUsed holds that a cold target gets requests while nothing happens.
+// TestColdTargetIsUsed verifies that a cold target gets requests as long as there are no
+// faults.
 func TestColdTargetIsUsed(t *testing.T) {
 	for _, size := range []int{1, 2, 7, 60} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
@@ -248,10 +254,10 @@
 			m.run(5 * time.Second)
 			m.arrivals = nil
 			m.run(10 * time.Second)
-			// One member gives out 2.3 a second, half of which the model loses for an answer
-			// after modelTimeout.
+			// One member assigns 2.3 requests a second. The model drops half of them because
+			// the response takes longer than modelTimeout.
 			if n := len(m.arrivals); n < 5 {
-				t.Fatalf("%d requests in 10 s", n)
+				t.Fatalf("got %d requests in 10 s, want at least 5", n)
 			}
 		})
 	}
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -1,31 +1,34 @@
-// Package warmup decides whether a target that is cold may get one more request. A cold
-// target bears a few requests a second, as the catalog says, and falls over at well above
-// that; it turns cold when it starts, and whole data centres do when they are taken back.
+// Package warmup limits the request rate of cold targets. A cold target sustains only a few
+// requests a second, as configured in the catalog, and fails well above that rate. A target
+// is cold after it starts; all targets of a data centre are cold when an evacuation of the
+// data centre is undone.
 //
-// The load that it answers: one prompt part that a third of a route's requests share, 30
-// requests a second at one engine, when that engine turns cold in a burst; and 22 engines
-// that return empty, at which no prompt waits, so that each rule of placement finds them
-// the best.
+// The limit protects against two kinds of load. First, a prompt prefix shared by a third of
+// a route's requests sends 30 requests a second to one engine, which may turn cold during
+// a burst. Second, engines that return with empty caches, such as 22 at once, have no queued
+// prompts, so that every placement rule prefers them.
 //
-// The bound is on what all nodes send together, and no state is shared. It holds by three
-// rules that each node applies alone:
+// The limit applies to the sum of the requests that all nodes send, without shared state.
+// It holds because each node applies three rules on its own:
 //
-//   - Only one member gives out a cold target's requests: the one that places a service's
-//     prompts, and for a plain service the one that hashing assigns the target to.
-//   - That member keeps a token bucket for each cold target and may use the sharers-th
-//     part of the bound (Bound.Share), so that up to sharers members which take themselves
-//     for it stay within the bound together.
-//   - A member that has just started, or has lost sight of most others, gives out none
-//     (membership.Roster.Settled): members in such a state are the ones that disagree.
+//   - Only one member assigns requests to a cold target: the member that places the prompts
+//     of the service, or for a plain service the member that rendezvous hashing selects for
+//     the target.
+//   - That member keeps a token bucket for each cold target, which is filled at a fraction
+//     1/sharers of the limit (Bound.Share). Up to sharers members that each consider
+//     themselves responsible stay within the limit together.
+//   - A member that has just started, or has lost contact with most other members, assigns
+//     no requests (membership.Roster.Settled), because members in this state are the ones
+//     that disagree about who is responsible.
 //
-// A stage's target runs one call at a time, whose sender is its coordinator; there the
-// buckets bound the calls.
+// A target of a batching service runs one call at a time, sent by the coordinator of the
+// service. Its bucket limits calls instead of requests.
 //
-// A target whose allowance is used is passed over; the request goes to a warm one. When
-// there is none, it is refused as not run with a time to retry after.
+// If the bucket of a target is empty, the request goes to a warm target. If there is none,
+// the request is refused as not run, with a time after which to retry.
 //
-// The package owns the buckets of one member. It relies on the directory for which targets
-// are cold and until when. It does no input or output and reads no clock.
+// The package keeps the buckets of one member. The directory determines which targets are
+// cold and until when. The package performs no I/O and does not read the clock.
 package warmup
 
 import (
@@ -39,39 +42,40 @@
 )
 
 const (
-	// sharers is how many members may give out a cold target's requests within one second
-	// without the bound being exceeded: in 4,500 cases of the model check, in which members
-	// start, end, freeze and are cut off from each other in series, there were six at most
-	// (TestBoundHolds). A target that bears 10 requests a second, and 20 at most, gets 3.3
-	// from one member; more would let disagreeing members exceed the bound.
+	// sharers is the number of members that may assign requests to a cold target within one
+	// second without exceeding the limit. At most 6 members do so at once in 4,500 cases of
+	// TestBoundHolds, in which members start, stop, freeze and are partitioned repeatedly.
+	// A target limited to 20 requests a second gets 3.3 a second from one member.
 	sharers = 6
-	// burstShare is the part of a member's allowance that may be used at once; the rest
-	// comes evenly over the second, so that no second has more than the allowance.
+	// burstShare is the fraction of a member's share that may be used at once. The bucket
+	// refills at the rate of the rest, so that no second exceeds the share.
 	burstShare = 0.25
 )
 
-// Bound is how many requests a second a cold target gets from all nodes together.
+// Bound is the maximum request rate of a cold target, summed over all nodes.
 type Bound struct {
-	// PerSecond is what the target bears, by the catalog; 0 for no bound.
+	// PerSecond is the rate that the target sustains according to the catalog, in requests
+	// a second. 0 means no limit.
 	PerSecond float64
 	Margin
 }
 
-// Margin widens the bounds of all services, by an operator's settings.
+// Margin widens the limits of all services. It comes from the operator's settings.
 type Margin struct {
-	// Overshoot is what PerSecond is multiplied by, and Tolerance what is added to it, in
+	// Overshoot is a factor applied to PerSecond. Tolerance is added to the product, in
 	// requests a second.
 	Overshoot, Tolerance float64
 }
 
-// Bound returns the bound of a service's cold targets.
+// Bound returns the limit for cold targets of a service with the given warm-up settings.
 func (m Margin) Bound(w catalog.WarmUp) Bound { return Bound{PerSecond: w.PerSecond, Margin: m} }
 
-// Share is the most requests that one member may give out for a target in a second.
+// Share returns the maximum number of requests a second that one member may assign to a
+// target.
 func (b Bound) Share() float64 { return (b.PerSecond*b.Overshoot + b.Tolerance) / sharers }
 
-// limiter returns a bucket that gives out no more than Share in any second; nil when that
-// is less than one.
+// limiter returns a token bucket that allows at most Share requests in any second, or nil
+// if Share is less than one.
 func (b Bound) limiter() *rate.Limiter {
 	share := b.Share()
 	if share < 1 {
@@ -81,17 +85,18 @@
 	return rate.NewLimiter(rate.Limit(share-burst), int(burst))
 }
 
-// Limits are the buckets of the cold targets of one service at one member. Create it
-// with New; a nil one bounds nothing. It is not safe for concurrent use.
+// Limits holds the token buckets of one member for the cold targets of one service. Create
+// it with New. A nil *Limits imposes no limit. It is not safe for concurrent use.
 type Limits struct {
 	bound   Bound
 	buckets map[directory.Life]*rate.Limiter
 }
 
-// New returns limits without a bound.
+// New returns Limits that impose no limit until SetBound is called.
 func New() *Limits { return &Limits{buckets: make(map[directory.Life]*rate.Limiter)} }
 
-// SetBound sets the bound; another one than before begins with full buckets.
+// SetBound sets the limit. If it differs from the previous one, all buckets are replaced by
+// full ones.
 func (l *Limits) SetBound(b Bound) {
 	if b == l.bound {
 		return
@@ -100,9 +105,9 @@
 	clear(l.buckets)
 }
 
-// Allows says whether a target may get a request now: when it is warm, its service has no
-// bound, or its bucket has a token and this member gives out its tokens. The latter is
-// asked for cold targets alone.
+// Allows reports whether a target may get a request now. It may if it is warm, if its
+// service has no limit, or if its bucket has a token and this member assigns the requests of
+// the target. givesOut reports the latter and is only called for cold targets.
 func (l *Limits) Allows(now time.Time, t directory.Target, givesOut func() bool) bool {
 	if !l.bounds(now, t) {
 		return true
@@ -111,7 +116,7 @@
 	return bucket != nil && bucket.TokensAt(now) >= 1 && givesOut()
 }
 
-// Sent takes a token for a request that a target gets now.
+// Sent takes a token for a request that is sent to a target.
 func (l *Limits) Sent(now time.Time, t directory.Target) {
 	if !l.bounds(now, t) {
 		return
@@ -121,7 +126,7 @@
 	}
 }
 
-// Prune forgets the buckets of targets that are not listed or warm.
+// Prune removes the buckets of targets that are warm or no longer listed.
 func (l *Limits) Prune(now time.Time, d *directory.Directory) {
 	for life := range l.buckets {
 		if t, known := d.Target(life.ID); !known || t.Life() != life || !t.Cold(now) {
@@ -130,12 +135,13 @@
 	}
 }
 
-// bounds says whether the target is cold and has a bound.
+// bounds reports whether the target is cold and has a limit.
 func (l *Limits) bounds(now time.Time, t directory.Target) bool {
 	return l != nil && l.bound.PerSecond > 0 && t.Cold(now)
 }
 
-// bucket returns the bucket of a target; nil when no member may send it any request.
+// bucket returns the bucket of a target, or nil if the share of a member is too small to
+// assign any request.
 func (l *Limits) bucket(life directory.Life) *rate.Limiter {
 	bucket, known := l.buckets[life]
 	if !known {
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -13,8 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-// margin and service are of a deployment whose cold targets bear 10 requests a second,
-// and 20 at most.
+// margin and service limit cold targets that sustain 10 requests a second to 20 a second.
 var (
 	margin  = warmup.Margin{Overshoot: 1.5, Tolerance: 5}
 	service = catalog.WarmUp{Time: 3 * time.Second, PerSecond: 10}
@@ -34,7 +33,8 @@
 
 func never() bool { return false }
 
-// sentWithin gives a target as many requests as it may get in a time and counts them.
+// sentWithin sends a target as many requests as are allowed within d and returns their
+// number.
 func sentWithin(l *warmup.Limits, t directory.Target, d time.Duration) int {
 	n := 0
 	for at := start; at.Before(start.Add(d)); at = at.Add(time.Millisecond) {
@@ -48,29 +48,29 @@
 
 func TestLimits(t *testing.T) {
 	bound := margin.Bound(service)
-	convey.Convey("Six members together give out no more than the bound in a second", t, func() {
+	convey.Convey("Six members together stay within the limit in a second", t, func() {
 		convey.So(6*sentWithin(limitsOf(bound), cold("a"), time.Second), convey.ShouldBeBetweenOrEqual, 12, 20)
 		convey.So(sentWithin(limitsOf(bound), cold("a"), 10*time.Second), convey.ShouldBeBetween, 20, 30)
 	})
-	convey.Convey("Each target has a bucket of its own", t, func() {
+	convey.Convey("Each target has its own bucket", t, func() {
 		l := limitsOf(bound)
 		sentWithin(l, cold("a"), time.Second)
 		convey.So(l.Allows(start, cold("b"), always), convey.ShouldBeTrue)
 	})
-	convey.Convey("A warm target, and one of a service without a bound, get everything", t, func() {
+	convey.Convey("Warm targets and targets of a service without a limit are not limited", t, func() {
 		convey.So(sentWithin(limitsOf(bound), directory.Target{ID: "a"}, time.Second), convey.ShouldEqual, 1000)
 		convey.So(sentWithin(limitsOf(margin.Bound(catalog.WarmUp{Time: time.Second})), cold("a"), time.Second), convey.ShouldEqual, 1000)
 		convey.So((*warmup.Limits)(nil).Allows(start, cold("a"), never), convey.ShouldBeTrue)
 	})
-	convey.Convey("A member that does not give out a cold target's requests sends it none", t, func() {
+	convey.Convey("A member that does not assign the requests of a cold target sends it none", t, func() {
 		convey.So(limitsOf(bound).Allows(start, cold("a"), never), convey.ShouldBeFalse)
 		convey.So(limitsOf(bound).Allows(start, directory.Target{ID: "a"}, never), convey.ShouldBeTrue)
 	})
-	convey.Convey("Where six members cannot share the bound, nobody sends anything until the target is warm", t, func() {
+	convey.Convey("A cold target gets no requests if the limit is too small for six members", t, func() {
 		l := limitsOf(warmup.Margin{Overshoot: 1}.Bound(catalog.WarmUp{PerSecond: 3}))
 		convey.So(sentWithin(l, cold("a"), time.Second), convey.ShouldEqual, 0)
 	})
-	convey.Convey("Buckets of targets that are gone or warm are forgotten, others kept", t, func() {
+	convey.Convey("Prune removes the buckets of targets that are no longer listed and keeps the others", t, func() {
 		l := limitsOf(bound)
 		sentWithin(l, cold("a"), time.Second)
 		l.Prune(start, directory.New(cold("a")))
