--- a/internal/gateway/backpressure/doc.go
+++ b/internal/gateway/backpressure/doc.go
@@ -1,33 +1,36 @@
-// Package backpressure keeps targets from getting more than they ask for in their answers.
+// Package backpressure enforces the limits that targets announce in their response headers.
 //
-// A target that says that it leaves gets nothing more from the node that it told: it ends
-// soon, and the source may say so later, or not at all while it is away. A target that
-// refuses a request and wants a pause gets nothing from that node for so long.
+// A target that announces that it is leaving gets no more requests from the node that it
+// told. It will stop soon, and the source may report that later, or not at all while the
+// source is unavailable. A target that refuses a request and asks for a pause gets no
+// requests from that node for that time.
 //
-// A target in need names a limit: the requests a second that it takes from all nodes
-// together, for as long as it says so. The limit holds without shared state by three rules
-// that each node applies alone:
+// An overloaded target announces a limit: the number of requests a second that it accepts
+// from all nodes together, for as long as it repeats the announcement. The limit holds
+// without shared state because each node applies three rules on its own:
 //
-//   - Few nodes give out a limited target's requests: for stages the coordinator of the
-//     service, else the members that hashing puts first for the target, one for each
-//     perGiver of the limit.
-//   - Each keeps a token bucket with its part of givenShare of the limit, so that nodes which
-//     disagree about who gives out, as while a member comes or goes, exceed it little.
-//   - A node that has just started, or has lost sight of most others, gives out none
-//     (membership.Roster.Settled).
+//   - Only a few nodes send to a limited target: for batching services the coordinator of
+//     the service, otherwise the members that rendezvous hashing ranks first for the target,
+//     one for each perGiver of the limit.
+//   - Each sender has a token bucket that is filled at its part of givenShare of the limit,
+//     so that nodes that disagree about who may send, for example while a member joins or
+//     leaves, exceed the limit only slightly.
+//   - A node that has just started, or has lost contact with most other members, does not
+//     send (membership.Roster.Settled).
 //
-// What a target says is passed on by gossip, so that nodes which do not send to it know of
-// its limit, and of its end. While nobody confirms a limit, the members after the first
-// substitute for them, one at a time, confirmFor each: the first may have no use for the
-// target, or be of a version that knows no limits. All at once would be a burst after a
-// pause of the load.
+// Members pass on limits by gossip, so that nodes that do not send to a target learn of its
+// limit and of the end of the limit. If no member reports a confirmation of the limit, the
+// members ranked after the senders substitute for them, one at a time, for confirmFor each.
+// The senders may have no requests for the target, or run a version that does not support
+// limits. If all members substituted at once, they would send a burst after a period without
+// load.
 //
-// A target whose allowance is used is passed over. When there is no other, the request is
-// refused as not run with a time to retry after.
+// If the bucket of a target is empty, the request goes to another target. If there is none,
+// the request is refused as not run, with a time after which to retry.
 //
-// The package owns, for each life of a target, the newest of what that said, and the buckets
-// of this node. It relies on its shell to report the head of every answer, be it a success,
-// a failure or a refusal, to pass reports between members, and to rank the members. It does
-// no input or output and reads its clock from its Config. A node that starts knows nothing
-// and learns it from the first member that it hears.
+// The package keeps the newest report for each target incarnation (directory.Life), and the
+// token buckets of this node. The caller reports the headers of every response, whether it
+// is a success, a failure or a refusal, exchanges reports with other members, and ranks the
+// members. The package performs no I/O and reads the clock through Config. A node that
+// starts has no reports and gets them from the first member that it exchanges with.
 package backpressure
--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -6,19 +6,21 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// giver says how many requests a second this node gives out of a target's limit, and
-// whether it does now. silent is how long ago the target last confirmed the limit.
+// giver returns the part of a target's limit that a sender may use, in requests a second,
+// and reports whether this node is currently a sender. silent is the time since the target
+// last confirmed the limit.
 type giver func(target directory.Life, l Limit, silent time.Duration) (perSecond float64, gives bool)
 
-// Gate says which targets one part of a node may send to. It is safe for concurrent use.
+// Gate determines which targets a component of a node may send to. It is safe for concurrent
+// use.
 type Gate struct {
 	keeper *Keeper
 	giver  giver
 }
 
-// Requests returns the gate of the requests that this node relays. Those of a limited
-// target are given out by the first of the members ranked for it. While nobody confirms the
-// limit, one more member substitutes for them, another with each confirmFor.
+// Requests returns the gate for requests that this node relays. Only the members ranked
+// first for a limited target may send to it. While the limit is unconfirmed, one more member
+// substitutes for them, the next one after each confirmFor.
 func (k *Keeper) Requests() Gate {
 	return Gate{keeper: k, giver: func(target directory.Life, l Limit, silent time.Duration) (float64, bool) {
 		before, members := k.cfg.Rank(limitRole + target.String())
@@ -31,15 +33,15 @@
 	}}
 }
 
-// Calls returns the gate of the calls that a coordinator makes, which gives out those of
-// all targets of its service for as long as coordinates holds.
+// Calls returns the gate for the calls that a coordinator makes. The coordinator is the only
+// sender for all targets of its service, as long as coordinates returns true.
 func (k *Keeper) Calls(coordinates func() bool) Gate {
 	return Gate{keeper: k, giver: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
 		return l.given(1), coordinates()
 	}}
 }
 
-// Blocked lists the targets of a directory that may not get a request now.
+// Blocked returns the IDs of the targets in d that may not get a request now.
 func (g Gate) Blocked(d *directory.Directory) []string {
 	if g.keeper.empty() {
 		return nil
@@ -55,7 +57,7 @@
 	return list
 }
 
-// Allows says whether a target may get a request now.
+// Allows reports whether a target may get a request now.
 func (g Gate) Allows(target directory.Life) bool {
 	if g.keeper.empty() {
 		return true
@@ -65,7 +67,7 @@
 	return g.allows(target)
 }
 
-// Take says whether a target may get a request now, and counts that.
+// Take reports whether a target may get a request now. If so, it counts the request.
 func (g Gate) Take(target directory.Life) bool {
 	if g.keeper.empty() {
 		return true
@@ -79,8 +81,8 @@
 	return true
 }
 
-// HeldBack says whether a target may get nothing from this node, also not what has been
-// counted for it.
+// HeldBack reports whether a target may get no requests from this node at all, including
+// requests that Take has already counted.
 func (g Gate) HeldBack(target directory.Life) bool {
 	if g.keeper.empty() {
 		return false
@@ -90,8 +92,8 @@
 	return g.keeper.table.heldBack(g.keeper.cfg.Now(), target)
 }
 
-// PauseLeft is how much longer a target wants nothing from this node; 0 for one that leaves
-// or wants no pause.
+// PauseLeft returns the remaining pause that a target has asked this node for. It is 0 for a
+// target that is leaving or has not asked for a pause.
 func (g Gate) PauseLeft(target directory.Life) time.Duration {
 	if g.keeper.empty() {
 		return 0
@@ -101,8 +103,8 @@
 	return g.keeper.table.pauseLeft(g.keeper.cfg.Now(), target)
 }
 
-// Bound returns how many requests a second this node gives a target that is limited or held
-// back; false for one that is neither.
+// Bound returns the maximum number of requests a second that this node may send to a target
+// that is limited or held back, and false for any other target.
 func (g Gate) Bound(target directory.Life) (perSecond float64, limited bool) {
 	if g.keeper.empty() {
 		return 0, false
@@ -117,7 +119,7 @@
 	return perSecond, l.Set
 }
 
-// allows is Allows for a caller that holds the lock.
+// allows is like Allows. The caller must hold the lock.
 func (g Gate) allows(target directory.Life) bool {
 	return g.keeper.table.allows(g.keeper.cfg.Now(), target, g.giver)
 }
--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -14,52 +14,54 @@
 )
 
 const (
-	// confirmFor is how long a limit may go unconfirmed before a member substitutes for
-	// those that give out the target's requests, and how long it does.
+	// confirmFor is the time without a confirmation of a limit after which a member
+	// substitutes for the senders, and the time for which it does so.
 	confirmFor = 5 * time.Second
-	// maxReported bounds the targets of one exchange with a member.
+	// maxReported is the maximum number of targets in one exchange with a member.
 	maxReported = 64
-	// limitRole begins the name under which the members are ranked that give out a limited
-	// target's requests.
+	// limitRole is the prefix of the name by which members are ranked as senders for a
+	// limited target.
 	limitRole = "limit/"
 )
 
-// Config is what a Keeper is made of.
+// Config configures a Keeper.
 type Config struct {
 	Now func() time.Time
 	Log zerolog.Logger
-	// Changed is called when members should hear of a limit at once, and gets the number of
-	// targets with one. It must not call the keeper.
+	// Changed is called with the number of limited targets if other members should learn of
+	// a change at once. It must not call the Keeper.
 	Changed func(limited int)
-	// Rank returns how many of the members that may do something for all come before this
-	// node, by the name of it, and how many there are; 0 members when this node may not.
+	// Rank returns the number of eligible members that rank before this node for a role, and
+	// the number of eligible members. The latter is 0 if this node is not eligible.
 	Rank func(role string) (before, members int)
 }
 
-// Keeper is a table of targets that is safe for concurrent use, speaks to members in
-// messages, and logs what changes.
+// Keeper keeps the reports of targets, exchanges them with other members as messages, and
+// logs changes. It is safe for concurrent use.
 type Keeper struct {
 	cfg Config
 
 	mu    sync.Mutex
 	table *table
-	// entries is how many the table has, to be read without the lock: nearly always none.
+	// entries is the number of table entries. It can be read without the lock, which skips
+	// the lock in the usual case of an empty table.
 	entries atomic.Int64
 }
 
-// NewKeeper returns a keeper that knows nothing.
+// NewKeeper returns a Keeper without any reports.
 func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, table: newTable()} }
 
-// unlock ends what may have changed the table.
+// unlock updates entries and releases the lock. It must be used instead of mu.Unlock after
+// any change to the table.
 func (k *Keeper) unlock() {
 	k.entries.Store(int64(len(k.table.entries)))
 	k.mu.Unlock()
 }
 
-// empty says that no target asks for anything.
+// empty reports whether the table has no entries.
 func (k *Keeper) empty() bool { return k.entries.Load() == 0 }
 
-// Heard takes in what a target said in an answer to this node.
+// Heard records the signal in a target's response to this node.
 func (k *Keeper) Heard(target directory.Life, s Signal) {
 	if k.empty() && s.asksNothing() {
 		return
@@ -68,10 +70,10 @@
 	defer k.unlock()
 	now := k.cfg.Now()
 	if s.Leaving && k.table.leave(now, target) {
-		k.cfg.Log.Info().Str("target", target.String()).Msg("backpressure: target says that it leaves")
+		k.cfg.Log.Info().Str("target", target.String()).Msg("backpressure: target is leaving")
 	}
 	if s.Pause > 0 && k.table.pause(now, target, s.Pause) {
-		k.cfg.Log.Info().Str("target", target.String()).Dur("pause", s.Pause).Msg("backpressure: target wants a pause")
+		k.cfg.Log.Info().Str("target", target.String()).Dur("pause", s.Pause).Msg("backpressure: target requested a pause")
 	}
 	if !s.Limit.Set && !k.table.ends(target, s.Sent) {
 		return
@@ -81,8 +83,8 @@
 	}
 }
 
-// Holds lists the targets that told this node that they leave or want a pause, by their
-// names.
+// Holds returns the targets that told this node that they are leaving or want a pause,
+// sorted by name.
 func (k *Keeper) Holds() []message.TargetHold {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,18 +100,19 @@
 	return list
 }
 
-// changed logs the limit of a target and has members hear of it; the caller holds the lock.
+// changed logs the changed limit of a target and notifies Config.Changed. from is the member
+// that reported the change, or empty if the target did. The caller must hold the lock.
 func (k *Keeper) changed(target directory.Life, from string) {
 	line := k.cfg.Log.Info().Str("target", target.String()).Str("from", from)
 	if l := k.table.limit(target); l.Set {
-		line.Float64("perSecond", l.PerSecond).Msg("backpressure: target names a limit")
+		line.Float64("perSecond", l.PerSecond).Msg("backpressure: target set a request limit")
 	} else {
-		line.Msg("backpressure: target names no limit any more")
+		line.Msg("backpressure: target removed its request limit")
 	}
 	k.cfg.Changed(len(k.table.limited()))
 }
 
-// Limits lists the targets with a limit, by their names.
+// Limits returns the targets with a limit, sorted by name.
 func (k *Keeper) Limits() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -118,7 +121,7 @@
 	return list
 }
 
-// Recent returns what members should hear of limits and their ends.
+// Recent returns the newest limits and ends of limits for gossip with other members.
 func (k *Keeper) Recent() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.unlock()
@@ -126,8 +129,8 @@
 	return k.messages(k.table.newest(maxReported))
 }
 
-// messages describes targets; the caller holds the lock. Times are given as how long ago
-// they were, since members' clocks may differ.
+// messages returns the limits of targets as messages. Times are sent as ages, because the
+// clocks of members may differ. The caller must hold the lock.
 func (k *Keeper) messages(targets []directory.Life) []message.TargetLimit {
 	now := k.cfg.Now()
 	list := make([]message.TargetLimit, len(targets))
@@ -140,7 +143,7 @@
 	return list
 }
 
-// Merge takes in what a member reported.
+// Merge merges limits that another member reported.
 func (k *Keeper) Merge(member string, list []message.TargetLimit) {
 	k.mu.Lock()
 	defer k.unlock()
@@ -160,7 +163,7 @@
 	}
 }
 
-// Prune forgets lives of targets that have ended.
+// Prune removes target incarnations that no longer exist.
 func (k *Keeper) Prune(d *directory.Directory) {
 	k.mu.Lock()
 	defer k.unlock()
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -18,23 +18,25 @@
 )
 
 const (
-	// modelRound and modelPartners are the gateway's interval of gossip and its partners in
-	// a round.
+	// modelRound and modelPartners are the interval between gossip rounds and the number of
+	// partners in a round, as in the gateway.
 	modelRound    = 500 * time.Millisecond
 	modelPartners = 2
-	// modelStep is the resolution of the simulated time.
+	// modelStep is the resolution of the simulated clock.
 	modelStep = 20 * time.Millisecond
-	// modelRequests is how many requests come in a step: 200 a second, all of which would go
-	// to the limited target; nodeRequests is that for each node of a larger fleet, 4 a second.
+	// modelRequests is the number of requests that arrive in a step, which makes 200 a second.
+	// Without the limit all of them would go to the target. nodeRequests is the number for
+	// each node of a larger cluster, which makes 4 a second.
 	modelRequests = 4
 	nodeRequests  = 0.08
-	// maxDelay bounds the way from a node to the target, and the way back.
+	// maxDelay is the maximum one-way delay between a node and the target.
 	maxDelay = 100 * time.Millisecond
 )
 
-// What a target may get that named a limit: in boundWindow, boundOvershoot times its limit
-// and boundTolerance requests more, from nodes that passed on its limit boundTold ago or
-// earlier, from boundGrace after it first named the limit.
+// The bound on the requests that a limited target may get. In any boundWindow it may get
+// boundOvershoot times its limit plus boundTolerance requests. The bound applies from
+// boundGrace after the limit was first announced, and to nodes that received the limit more
+// than boundTold ago.
 const (
 	boundWindow    = 4 * time.Second
 	boundOvershoot = 1.5
@@ -45,7 +47,7 @@
 
 var start = time.Unix(1000, 0)
 
-// modelNode is a node of the model.
+// modelNode is a simulated node.
 type modelNode struct {
 	*membership.Roster
 	address string
@@ -53,38 +55,39 @@
 	gate    backpressure.Gate
 	next    time.Time
 	down    bool
-	// frozen nodes neither act nor answer; side is the part of a cut fleet that the node
-	// reaches.
+	// frozen nodes neither act nor respond. side is the partition that the node is in; it
+	// only reaches nodes in the same partition.
 	frozen bool
 	side   int
-	// told is when the node first heard the limit in an answer, since it last started, woke
-	// or was cut off; zero for never.
+	// told is the time at which the node first received the limit in a response since it
+	// last started, resumed or was partitioned. It is zero if it has not received it.
 	told time.Time
 }
 
-// answer is an answer of the target on its way to a node.
+// answer is a response of the target in transit to a node.
 type answer struct {
 	node *modelNode
 	at   time.Time
-	// keeper is that of the life of the node that asked.
+	// keeper is the Keeper of the node incarnation that sent the request.
 	keeper *backpressure.Keeper
 	signal backpressure.Signal
 }
 
-// model is a fleet whose nodes would all like to send to one target.
+// model simulates a cluster whose nodes all send to the same target.
 type model struct {
 	rnd    *rand.Rand
 	now    time.Time
 	nodes  []*modelNode
 	at     map[string]*modelNode
 	target directory.Target
-	// limit is what the target names, since named.
+	// limit is the limit that the target announces since the time named.
 	limit backpressure.Limit
 	named time.Time
-	// quiet is until when no requests come.
+	// quiet is the time until which no requests arrive.
 	quiet   time.Time
 	answers []answer
-	// arrivals are those of all nodes, judged those that count for the bound.
+	// arrivals are the arrival times of all requests. judged are those that count towards
+	// the bound.
 	arrivals, judged []time.Time
 }
 
@@ -104,7 +107,8 @@
 	return m
 }
 
-// start gives a node an empty roster and an empty table, as a process has after its start.
+// start resets a node to the state of a process that has just started, with an empty roster
+// and an empty table.
 func (m *model) start(n *modelNode) {
 	last := len(m.nodes) - 1
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
@@ -124,7 +128,7 @@
 	n.down, n.told = false, time.Time{}
 }
 
-// name has the target name a limit, or none.
+// name sets the limit that the target announces.
 func (m *model) name(l backpressure.Limit) {
 	m.limit, m.named = l, m.now
 	m.arrivals, m.judged = nil, nil
@@ -133,12 +137,12 @@
 	}
 }
 
-// reaches says whether one node gets an answer of another.
+// reaches reports whether a node gets responses from another node.
 func (n *modelNode) reaches(other *modelNode) bool {
 	return !other.down && !other.frozen && n.side == other.side
 }
 
-// run lets time pass, with requests at all nodes.
+// run advances the simulated clock by d, with gossip and requests at all nodes.
 func (m *model) run(d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); {
 		m.now = m.now.Add(modelStep)
@@ -154,7 +158,7 @@
 	}
 }
 
-// requests is how many requests come now.
+// requests returns the number of requests that arrive in the current step.
 func (m *model) requests() int {
 	if m.now.Before(m.quiet) {
 		return 0
@@ -162,10 +166,11 @@
 	return m.perStep()
 }
 
-// perStep is how many requests come in a step.
+// perStep returns the number of requests that arrive in a step unless the model is quiet.
 func (m *model) perStep() int { return max(modelRequests, int(nodeRequests*float64(len(m.nodes)))) }
 
-// deliver hands over the answers that have come. A frozen node reads them when it wakes.
+// deliver passes responses that have arrived to their nodes. A frozen node reads them when
+// it resumes.
 func (m *model) deliver() {
 	var later []answer
 	for _, a := range m.answers {
@@ -200,7 +205,7 @@
 	}
 }
 
-// request is a request that a node would send to the target.
+// request simulates a request that a node sends to the target if its gate allows that.
 func (m *model) request(n *modelNode) {
 	if n.down || n.frozen || !n.gate.Take(m.target.Life()) {
 		return
@@ -215,7 +220,7 @@
 	m.answers = append(m.answers, answer{node: n, at: at.Add(delay()), keeper: n.keeper, signal: backpressure.Signal{Sent: m.now, Limit: m.limit}})
 }
 
-// check holds that the target got no more than it may in any window.
+// check verifies that the target did not get more requests than the bound in any window.
 func (m *model) check(t interface{ Fatalf(string, ...any) }) {
 	bound := boundOvershoot*m.limit.PerSecond*boundWindow.Seconds() + boundTolerance
 	slices.SortFunc(m.judged, time.Time.Compare)
@@ -225,15 +230,16 @@
 			first++
 		}
 		if n := last - first + 1; float64(n) > bound {
-			t.Fatalf("%d requests in %v at a target that takes %g a second, %g may", n, boundWindow, m.limit.PerSecond, bound)
+			t.Fatalf("target with a limit of %g/s got %d requests in %v, want at most %g", m.limit.PerSecond, n, boundWindow, bound)
 		}
 	}
 }
 
-// excuse notes that a node was disturbed: what it was told before does not count.
+// excuse exempts a node that was disturbed by a fault from the bound until it receives the
+// limit again.
 func (n *modelNode) excuse() { n.told = time.Time{} }
 
-// fault changes the fleet.
+// fault applies a random fault, or ends earlier ones.
 func (m *model) fault(t *rapid.T) {
 	some := func(label string, most int) []*modelNode {
 		share := rapid.IntRange(1, most).Draw(t, label)
@@ -284,14 +290,14 @@
 	}
 }
 
-// limits draws a limit.
+// limits draws a random limit.
 func limits(t *rapid.T) backpressure.Limit {
 	return backpressure.Limit{Set: true, PerSecond: rapid.SampledFrom([]float64{0, 0.3, 1, 3, 10, 40}).Draw(t, "limit")}
 }
 
-// TestLimitHolds holds that a target which names a limit for a long time gets no more than
-// that allows from nodes that are well, while others start, end, freeze and are cut off in
-// series.
+// TestLimitHolds verifies that a target with a limit gets no more requests from healthy nodes
+// than the bound allows, while other nodes repeatedly start, stop, freeze and are
+// partitioned.
 func TestLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 60).Draw(t, "nodes"))
@@ -306,8 +312,8 @@
 	})
 }
 
-// TestLimitedTargetIsUsed holds that in a calm fleet a limited target gets a good part of
-// what it takes, and that all nodes use it again soon after its limit has ended.
+// TestLimitedTargetIsUsed verifies that a limited target gets a large part of its limit if
+// there are no faults, and that all nodes use it again soon after the limit has ended.
 func TestLimitedTargetIsUsed(t *testing.T) {
 	for _, size := range []int{1, 2, 7, 60, 150} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
@@ -319,21 +325,21 @@
 			m.arrivals = nil
 			m.run(10 * time.Second)
 			if n := len(m.arrivals); n < 40 {
-				t.Errorf("%d requests in 10 s where 100 may come", n)
+				t.Errorf("got %d requests in 10 s, want at least 40 of 100", n)
 			}
 			m.name(backpressure.Limit{})
 			m.run(5 * time.Second)
 			m.arrivals = nil
 			m.run(time.Second)
 			if n, all := len(m.arrivals), m.perStep()*int(time.Second/modelStep); n < all*9/10 {
-				t.Errorf("%d requests of %d in a second after the limit", n, all)
+				t.Errorf("got %d of %d requests in a second after the end of the limit, want at least 90%%", n, all)
 			}
 		})
 	}
 }
 
-// TestAnswersOvertake holds that an answer which says nothing of a limit ends none that was
-// named after its request was sent.
+// TestAnswersOvertake verifies that a response without a limit does not end a limit that was
+// announced after the request for that response was sent.
 func TestAnswersOvertake(t *testing.T) {
 	m := newModel(1, 1)
 	n := m.nodes[0]
@@ -343,17 +349,17 @@
 	m.now = m.now.Add(time.Millisecond)
 	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: start})
 	if len(n.keeper.Limits()) != 1 {
-		t.Error("an answer that was overtaken ended the limit")
+		t.Error("response to an earlier request ended the limit")
 	}
 	m.now = m.now.Add(time.Second)
 	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: m.now})
 	if len(n.keeper.Limits()) != 0 {
-		t.Error("the limit did not end")
+		t.Error("response without a limit did not end the limit")
 	}
 }
 
-// TestUnlistedTarget holds that what a target asked for outlives a moment in which the source
-// does not list it, and is forgotten with the target.
+// TestUnlistedTarget verifies that the state of a target is kept while the source temporarily
+// does not list the target, and removed once the target is gone.
 func TestUnlistedTarget(t *testing.T) {
 	m := newModel(1, 1)
 	n := m.nodes[0]
@@ -363,19 +369,19 @@
 	m.now = m.now.Add(5 * time.Second)
 	n.keeper.Prune(listed)
 	if n.gate.Take(m.target.Life()) {
-		t.Error("a target that leaves got a request when it was listed again")
+		t.Error("leaving target got a request after it was listed again")
 	}
 	n.keeper.Prune(unlisted)
 	m.now = m.now.Add(2 * time.Minute)
 	n.keeper.Prune(unlisted)
 	if len(n.keeper.Holds()) != 0 {
-		t.Error("a target that is gone is remembered for good")
+		t.Error("state of a target that is gone was not removed")
 	}
 }
 
-// TestReportsAge holds that a report which members pass on to each other for long grows as
-// old as it is, though each exchange takes time: while it looks fresh its limit does not end,
-// and nobody substitutes for those that give out.
+// TestReportsAge verifies that a report that is forwarded between members for a long time
+// ages at the correct rate, although each exchange adds a delay. A report that looks too
+// fresh keeps the limit from ending, and keeps members from substituting for the senders.
 func TestReportsAge(t *testing.T) {
 	const transit, lasts = 100 * time.Millisecond, 10 * time.Second
 	m := newModel(1, 4)
@@ -390,7 +396,7 @@
 	for _, n := range m.nodes {
 		age := time.Duration(n.keeper.Limits()[0].AgoMs) * time.Millisecond
 		if age < lasts-time.Second {
-			t.Errorf("a report of %v ago looks %v old", lasts, age)
+			t.Errorf("report from %v ago has an age of %v", lasts, age)
 		}
 	}
 }
--- a/internal/gateway/backpressure/signal.go
+++ b/internal/gateway/backpressure/signal.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// Signal is what a target says of itself in the head of an answer.
+// Signal is the state that a target reports in its response headers.
 type Signal struct {
-	// Sent is when the request was sent that the answer is for.
+	// Sent is the time at which the request for this response was sent.
 	Sent time.Time
-	// Limit is how many requests the target takes.
+	// Limit is the request rate that the target accepts.
 	Limit Limit
-	// Leaving says that the target ends soon and takes nothing new.
+	// Leaving reports that the target will stop soon and accepts no new requests.
 	Leaving bool
-	// Pause is for how long the target wants nothing from this node; 0 for no pause.
+	// Pause is the time for which the target wants no requests from this node. 0 means no
+	// pause.
 	Pause time.Duration
 }
 
-// asksNothing says whether the target asks for nothing.
+// asksNothing reports whether the signal has no limit, pause or leave announcement.
 func (s Signal) asksNothing() bool { return !s.Limit.Set && !s.Leaving && s.Pause <= 0 }
 
-// Limit is a rate of requests from all nodes together. The zero value is none.
+// Limit is a request rate, summed over all nodes. The zero value means no limit.
 type Limit struct {
-	// Set says that there is a limit.
+	// Set reports whether there is a limit.
 	Set bool
-	// PerSecond is not negative; with 0 the target takes nothing.
+	// PerSecond is the rate in requests a second. It is not negative. If it is 0, the target
+	// accepts no requests.
 	PerSecond float64
 }
 
-// NewLimit returns a limit; false for a number that is no rate.
+// NewLimit returns a limit, and false if perSecond is not a valid rate.
 func NewLimit(perSecond float64) (Limit, bool) {
 	l := Limit{Set: true, PerSecond: perSecond}
 	return l, l.valid()
--- a/internal/gateway/backpressure/table.go
+++ b/internal/gateway/backpressure/table.go
@@ -12,55 +12,59 @@
 )
 
 const (
-	// givenShare is the part of a limit that is given out. Nodes that disagree about who
-	// does it, as while a member comes or goes, then exceed the limit by a fifth.
+	// givenShare is the fraction of a limit that the senders use together. If two sets of
+	// nodes both send, for example while a member joins or leaves, they exceed the limit by
+	// only a fifth.
 	givenShare = 0.6
-	// perGiver is how much of a limit one node gives out at most, in requests a second:
-	// few nodes of a large fleet have more for one target.
+	// perGiver is the part of a limit for which there is one sender, in requests a second.
+	// In a large cluster few nodes have more requests than this for one target.
 	perGiver = 2
-	// giverBurst is how many requests a node may give out at once.
+	// giverBurst is the number of requests that a sender may send at once.
 	giverBurst = 1
-	// minPerSecond is the least rate that a node gives out, so that the end of a limit of 0
-	// is noticed.
+	// minPerSecond is the minimum rate of a sender in requests a second. It is not 0, so that
+	// a response can announce the end of a limit of 0.
 	minPerSecond = 0.1
-	// endedFor is how long the end of a limit is remembered, for members that did not hear
-	// of it.
+	// endedFor is the time for which the end of a limit is kept, so that it reaches all
+	// members.
 	endedFor = 10 * time.Second
-	// sameReport is how much later one that says the same may look for being the same one,
-	// passed on: longer than an exchange between members takes.
+	// sameReport is the maximum difference in time between two equal reports that are
+	// considered the same report. It exceeds the duration of an exchange between members,
+	// which makes a forwarded report look newer.
 	sameReport = 500 * time.Millisecond
-	// unlistedFor is how long a target that is not listed may come back: longer than the
-	// source is away, and than a target that leaves goes on.
+	// unlistedFor is the time for which the state of an unlisted target is kept in case it
+	// is listed again. It exceeds the outages of the source, and the time for which a leaving
+	// target keeps running.
 	unlistedFor = time.Minute
 )
 
-// report is what a target said of its limit, and when.
+// report is a target's report of its limit, and the time of the report.
 type report struct {
 	Limit
 	at time.Time
 }
 
-// entry is what is known of one life of a target.
+// entry is the state of one target incarnation.
 type entry struct {
-	// report is the newest of its limit; its time is zero for none.
+	// report is the newest report of the limit. Its time is zero if there is none.
 	report
-	// leaving says that the target told this node that it ends soon, and pausedUntil is until
-	// when it wants nothing from this node.
+	// leaving reports that the target told this node that it will stop soon. pausedUntil is
+	// the end of the pause that it asked this node for.
 	leaving     bool
 	pausedUntil time.Time
-	// bucket holds what this node may give out.
+	// bucket limits the requests that this node sends under the target's limit.
 	bucket *rate.Limiter
-	// unlisted is since when the target is not listed; zero while it is.
+	// unlisted is the time since which the target is not listed. It is zero while the target
+	// is listed.
 	unlisted time.Time
 }
 
-// table holds the newest report of each life that has a limit, or had one lately. It is not
-// safe for concurrent use.
+// table holds an entry for each target incarnation that is leaving, paused or limited, or
+// was limited recently. It is not safe for concurrent use.
 type table struct{ entries map[directory.Life]*entry }
 
 func newTable() *table { return &table{entries: map[directory.Life]*entry{}} }
 
-// merge takes in a report unless a newer one is known, and says whether the limit changed.
+// merge records a report unless a newer one is known, and reports whether the limit changed.
 func (t *table) merge(target directory.Life, r report) bool {
 	e := t.of(target, r.at)
 	if !r.at.After(e.at) {
@@ -71,14 +75,14 @@
 	return changed
 }
 
-// passedOn says whether what a member reports may be what is known already, which each
-// exchange makes look newer by its time.
+// passedOn reports whether a member's report may be one that is already known. Each exchange
+// makes a forwarded report look newer by the duration of the exchange.
 func (t *table) passedOn(target directory.Life, r report) bool {
 	e := t.entries[target]
 	return e != nil && r.Limit == e.Limit && r.at.Sub(e.at) < sameReport
 }
 
-// of returns the entry of a target, a new one where there is none.
+// of returns the entry of a target and creates it if necessary.
 func (t *table) of(target directory.Life, now time.Time) *entry {
 	e := t.entries[target]
 	if e == nil {
@@ -88,7 +92,7 @@
 	return e
 }
 
-// leave notes that a target leaves, and says whether that is new.
+// leave marks a target as leaving, and reports whether it was not marked before.
 func (t *table) leave(now time.Time, target directory.Life) bool {
 	e := t.of(target, now)
 	known := e.leaving
@@ -96,7 +100,8 @@
 	return !known
 }
 
-// pause notes that a target wants a pause, and says whether it had none.
+// pause pauses a target for d, and reports whether it was not paused before. A longer pause
+// that is already in effect is kept.
 func (t *table) pause(now time.Time, target directory.Life, d time.Duration) bool {
 	e := t.of(target, now)
 	begins := !now.Before(e.pausedUntil)
@@ -106,22 +111,23 @@
 	return begins
 }
 
-// newBucket returns an empty bucket: a target that names a limit has had too much.
+// newBucket returns an empty bucket, because a target that announces a limit is already
+// overloaded.
 func newBucket(now time.Time) *rate.Limiter {
 	b := rate.NewLimiter(minPerSecond, giverBurst)
 	b.AllowN(now, giverBurst)
 	return b
 }
 
-// givers is how many nodes give out the requests of a target.
+// givers returns the number of nodes that may send to a target with limit l.
 func (l Limit) givers() int { return max(int(l.PerSecond/perGiver), 1) }
 
-// given is how many requests a second are given out by one of several nodes.
+// given returns the rate of each of several senders, in requests a second.
 func (l Limit) given(givers int) float64 {
 	return max(givenShare*l.PerSecond/float64(givers), minPerSecond)
 }
 
-// limit returns the limit of a target.
+// limit returns the limit of a target, which is the zero value if it has none.
 func (t *table) limit(target directory.Life) Limit {
 	if e := t.entries[target]; e != nil {
 		return e.Limit
@@ -129,15 +135,16 @@
 	return Limit{}
 }
 
-// ends says whether an answer without a limit ends the target's: answers may overtake each
-// other, so that only one to a request sent after the target last named its limit does.
+// ends reports whether a response without a limit ends the target's limit. Responses may
+// arrive out of order, so only a response to a request that was sent after the last
+// announcement of the limit ends it.
 func (t *table) ends(target directory.Life, sent time.Time) bool {
 	e := t.entries[target]
 	return e != nil && e.Set && sent.After(e.at)
 }
 
-// heldBack says whether a target may get nothing from this node: it leaves, also where the
-// source says otherwise, or it wants a pause.
+// heldBack reports whether a target may get no requests from this node because it is leaving,
+// even if the source says otherwise, or is paused.
 func (t *table) heldBack(now time.Time, target directory.Life) bool {
 	e := t.entries[target]
 	return e != nil && e.heldBack(now)
@@ -145,7 +152,8 @@
 
 func (e *entry) heldBack(now time.Time) bool { return e.leaving || now.Before(e.pausedUntil) }
 
-// pauseLeft is how much longer a target wants a pause; 0 for one that leaves or wants none.
+// pauseLeft returns the remaining pause of a target. It is 0 for a target that is leaving or
+// not paused.
 func (t *table) pauseLeft(now time.Time, target directory.Life) time.Duration {
 	e := t.entries[target]
 	if e == nil || e.leaving {
@@ -154,8 +162,8 @@
 	return max(e.pausedUntil.Sub(now), 0)
 }
 
-// allows says whether a target may get a request: it is not held back, and has no limit, or
-// this node gives out its requests and its bucket has a token.
+// allows reports whether a target may get a request: it is not held back, and either has no
+// limit, or this node is a sender for it and its bucket has a token.
 func (t *table) allows(now time.Time, target directory.Life, giver giver) bool {
 	e := t.entries[target]
 	switch {
@@ -173,24 +181,25 @@
 	return gives && e.bucket.TokensAt(now) >= 1
 }
 
-// sent takes a token for a request that a target gets.
+// sent takes a token for a request that is sent to a target.
 func (t *table) sent(now time.Time, target directory.Life) {
 	if e := t.entries[target]; e != nil && e.Set {
 		e.bucket.AllowN(now, 1)
 	}
 }
 
-// limited returns the targets with a limit, in no order.
+// limited returns the targets with a limit, in no particular order.
 func (t *table) limited() []directory.Life {
 	return t.where(func(e *entry) bool { return e.Set })
 }
 
-// told returns the targets that told this node that they leave or want a pause, in no order.
+// told returns the targets that told this node that they are leaving or want a pause, in no
+// particular order.
 func (t *table) told(now time.Time) []directory.Life {
 	return t.where(func(e *entry) bool { return e.heldBack(now) })
 }
 
-// known returns all targets of which something is known, in no order.
+// known returns all targets in the table, in no particular order.
 func (t *table) known() []directory.Life {
 	return t.where(func(*entry) bool { return true })
 }
@@ -205,7 +214,7 @@
 	return list
 }
 
-// newest returns the targets with the newest reports of limits, at most n of them.
+// newest returns the targets with the newest reports of a limit or its end, at most n.
 func (t *table) newest(n int) []directory.Life {
 	list := t.where(func(e *entry) bool { return !e.at.IsZero() })
 	slices.SortFunc(list, func(a, b directory.Life) int {
@@ -214,15 +223,16 @@
 	return list[:min(n, len(list))]
 }
 
-// prune forgets limits that ended endedFor ago, where nothing else is known of the target.
+// prune removes entries whose limit ended more than endedFor ago, unless the target is leaving
+// or paused.
 func (t *table) prune(now time.Time) {
 	maps.DeleteFunc(t.entries, func(_ directory.Life, e *entry) bool {
 		return !e.Set && now.Sub(e.at) > endedFor && !e.leaving && !now.Before(e.pausedUntil)
 	})
 }
 
-// pruneLives forgets lives of targets that have not been listed for unlistedFor. An entry of
-// the source may be gone for a while and come back, and with it what the target asked for.
+// pruneLives removes target incarnations that have not been listed for unlistedFor. An entry
+// of the source may disappear temporarily, and the state of the target must outlast that.
 func (t *table) pruneLives(now time.Time, d *directory.Directory) {
 	maps.DeleteFunc(t.entries, func(target directory.Life, e *entry) bool {
 		switch {
