--- a/internal/gateway/placement/bench_test.go
+++ b/internal/gateway/placement/bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 )
 
-// sizes are the numbers of targets that each choice is measured with.
+// sizes are the numbers of targets in the benchmarks.
 var sizes = []int{12, 60}
 
-// loaded returns a table that has learnt something of every engine.
+// loaded returns a table with statistics of every engine.
 func loaded(n int) *placement.TargetTable {
 	table := placement.NewTargetTable()
 	for i, e := range engines(n) {
@@ -48,8 +48,7 @@
 	}
 }
 
-// BenchmarkPlace places prompts of 50 sessions; two prompts an engine are prefilled
-// at a time.
+// BenchmarkPlace places prompts of 50 sessions, with two prompts pending on each engine.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -69,17 +68,17 @@
 	}
 }
 
-// A large service: 240 engines and 500 prompts a second of 4,600 sessions.
+// A large service with 240 engines, and 500 prompts a second from 4,600 sessions.
 const (
 	largeEngines  = 240
 	largeSessions = 4600
 	largeInterval = time.Second / 500
-	// largeFirstParts is the number of first parts that the sessions share.
+	// largeFirstParts is the number of distinct first parts among the sessions.
 	largeFirstParts = 80
 )
 
-// BenchmarkPlaceLarge places a prompt at the member that does so for all nodes of a
-// large service, when it has done that for 30 s. Each prompt is prefilled 200 ms later.
+// BenchmarkPlaceLarge places the prompts of all nodes of a large service, after 30 s of
+// simulated load. Each prompt is prefilled 200 ms after it is placed.
 func BenchmarkPlaceLarge(b *testing.B) {
 	chooser, list := placement.NewEngineChooser(), engines(largeEngines)
 	at := now
--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -10,59 +10,59 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// Weights of EngineChooser.Place, in milliseconds. They differ from those of
-// ByPrefix for like things: this rule knows what each engine has to prefill and
-// which shared parts it has cached.
+// Weights of EngineChooser.Place, in milliseconds. They differ from the corresponding weights
+// of ByPrefix because this rule knows the prefill backlog and the cached shared parts of each
+// engine. Only the ratios between the weights matter.
 const (
-	// waitCost is the cost of a millisecond until the first event. It was set with the
-	// other weights here, by the worth of the whole rule; only their relations count.
+	// waitCost is the cost of a millisecond until the first event.
 	waitCost = 0.3
 	// lateCost is the cost of a first event after its objective, to which the lateness is
-	// added; and that of an engine that may be gone (directory.Lapsed). It is above what
-	// two seconds of waiting cost, so that an engine in time is always preferred.
+	// added. It is also the cost of an engine that may be gone (directory.Lapsed). A late
+	// first event thereby costs more than two seconds of waiting, so that an engine that is
+	// in time is preferred.
 	lateCost = 600.0
-	// prefillAgainCost is the cost of a thousand shared tokens that another engine has
-	// cached and this one has not. With 160 instead of 90 days were worse; why was not
-	// looked into.
+	// prefillAgainCost is the cost of a thousand shared tokens that another engine has cached
+	// and this one has not. A cost of 160 lowers the benchmark score.
 	prefillAgainCost = 90.0
-	// copyCost is the same of tokens that the engine copies from the other one instead.
-	// With 50 worth rose by 0.010, with 15 by 0.019, with prefillAgainCost it fell by
-	// 0.011 (docs/MEASUREMENTS.md, "cached parts copied").
+	// copyCost is the cost of a thousand such tokens if the engine copies them from the other
+	// one. Copying raises the benchmark score by 0.019 with a cost of 15 and by 0.010 with 50,
+	// and lowers it by 0.011 with prefillAgainCost.
 	copyCost = 15.0
-	// rankCost is the cost of a rank: of engines that are alike, the one that nodes would
-	// choose on their own too. It is small, as it decides only between those.
+	// rankCost is the cost of a rank. It is small because it only decides between otherwise
+	// equal engines, in favour of the one that nodes would select on their own.
 	rankCost = 3.0
 	// firstEventDelay is the time from a prompt's arrival at an idle engine to its first
-	// event, besides the prefill. It is the same for all engines, so that an error moves
-	// only which prompts count as late.
+	// event, excluding the prefill. It is the same for all engines, so that an error only
+	// affects which prompts count as late.
 	firstEventDelay = 25.0
 )
 
-// Prompt is a request for an engine.
+// Prompt describes a request for which an EngineChooser selects an engine.
 type Prompt struct {
-	// Request is the identity of the request.
+	// Request is the ID of the request.
 	Request string
-	// Shared are the parts that other prompts may begin with too, in order.
+	// Shared holds the leading parts of the prompt that other prompts may begin with too, in
+	// order.
 	Shared []SharedPart
-	// Tokens is the length of the whole prompt, shared parts included.
+	// Tokens is the length of the whole prompt, including the shared parts.
 	Tokens int
-	// Slack is the time until the first event is due; negative when that is past.
+	// Slack is the time until the first event is due. It is negative if that time has passed.
 	Slack time.Duration
-	// Exclude names engines that must not be chosen.
+	// Exclude lists the IDs of engines that must not be selected.
 	Exclude []string
-	// InputBytes is how many bytes of results the prompt reads from each data
+	// InputBytes is the number of bytes of results that the prompt reads from each data
 	// centre.
 	InputBytes map[string]int64
-	// Suspect says that engines ended with the request before: it goes to one that has no
-	// other such prompt pending, where there is one.
+	// Suspect reports whether engines have crashed during earlier attempts of the request.
+	// Such a prompt goes to an engine that has no other such prompt pending, if there is one.
 	Suspect bool
-	// GivesOut says whether this member gives out requests of cold engines. It is asked at
-	// most once, and only when there is one.
+	// GivesOut reports whether this member assigns the requests of cold engines. It is called
+	// at most once, and only if an engine is cold.
 	GivesOut func() bool
 }
 
-// key is that of the last shared part, the one that only prompts of the same session
-// have; 0 for none.
+// key returns the key of the last shared part, which only prompts of the same session have,
+// or 0 if there is none.
 func (q Prompt) key() uint64 {
 	if len(q.Shared) == 0 {
 		return 0
@@ -70,8 +70,8 @@
 	return q.Shared[len(q.Shared)-1].Key
 }
 
-// session is the key by which engines are ranked for the prompt: that of its session, or
-// its own where it has none.
+// session returns the key by which engines are ranked for the prompt: the key of its session,
+// or a hash of the request ID if it has no session.
 func (q Prompt) session() uint64 {
 	if key := q.key(); key != 0 {
 		return key
@@ -79,34 +79,33 @@
 	return xxhash.Sum64String(q.Request)
 }
 
-// Placement is the engine chosen for a prompt.
+// Placement is the engine selected for a prompt.
 type Placement struct {
 	directory.Target
-	// CopyFrom is the address of the engine from which it should copy cached parts
-	// of the prompt; empty for none.
+	// CopyFrom is the address of the engine from which the selected engine should copy
+	// cached parts of the prompt. It is empty if there is none.
 	CopyFrom string
 }
 
-// Place chooses an engine when this member coordinates the prompts of all nodes,
-// and counts the prompt as pending there. It returns false when no usable engine is
-// left.
+// Place selects an engine on the member that coordinates the prompts of all nodes, and
+// records the prompt as pending there. It returns false if no usable engine is left.
 //
-// The least cost wins: the time to the first event, with what is pending before the
-// prompt and what is not cached of it; lateness; shared tokens that another engine
-// has cached, which it copies (copySource) or prefills again; the rank for the
-// session; results that cross data centres; an engine that may be gone. What is pending
-// and cached is what this chooser placed itself, at most pendingFor and cachedFor old:
-// it does not know what callers outside this system send. Unlike ByPrefix it has no
-// tiers: the nodes exclude the engines that they have ejected, and a late engine may be
-// better than a lapsed one.
+// The engine with the lowest cost is selected. The cost includes the time to the first event,
+// given the engine's backlog and the uncached part of the prompt; lateness; shared tokens
+// that another engine has cached, which are copied (copySource) or prefilled again; the rank
+// for the session; results that cross data centres; and a penalty if the engine may be gone.
+// Backlog and cache state only cover prompts that this EngineChooser placed, within
+// pendingFor and cachedFor; it does not know about prompts from callers outside the system.
+// Unlike ByPrefix the rule has no tiers: nodes exclude the engines that they have ejected,
+// and late and lapsed engines are compared by cost.
 //
-// Without any of this a session's prompts go to its first engine by rendezvous
-// hashing. A wrong answer costs a late first event, or a prefill done twice: the
-// worth of a day is 0.016 higher with the rule than with ByPrefix at each node. See
-// docs/decisions/0014.
+// Without any state the prompts of a session go to its first engine by rendezvous hashing. A
+// poor selection results in a late first event, or in a repeated prefill. The benchmark
+// score is 0.016 higher than with ByPrefix on each node. See docs/decisions/0014.
 //
-// Of many engines a shortlist is assessed (engineIndex); a second one when the prompt would
-// be late at each of the first, and all of them only when none of either may be used.
+// If there are many engines, only a shortlist is assessed (engineIndex). A second shortlist
+// is assessed if the prompt would be late on all engines of the first one, and all engines
+// are assessed only if no engine of either shortlist can be used.
 func (p *EngineChooser) Place(now time.Time, engines []directory.Target, q Prompt) (Placement, bool) {
 	p.forgetExpired(now)
 	delete(p.pending, q.Request)
@@ -128,7 +127,7 @@
 	return placed, true
 }
 
-// assessor assesses the engines for one prompt.
+// assessor assesses engines for one prompt.
 type assessor struct {
 	*EngineChooser
 	now     time.Time
@@ -136,16 +135,16 @@
 	q       Prompt
 	allowed allows
 	inputs  transfer
-	// backlogs is how many tokens each engine has to prefill.
+	// backlogs is the number of tokens that each engine has to prefill.
 	backlogs map[directory.Life]int
-	// cached is how many tokens of the prompt the engines that were looked at have cached,
-	// by their index, and mostCached the most of them.
+	// cached is the number of tokens of the prompt that each engine examined so far has
+	// cached, by index. mostCached is its maximum.
 	cached     map[int]int
 	mostCached int
 }
 
-// assessor returns the assessor of a prompt, which has looked at the engines that used
-// its shared parts last.
+// assessor returns an assessor for a prompt. It has already examined the engines that used
+// the shared parts of the prompt last.
 func (p *EngineChooser) assessor(now time.Time, engines []directory.Target, q Prompt) *assessor {
 	a := &assessor{
 		EngineChooser: p, now: now, engines: engines, q: q, allowed: p.allows(now, q),
@@ -159,14 +158,14 @@
 	return a
 }
 
-// look notes what an engine has cached.
+// look looks up the number of tokens of the prompt that an engine has cached.
 func (a *assessor) look(i int) {
 	a.cached[i] = a.cache.tokens(a.engines[i].Life(), a.q.Shared)
 	a.mostCached = max(a.mostCached, a.cached[i])
 }
 
-// chooseApart chooses an engine; for a suspected prompt one that has no other such prompt
-// pending, where there is one.
+// chooseApart selects an engine. For a suspected prompt it prefers engines that have no other
+// suspected prompt pending.
 func (a *assessor) chooseApart() (choice, bool) {
 	chosen, found := a.choose(slices.Concat(a.q.Exclude, a.withSuspects(a.q)))
 	if !found && a.q.Suspect {
@@ -175,7 +174,7 @@
 	return chosen, found
 }
 
-// choose chooses an engine that is not excluded.
+// choose selects an engine that is not excluded.
 func (a *assessor) choose(exclude []string) (choice, bool) {
 	chosen, found := a.chooseOf(a.index.shortlist(a.q.session()), exclude)
 	if (!found || chosen.cost >= lateCost) && a.index.isLong() {
@@ -189,11 +188,11 @@
 	return chosen, found
 }
 
-// secondList makes the key of a session's second shortlist from that of its first. It is
-// any number with about as many ones as zeros.
+// secondList is XORed with the key of a session to get the key of its second shortlist. It is
+// an arbitrary number with about as many one bits as zero bits.
 const secondList = 0x9e3779b97f4a7c15
 
-// chooseOf chooses among some engines.
+// chooseOf selects one of the given engines.
 func (a *assessor) chooseOf(among []ranked, exclude []string) (choice, bool) {
 	for _, r := range among {
 		a.look(r.index)
@@ -201,7 +200,7 @@
 	return bestOf(a.now, a.engines, among, exclude, a.allowed, a.assess)
 }
 
-// assess says what the prompt costs at an engine.
+// assess returns the cost of placing the prompt on an engine.
 func (a *assessor) assess(r ranked, e *directory.Target) assessment {
 	held := a.cached[r.index]
 	cost := a.promptCost(a.q, engineLoad{backlog: a.backlogs[e.Life()], cached: held, cachedElsewhere: a.mostCached - held})
@@ -213,8 +212,8 @@
 	return assessment{cost: cost}
 }
 
-// withSuspects returns the engines that have a suspected prompt pending, which another
-// one does not join; none for a prompt that is not suspected.
+// withSuspects returns the IDs of the engines that have a suspected prompt pending, if q is
+// suspected too. Otherwise it returns nil.
 func (p *EngineChooser) withSuspects(q Prompt) []string {
 	var engines []string
 	for _, r := range p.pending {
@@ -225,23 +224,24 @@
 	return engines
 }
 
-// allows returns whether engines may get one more prompt by the limits of cold ones.
+// allows returns a function that reports whether an engine may get another prompt under the
+// limits for cold engines.
 func (p *EngineChooser) allows(now time.Time, q Prompt) allows {
 	givesOut := sync.OnceValue(q.GivesOut)
 	return func(e directory.Target) bool { return p.limits.Allows(now, e, givesOut) }
 }
 
-// engineLoad is what an engine has to do when a prompt comes, in tokens.
+// engineLoad is the state of an engine when a prompt arrives, in tokens.
 type engineLoad struct {
-	// backlog is what the engine has to prefill before the prompt.
+	// backlog is the number of tokens that the engine has to prefill before the prompt.
 	backlog int
-	// cached is what it has cached of the prompt, and cachedElsewhere what another
-	// engine has cached beyond that.
+	// cached is the number of tokens of the prompt that the engine has cached.
+	// cachedElsewhere is the number of further tokens that another engine has cached.
 	cached, cachedElsewhere int
 }
 
-// promptCost is what the wait for a prompt's first event at an engine costs, and
-// what of its shared parts is copied or prefilled again there, in milliseconds.
+// promptCost returns the cost of the time to a prompt's first event on an engine, and of the
+// shared tokens that are copied or prefilled again there, in milliseconds.
 func (p *EngineChooser) promptCost(q Prompt, e engineLoad) float64 {
 	again, againTime := prefillAgainCost, p.prefillRate
 	if p.copiesFast() {
@@ -257,6 +257,6 @@
 	return cost
 }
 
-// prefillTokens is how many tokens of the prompt an engine has to prefill that has
-// so many of them cached.
+// prefillTokens returns the number of tokens of the prompt that an engine has to prefill if
+// it has cached tokens of it cached.
 func (q Prompt) prefillTokens(cached int) int { return max(q.Tokens-cached, 0) }
--- a/internal/gateway/placement/byprefill_test.go
+++ b/internal/gateway/placement/byprefill_test.go
@@ -10,12 +10,12 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 )
 
-// TestPlaceTable goes through what keeps a session at the engine that has its
-// shared part cached, and what moves it to another. A prompt of 12,000 tokens takes
-// 240 ms at first, 140 ms when 5,000 are cached.
+// TestPlaceTable verifies when a session stays on the engine that has its shared part cached,
+// and when it moves to another engine. The prefill of 12,000 tokens initially takes 240 ms,
+// or 140 ms if 5,000 tokens are cached.
 func TestPlaceTable(t *testing.T) {
-	// place has the session's shared part cached at the first engine, then other
-	// prompts of its session pending there, and places a prompt.
+	// place places a prompt after the shared part of the session has been cached on the first
+	// engine. pendingTokens is the backlog of that engine.
 	place := func(pendingTokens int, list []directory.Target, q placement.Prompt) (first, got placement.Placement) {
 		p := placement.NewEngineChooser()
 		first, _ = p.Place(now, engines(2), prompt("before", 7))
@@ -62,13 +62,13 @@
 		q       placement.Prompt
 		assert  func(first, got placement.Placement)
 	}{
-		{"stays when nothing is pending", 0, engines(2), prompt("q", 7), stays},
-		{"stays behind 20,000 tokens when still in time", 20_000, engines(2), prompt("q", 7), stays},
-		{"moves when it would be late behind them", 20_000, engines(2), due(500 * time.Millisecond), moves},
-		{"stays when it would be late at both", 0, engines(2), due(100 * time.Millisecond), stays},
-		{"stays for 7 MB of results elsewhere", 0, engines(2), bytes(7e6), stays},
-		{"moves for 9 MB of results elsewhere", 0, engines(2), bytes(9e6), moves},
-		{"moves when its engine may be gone", 0, lapsing, prompt("q", 7), moves},
+		{"stays if nothing is pending", 0, engines(2), prompt("q", 7), stays},
+		{"stays behind a backlog of 20,000 tokens if still in time", 20_000, engines(2), prompt("q", 7), stays},
+		{"moves if it would be late behind the backlog", 20_000, engines(2), due(500 * time.Millisecond), moves},
+		{"stays if it would be late on both engines", 0, engines(2), due(100 * time.Millisecond), stays},
+		{"stays if 7 MB of results are in the other data centre", 0, engines(2), bytes(7e6), stays},
+		{"moves if 9 MB of results are in the other data centre", 0, engines(2), bytes(9e6), moves},
+		{"moves if its engine may be gone", 0, lapsing, prompt("q", 7), moves},
 	}
 	convey.Convey("A session", t, func() {
 		for _, c := range cases {
@@ -77,8 +77,8 @@
 	})
 }
 
-// TestPrefillRate shows which prompts the prefill rate is learnt from: after slow
-// ones a session that was in time behind 20,000 tokens is late and moves.
+// TestPrefillRate verifies which prompts update the prefill time per token. If slow prompts
+// do, a session that was in time behind a backlog of 20,000 tokens is late and moves.
 func TestPrefillRate(t *testing.T) {
 	moved := func(tokens int, alone, whole bool) bool {
 		p := placement.NewEngineChooser()
@@ -100,17 +100,18 @@
 		got, _ := p.Place(now, engines(2), prompt("q", 7))
 		return got.ID != first.ID
 	}
-	convey.Convey("The prefill rate is learnt", t, func() {
-		convey.Convey("from whole prompts of 1,000 tokens and more", func() {
+	convey.Convey("The prefill time per token is estimated", t, func() {
+		convey.Convey("from complete prefills of at least 1,000 tokens", func() {
 			convey.So(moved(12_000, true, true), convey.ShouldBeTrue)
 		})
-		convey.Convey("not from shorter ones", func() { convey.So(moved(999, true, true), convey.ShouldBeFalse) })
-		convey.Convey("not from ones that were broken off", func() { convey.So(moved(12_000, true, false), convey.ShouldBeFalse) })
-		convey.Convey("not from ones behind another prompt", func() { convey.So(moved(12_000, false, true), convey.ShouldBeFalse) })
+		convey.Convey("not from shorter prefills", func() { convey.So(moved(999, true, true), convey.ShouldBeFalse) })
+		convey.Convey("not from prefills that were aborted", func() { convey.So(moved(12_000, true, false), convey.ShouldBeFalse) })
+		convey.Convey("not from prefills behind another prompt", func() { convey.So(moved(12_000, false, true), convey.ShouldBeFalse) })
 	})
 }
 
-// TestPendingFor shows how long a prompt counts of which nothing is reported.
+// TestPendingFor verifies how long a prompt counts as pending if neither its first event nor
+// its end is reported.
 func TestPendingFor(t *testing.T) {
 	stays := func(after time.Duration) bool {
 		p := placement.NewEngineChooser()
@@ -120,15 +121,15 @@
 		got, _ := p.Place(now.Add(after), engines(2), q)
 		return got.ID == first.ID
 	}
-	convey.Convey("A prompt of which nothing is reported counts as pending for 5 s", t, func() {
+	convey.Convey("A prompt without any report counts as pending for 5 s", t, func() {
 		convey.So(stays(5*time.Second), convey.ShouldBeFalse)
 		convey.So(stays(5*time.Second+time.Millisecond), convey.ShouldBeTrue)
 	})
 }
 
-// TestSameOrder shows that both rules choose one engine when nothing else counts.
+// TestSameOrder verifies that both rules select the same engine if all other costs are equal.
 func TestSameOrder(t *testing.T) {
-	convey.Convey("A new session goes to the engine that a node would choose on its own", t, func() {
+	convey.Convey("A new session goes to the engine that a node would select on its own", t, func() {
 		for key := range uint64(50) {
 			got, _ := placement.NewEngineChooser().Place(now, engines(9), prompt("a", key+1))
 			convey.So(got.ID, convey.ShouldEqual, chosen(placement.NewTargetTable(), placement.Query{Key: key + 1}))
@@ -136,7 +137,7 @@
 	})
 }
 
-// TestCachedFor shows when a shared part counts as cached no longer.
+// TestCachedFor verifies when a shared part no longer counts as cached.
 func TestCachedFor(t *testing.T) {
 	place := func(after time.Duration, prune bool) (first, got placement.Placement) {
 		p := placement.NewEngineChooser()
@@ -149,7 +150,7 @@
 			other = other[:1]
 		}
 		p.Prefilled(now, "a", false)
-		// The session moved to the other engine at the same time.
+		// Move the session to the other engine at the same time.
 		p.Place(now, other, prompt("b", key))
 		p.Prefilled(now, "b", false)
 		if prune {
@@ -158,7 +159,7 @@
 		got, _ = p.Place(now.Add(after), engines(2), prompt("c", key))
 		return first, got
 	}
-	convey.Convey("A shared part counts as cached for 30 s, unless its engine has left", t, func() {
+	convey.Convey("A shared part counts as cached for 30 s unless its engine is removed", t, func() {
 		first, got := place(30*time.Second, false)
 		convey.So(got.ID, convey.ShouldEqual, first.ID)
 		first, got = place(30*time.Second, true)
--- a/internal/gateway/placement/byprefix.go
+++ b/internal/gateway/placement/byprefix.go
@@ -6,54 +6,52 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// Weights of ByPrefix, in milliseconds of an engine's work. They differ from those
-// of EngineChooser.Place for like things: this rule does not know what an engine
-// has to prefill or has cached, and guesses the one from calls outstanding and the
-// other from the rank for the session.
+// Weights of ByPrefix, in milliseconds of an engine's work. They differ from the corresponding
+// weights of EngineChooser.Place because this rule does not know the backlog and the cache
+// state of engines. It estimates the former from the outstanding calls, and the latter from
+// the rank for the session.
 const (
-	// fullCost is the cost of an engine whose slots are all in use, in proportion for
-	// fewer or more calls: about the seconds that a request waits there for a slot.
+	// fullCost is the cost of an engine whose slots are all in use. The cost is proportional
+	// to the number of calls. It is about the time that a request waits for a slot.
 	fullCost = 1500.0
-	// failingCost is the cost of an engine that only fails, in proportion for one that
-	// fails at times: more than any engine that is full, less than two of them.
+	// failingCost is the cost of an engine on which all calls fail. The cost is proportional
+	// to the failure rate. It exceeds the cost of a full engine, but not that of an engine
+	// with twice as many calls.
 	failingCost = 2 * fullCost
-	// busyShare is the share of an engine's slots beyond which each call costs busyCost
-	// besides: other nodes send it calls that this one does not know yet.
+	// busyShare is the fraction of an engine's slots beyond which each call also costs
+	// busyCost, because other nodes send calls that this node does not know of yet.
 	busyShare = 0.75
-	// busyCost is the cost of each call outstanding beyond busyShare of the slots, about a
-	// third of a rank of a usual prompt.
+	// busyCost is the cost of each outstanding call beyond busyShare of the slots. It is about
+	// a third of the cost of a rank for a typical prompt.
 	busyCost = 100.0
-	// rankTokensCost is the cost of a thousand shared tokens for each rank that an engine
-	// is behind the first for the session: it has probably to prefill them, in some 18 ms.
-	// It replaced a flat cost of 60 a rank together with other changes; what it brings
-	// alone was not measured.
+	// rankTokensCost is the cost of a thousand shared tokens for each rank that an engine is
+	// behind the first engine of the session. The engine probably has to prefill them, which
+	// takes about 18 ms.
 	rankTokensCost = 250.0
-	// minRankCost is the least cost of a rank, which keeps the sessions with short prompts
-	// together too.
+	// minRankCost is the minimum cost of a rank. It keeps sessions with short prompts on one
+	// engine too.
 	minRankCost = 30.0
-	// maxRanks bounds the ranks that count, so that a session whose first engines are busy
-	// may go to any other.
+	// maxRanks is the rank from which on the cost no longer increases, so that a session whose
+	// first engines are busy may go to any other engine.
 	maxRanks = 3
 )
 
-// tokensPerUnit is the unit of the costs of tokens, in both rules for engines.
+// tokensPerUnit is the number of tokens to which token costs apply, in both rules for engines.
 const tokensPerUnit = 1000
 
-// ByPrefix chooses an engine when this node chooses on its own, because the
-// service's coordinator did not answer. It returns false when no usable engine is
-// left.
+// ByPrefix selects an engine if this node selects on its own because the coordinator of the
+// service did not respond. It returns false if no usable engine is left.
 //
-// The tier counts first (see tier). Within a tier the least cost wins: the calls
-// outstanding for each slot, those beyond busyShare of the slots, failures, results
-// that cross data centres, and the rank of the engine for the session, which all
-// nodes compute alike without any exchange. Calls outstanding include those of other
-// nodes while the engine's last report is not older than maxLoadAge; failures are
-// of this node's own calls.
+// Engines are compared by tier, then by cost. The cost includes the outstanding calls per
+// slot, the calls beyond busyShare of the slots, failures, results that cross data centres,
+// and the rank of the engine for the session, which all nodes compute identically without
+// communication. Outstanding calls include those of other nodes while the engine's last
+// report is not older than maxLoadAge. Failures only cover this node's own calls.
 //
-// Without any of this a session's prompts go to its first engine. A wrong answer
-// costs a prompt that is prefilled twice, or one that waits behind others for its
-// first event: when all nodes chose by this rule alone, one prompt in ten waited
-// 1,000 ms from its last stage, where 270 ms was the median. See docs/decisions/0014.
+// Without any statistics the prompts of a session go to its first engine. A poor selection
+// results in a repeated prefill, or in a prompt that waits behind others for its first event.
+// If all nodes use only this rule, one prompt in ten waits 1,000 ms after its last stage, with
+// a median of 270 ms. See docs/decisions/0014.
 func (t *TargetTable) ByPrefix(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	if len(targets) == 0 {
 		return directory.Target{}, false
@@ -78,14 +76,14 @@
 	return q.sent(now, target, found)
 }
 
-// indexOf returns the index of a service's engines, of which there is one at least.
+// indexOf returns the index of the engines of a service. engines must not be empty.
 func (t *TargetTable) indexOf(engines []directory.Target) *engineIndex {
 	service := engines[0].Service
 	t.indexes[service] = t.indexes[service].of(engines)
 	return t.indexes[service]
 }
 
-// engineLoad is the cost of an engine's load and failures, in milliseconds.
+// engineLoad returns the cost of an engine's load and failures, in milliseconds.
 func (s *stats) engineLoad(now time.Time, configuredSlots int32) float64 {
 	outstanding, slots := s.outstanding(now), s.slots(configuredSlots)
 	cost := fullCost * outstanding / slots
--- a/internal/gateway/placement/byprefix_test.go
+++ b/internal/gateway/placement/byprefix_test.go
@@ -10,8 +10,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 )
 
-// firstEngine returns the engine of engines(2) that a session's prompts go to when
-// nothing else counts, and the other one.
+// firstEngine returns the engine of engines(2) that the prompts of a session go to if all
+// other costs are equal, and the other engine.
 func firstEngine(key uint64) (first, other directory.Target) {
 	all := engines(2)
 	got, _ := placement.NewTargetTable().ByPrefix(now, all, placement.Query{Key: key})
@@ -21,14 +21,14 @@
 	return all[1], all[0]
 }
 
-// chosen returns the identity of the engine, of nine, for a query.
+// chosen returns the ID of the engine, out of nine, that is selected for a query.
 func chosen(table *placement.TargetTable, q placement.Query) string {
 	got, _ := table.ByPrefix(now, engines(9), q)
 	return got.ID
 }
 
-// TestByPrefixTable goes through what keeps a session at its engine and what moves
-// it. A rank costs 500 ms of work for 2,000 shared tokens.
+// TestByPrefixTable verifies when a session stays on its engine and when it moves. A rank
+// costs 500 ms of work for 2,000 shared tokens.
 func TestByPrefixTable(t *testing.T) {
 	first, other := firstEngine(7)
 	sent := func(n int) func(*placement.TargetTable) {
@@ -46,24 +46,24 @@
 	}{
 		{"its engine has few calls", sent(2), placement.Query{Key: 7, SharedTokens: 2000}, first},
 		{"its engine has calls for a third of its slots", sent(3), placement.Query{Key: 7, SharedTokens: 2000}, other},
-		{"its engine is full, but long parts are cached there", sent(8), placement.Query{Key: 7, SharedTokens: 8000}, first},
+		{"its engine is full but has long parts cached", sent(8), placement.Query{Key: 7, SharedTokens: 8000}, first},
 		{"its engine is more than full", sent(11), placement.Query{Key: 7, SharedTokens: 8000}, other},
-		{"its engine reported calls of other nodes", func(table *placement.TargetTable) {
+		{"its engine reported calls from other nodes", func(table *placement.TargetTable) {
 			table.Report(now, first.Life(), placement.Load{Running: 6, Slots: 8})
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine has failed", func(table *placement.TargetTable) {
 			answered(table, now, first.ID, time.Millisecond, true)
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
-		{"its engine is ejected, whatever is cached there", func(table *placement.TargetTable) {
+		{"its engine is ejected, regardless of its cache", func(table *placement.TargetTable) {
 			table.Eject(now, first.Life())
 		}, placement.Query{Key: 7, SharedTokens: 100_000}, other},
-		{"8 MB lie at its engine, 16 MB at the other", nil, placement.Query{
+		{"8 MB of results are near its engine, 16 MB near the other", nil, placement.Query{
 			Key: 7, SharedTokens: 2000, InputBytes: map[string]int64{first.DataCentre: 8e6, other.DataCentre: 16e6},
 		}, first},
-		{"8 MB lie at its engine, 17 MB at the other", nil, placement.Query{
+		{"8 MB of results are near its engine, 17 MB near the other", nil, placement.Query{
 			Key: 7, SharedTokens: 2000, InputBytes: map[string]int64{first.DataCentre: 8e6, other.DataCentre: 17e6},
 		}, other},
-		{"its parts are short and no call is outstanding", nil, placement.Query{Key: 7, SharedTokens: 1}, first},
+		{"its parts are short and no calls are outstanding", nil, placement.Query{Key: 7, SharedTokens: 1}, first},
 	}
 	convey.Convey("The engine of a session when", t, func() {
 		for _, c := range cases {
@@ -85,7 +85,7 @@
 			got, _ = table.ByPrefix(now, engines(2), placement.Query{SharedTokens: 5000})
 			convey.So(got.ID, convey.ShouldEqual, "t1")
 		})
-		convey.Convey("its first ones are overloaded is any other with less load", func() {
+		convey.Convey("its first engines are overloaded is any other with less load", func() {
 			table := placement.NewTargetTable()
 			q := placement.Query{Key: 7, SharedTokens: 2000}
 			for range 3 {
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -8,8 +8,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// tier says how well a candidate may be used at all. A candidate of a lower tier
-// goes before all of a higher one, whatever their costs.
+// tier is the priority class of a candidate. A candidate in a lower tier is preferred to all
+// candidates in higher tiers, regardless of cost.
 type tier int
 
 // Tiers of candidates.
@@ -18,24 +18,25 @@
 	healthy tier = iota
 	// outside candidates are not in the node's Subset.
 	outside
-	// connectionsFull candidates have this node's share of their connections in
-	// use: a call more waits or is refused there.
+	// connectionsFull candidates have no connection left in this node's share. A further
+	// call would wait or be refused.
 	connectionsFull
-	// lapsed candidates may be gone; the source could not say (directory.Lapsed).
+	// lapsed candidates may be gone. They vanished from the list during or soon after an
+	// outage of the source (directory.Lapsed).
 	lapsed
-	// ejected candidates failed lately (outlier); only used when all others are
+	// ejected candidates failed recently (outlier). They are only used if all others are
 	// excluded or gone.
 	ejected
 )
 
-// assessment is what a rule says of one candidate. Costs of different rules have
-// different units and are never compared.
+// assessment is the result of a rule for one candidate. Costs of different rules have
+// different units and are not comparable.
 type assessment struct {
 	tier tier
 	cost float64
 }
 
-// before says whether a goes before b.
+// before reports whether a is preferred to b.
 func (a assessment) before(b assessment) bool {
 	if a.tier != b.tier {
 		return a.tier < b.tier
@@ -43,12 +44,11 @@
 	return a.cost < b.cost
 }
 
-// allows says whether a candidate may get one more request now.
+// allows reports whether a candidate may get another request now.
 type allows func(directory.Target) bool
 
-// best returns the candidate that goes before all others, among the usable targets
-// that are not excluded and may get a request, by its index; of two alike the earlier
-// one. It returns false when there is none.
+// best returns the index of the best candidate among the usable targets that are not
+// excluded and may get a request, or false if there is none. Ties go to the lower index.
 func best(now time.Time, targets []directory.Target, exclude []string, allowed allows, assess func(i int, c *directory.Target) assessment) (int, bool) {
 	all := make([]ranked, len(targets))
 	for i := range all {
@@ -58,7 +58,7 @@
 	return found.index, ok
 }
 
-// bestOf is best among some of the targets.
+// bestOf is like best but only considers the targets in among.
 func bestOf(
 	now time.Time, targets []directory.Target, among []ranked, exclude []string, allowed allows, assess func(r ranked, c *directory.Target) assessment,
 ) (chosen choice, found bool) {
@@ -74,13 +74,13 @@
 	return chosen, found
 }
 
-// choice is a chosen candidate by its index.
+// choice is a selected candidate, identified by its index.
 type choice struct {
 	index int
 	assessment
 }
 
-// targetAt returns a candidate by its index; false when none was found.
+// targetAt returns targets[i] if found is true.
 func targetAt(targets []directory.Target, i int, found bool) (directory.Target, bool) {
 	if !found {
 		return directory.Target{}, false
@@ -88,36 +88,40 @@
 	return targets[i], true
 }
 
-// Query asks a TargetTable for a target.
+// Query describes a request for which a TargetTable selects a target.
 type Query struct {
-	// DataCentre is where the node is.
+	// DataCentre is the data centre of the node.
 	DataCentre string
-	// Exclude names targets that must not be chosen, such as those that were tried.
+	// Exclude lists the IDs of targets that must not be selected, for example because they
+	// have been tried.
 	Exclude []string
-	// Key is the hash of the prompt's shared part; 0 for none.
+	// Key is the hash of the prompt's shared part. 0 means that there is none.
 	Key uint64
-	// SharedTokens is the length of the prompt's shared part, in tokens.
+	// SharedTokens is the length of the prompt's shared part in tokens.
 	SharedTokens int
-	// MaxInflight bounds this node's calls at one target; 0 for no bound.
+	// MaxInflight is the maximum number of concurrent calls from this node to one target.
+	// 0 means no limit.
 	MaxInflight int
-	// InputBytes is how many bytes of results the call reads from each data centre.
+	// InputBytes is the number of bytes of results that the call reads from each data
+	// centre.
 	InputBytes map[string]int64
 	// Subset limits the targets of plain calls.
 	Subset Subset
-	// Limits bound what cold targets get, and GivesOut says whether this node gives out
-	// the requests of one that is cold.
+	// Limits limits the request rate of cold targets. GivesOut reports whether this node
+	// assigns the requests of a cold target.
 	Limits   *warmup.Limits
 	GivesOut func(target string) bool
 }
 
-// allows returns whether targets may get one more request by the limits of cold ones.
+// allows returns a function that reports whether a target may get another request under the
+// limits for cold targets.
 func (q Query) allows(now time.Time) allows {
 	return func(t directory.Target) bool {
 		return q.Limits.Allows(now, t, func() bool { return q.GivesOut(t.ID) })
 	}
 }
 
-// sent counts a request that a target gets now.
+// sent counts a request against the limit of the selected target, if found is true.
 func (q Query) sent(now time.Time, t directory.Target, found bool) (directory.Target, bool) {
 	if found {
 		q.Limits.Sent(now, t)
@@ -125,8 +129,8 @@
 	return t, found
 }
 
-// tier returns the tier of a candidate in a state, of which this node may use
-// maxInflight calls at a time; 0 for no bound.
+// tier returns the tier of a candidate in the given state. maxInflight is the maximum number
+// of concurrent calls from this node to the candidate; 0 means no limit.
 func (s *stats) tier(now time.Time, state directory.State, maxInflight int) tier {
 	switch {
 	case s.outlier.ejected(now):
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -8,58 +8,59 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// pendingFor is how long a prompt counts as pending when neither its first event nor
-// its end is reported, as from a node that was lost. It is above the longest prefill;
-// longer has the engine passed over for prompts that are long gone.
+// pendingFor is the time after which a prompt no longer counts as pending if neither its
+// first event nor its end is reported, for example because its node has failed. It exceeds
+// the longest prefill. A longer time would keep prompts away from the engine because of
+// prompts that have long ended.
 const pendingFor = 5 * time.Second
 
-// How the prefill rate is learnt.
+// Parameters of the estimate of the prefill time per token.
 const (
-	// firstPrefillRate is assumed until a rate is learnt, in milliseconds a token. An idle
-	// engine took 210 ms for 12,000 tokens, 0.0175 each.
+	// firstPrefillRate is the initial estimate in milliseconds per token. An idle engine
+	// prefills 12,000 tokens in 210 ms, which is 0.0175 ms per token.
 	firstPrefillRate = 0.02
-	// rateWeight is the weight of the newest prompt in the prefill rate, a share: ten
-	// prompts make up two thirds of it.
+	// rateWeight is the weight of the newest prompt in the moving average. The last ten
+	// prompts make up two thirds of the average.
 	rateWeight = 0.1
-	// minRateTokens is the shortest prefill that the rate is learnt from, in tokens: of
-	// shorter ones firstEventDelay is most.
+	// minRateTokens is the minimum length of a prefill that updates the estimate, in tokens.
+	// In shorter prefills firstEventDelay dominates.
 	minRateTokens = 1000
 )
 
-// EngineChooser chooses engines for the prompts of all nodes, at the member that
-// coordinates them. It knows what every engine has to prefill and which shared
-// parts it has cached, as far as it placed them itself; a new coordinator knows
-// nothing. It is not safe for concurrent use.
+// EngineChooser selects engines for the prompts of all nodes. It runs on the member that
+// coordinates them. It tracks the prefill backlog and the cached shared parts of each
+// engine, based only on the prompts that it placed itself, so that a new coordinator starts
+// without any state. It is not safe for concurrent use.
 type EngineChooser struct {
-	// index gives the engines that are worth assessing.
+	// index selects the engines to assess for a prompt.
 	index *engineIndex
-	// cache is what engines are taken to have cached.
+	// cache tracks the shared parts that engines are assumed to have cached.
 	cache prefixCache
-	// pending are the prompts that have no first event yet, by request.
+	// pending holds the prompts that have no first event yet, by request.
 	pending map[string]pendingPrompt
-	// prefillRate is the average time to prefill a token, in milliseconds.
+	// prefillRate is the average prefill time per token, in milliseconds.
 	prefillRate float64
-	// copyTime is the time in which an engine copies a cached token from another, in
-	// milliseconds; 0 for unknown.
+	// copyTime is the time in which an engine copies a cached token from another engine, in
+	// milliseconds. 0 means unknown.
 	copyTime float64
-	// limits bound what cold engines get.
+	// limits limits the request rate of cold engines.
 	limits *warmup.Limits
 }
 
-// pendingPrompt is a prompt that waits for its prefill or is in it.
+// pendingPrompt is a prompt whose prefill has not completed.
 type pendingPrompt struct {
 	engine directory.Life
-	// tokens is how many tokens the engine has to prefill.
+	// tokens is the number of tokens that the engine has to prefill.
 	tokens int
 	placed time.Time
-	// alone says whether the engine had nothing else to prefill when the prompt
-	// was placed.
+	// alone reports whether the engine had nothing else to prefill when the prompt was
+	// placed.
 	alone bool
-	// suspect says that engines ended with the request before.
+	// suspect reports whether engines have crashed during an earlier attempt of the request.
 	suspect bool
 }
 
-// NewEngineChooser returns a chooser that knows nothing.
+// NewEngineChooser returns an EngineChooser without any state about engines.
 func NewEngineChooser() *EngineChooser {
 	return &EngineChooser{
 		cache: newPrefixCache(), pending: map[string]pendingPrompt{}, prefillRate: firstPrefillRate,
@@ -67,19 +68,19 @@
 	}
 }
 
-// SetCopyTime sets the time in which an engine copies a cached token from another; 0
-// for unknown, which keeps engines from copying.
+// SetCopyTime sets the time in which an engine copies a cached token from another engine. 0
+// means unknown and disables copying.
 func (p *EngineChooser) SetCopyTime(perToken time.Duration) {
 	p.copyTime = float64(perToken) / float64(time.Millisecond)
 }
 
-// SetWarmUp sets what a cold engine gets from all nodes together.
+// SetWarmUp sets the maximum request rate of a cold engine, summed over all nodes.
 func (p *EngineChooser) SetWarmUp(b warmup.Bound) { p.limits.SetBound(b) }
 
-// Prefilled reports that a prompt has its first event, or that its request has
-// ended. The prefill rate is learnt from whole prompts that an engine prefilled
-// alone. Unknown requests are ignored: they were placed by another member or have
-// expired.
+// Prefilled records that a prompt has its first event or that its request has ended. A
+// prompt updates the prefill time per token only if the engine had no other backlog and
+// prefilled the prompt completely, which whole reports. Unknown requests are ignored: they
+// were placed by another member or have expired.
 func (p *EngineChooser) Prefilled(now time.Time, request string, whole bool) {
 	r, known := p.pending[request]
 	if !known {
@@ -92,21 +93,21 @@
 	}
 }
 
-// Prune forgets what engines have cached that are not in the directory, and the limits of
-// those that are warm.
+// Prune removes the cache state of engines that are not in the directory, and the limits of
+// engines that are warm or not in the directory.
 func (p *EngineChooser) Prune(now time.Time, d *directory.Directory) {
 	p.cache.prune(d)
 	p.limits.Prune(now, d)
 }
 
-// add counts a prompt as pending at an engine, which prefills the given tokens of it,
-// and its shared parts as cached there from now on.
+// add records a prompt as pending on an engine that has to prefill the given number of
+// tokens of it, and records its shared parts as cached on the engine.
 func (p *EngineChooser) add(now time.Time, engine directory.Target, q Prompt, tokens int, alone bool) {
 	p.pending[q.Request] = pendingPrompt{engine: engine.Life(), tokens: tokens, placed: now, alone: alone, suspect: q.Suspect}
 	p.cache.use(now, engine.Life(), q.Shared)
 }
 
-// backlogs returns how many tokens each engine has to prefill.
+// backlogs returns the number of tokens that each engine has to prefill.
 func (p *EngineChooser) backlogs() map[directory.Life]int {
 	tokens := make(map[directory.Life]int)
 	for _, r := range p.pending {
@@ -115,7 +116,7 @@
 	return tokens
 }
 
-// forgetExpired drops what is too old to count.
+// forgetExpired removes expired pending prompts and cache entries.
 func (p *EngineChooser) forgetExpired(now time.Time) {
 	maps.DeleteFunc(p.pending, func(_ string, r pendingPrompt) bool { return now.Sub(r.placed) > pendingFor })
 	p.cache.forgetExpired(now)
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -12,11 +12,11 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// coldBound is of engines that bear 10 requests a second while they are cold, and 20 at
-// most from all nodes.
+// coldBound limits cold engines that sustain 10 requests a second to 20 requests a second,
+// summed over all nodes.
 var coldBound = warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{Time: 3 * time.Second, PerSecond: 10})
 
-// coldEngines returns engines of which some are cold for a minute.
+// coldEngines returns n engines. Those for which cold returns true are cold for a minute.
 func coldEngines(n int, cold func(i int) bool) []directory.Target {
 	list := engines(n)
 	for i := range list {
@@ -27,8 +27,8 @@
 	return list
 }
 
-// rush places a second's prompts of one session and counts them by engine; refused are
-// those without one.
+// rush places perSecond prompts of one session within a second. It returns the number of
+// prompts by engine, and the number of prompts without an engine.
 func rush(p *placement.EngineChooser, list []directory.Target, perSecond int, givesOut bool) (got map[string]int, refused int) {
 	got = map[string]int{}
 	for i := range perSecond {
@@ -46,9 +46,9 @@
 	return got, refused
 }
 
-// TestHotSessionAtAColdEngine holds what happens to 30 prompts a second of one session
-// when its engine is cold, as one prompt part that a third of a route's requests share is
-// at an engine that has just come back.
+// TestHotSessionAtAColdEngine verifies that a cold engine is not overloaded by 30 prompts a
+// second of one session. This happens if a third of the requests of a route share a prompt
+// prefix, and the engine that has it cached has just restarted.
 func TestHotSessionAtAColdEngine(t *testing.T) {
 	chooser := func() *placement.EngineChooser {
 		p := placement.NewEngineChooser()
@@ -56,7 +56,7 @@
 		return p
 	}
 	usual, _ := rush(chooser(), engines(4), 30, true)
-	convey.Convey("Without the bound one engine would get all of them", t, func() {
+	convey.Convey("Without the limit one engine gets all prompts", t, func() {
 		convey.So(usual, convey.ShouldHaveLength, 1)
 	})
 	first := ""
@@ -64,17 +64,17 @@
 		first = id
 	}
 	firstIsCold := coldEngines(4, func(i int) bool { return engines(4)[i].ID == first })
-	convey.Convey("It gets its part, and warm ones the rest", t, func() {
+	convey.Convey("It gets its share, and warm engines get the rest", t, func() {
 		got, refused := rush(chooser(), firstIsCold, 30, true)
 		convey.So(refused, convey.ShouldEqual, 0)
 		convey.So(got[first], convey.ShouldBeBetweenOrEqual, 1, 4)
 	})
-	convey.Convey("It gets none from a member that gives out none", t, func() {
+	convey.Convey("It gets none from a member that assigns no requests of cold engines", t, func() {
 		got, refused := rush(chooser(), firstIsCold, 30, false)
 		convey.So(refused, convey.ShouldEqual, 0)
 		convey.So(got[first], convey.ShouldEqual, 0)
 	})
-	convey.Convey("When all are cold each gets its part, and what is left has no engine", t, func() {
+	convey.Convey("If all engines are cold, each gets its share, and the remaining prompts get no engine", t, func() {
 		got, refused := rush(chooser(), coldEngines(4, func(int) bool { return true }), 30, true)
 		convey.So(got, convey.ShouldHaveLength, 4)
 		convey.So(refused, convey.ShouldBeGreaterThan, 0)
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestColdTargetsOfNodesAlone holds that a node which chooses on its own sends to a cold
-// target only when it gives out its requests.
+// TestColdTargetsOfNodesAlone verifies that a node that selects targets on its own only sends
+// to a cold target if it assigns the requests of that target.
 func TestColdTargetsOfNodesAlone(t *testing.T) {
 	limits := func() *warmup.Limits {
 		l := warmup.New()
@@ -104,9 +104,9 @@
 		},
 	}
 	for name, choose := range rules {
-		convey.Convey("When a node chooses "+name+" on its own", t, func() {
+		convey.Convey("If a node selects "+name+" on its own", t, func() {
 			table := placement.NewTargetTable()
-			convey.Convey("it passes over a cold one that others give out", func() {
+			convey.Convey("it skips cold targets whose requests another member assigns", func() {
 				q := placement.Query{Key: 7, Limits: limits(), GivesOut: gives(false)}
 				for range 20 {
 					got, found := choose(table, list, q)
@@ -116,7 +116,7 @@
 				_, found := choose(table, allCold, q)
 				convey.So(found, convey.ShouldBeFalse)
 			})
-			convey.Convey("it sends a cold one that it gives out no more than its part", func() {
+			convey.Convey("it limits cold targets whose requests it assigns to its share", func() {
 				q := placement.Query{Key: 7, Limits: limits(), GivesOut: gives(true)}
 				n := 0
 				for range 20 {
--- a/internal/gateway/placement/coordinator.go
+++ b/internal/gateway/placement/coordinator.go
@@ -6,17 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Coordinator returns the member that does something for all nodes: that assembles
-// the batches of a service, or chooses the engines for its prompts. It returns an
-// empty string when there are no members.
+// Coordinator returns the member that performs a task for all nodes, such as assembling the
+// batches of a service or selecting the engines for its prompts. It returns an empty string
+// if there are no members.
 //
-// The member with the highest rendezvous weight for the name wins. The name is that
-// of the service, with a prefix for its prompts, so that one service may have two
-// coordinators for the two kinds of work. Members are the addresses of the eligible
-// ones (membership.Roster.Eligible), which are as old as gossip. There is no election and no lease: while members disagree about
-// who lives, two may coordinate one service. That costs work, such as batches that
-// could have been fuller or a prompt that is prefilled twice, never an answer. See
-// docs/decisions/0011 and 0012.
+// The member with the highest rendezvous weight for name is selected. The name is that of the
+// service, with a prefix for its prompts, so that a service may have different coordinators
+// for the two tasks. members lists the addresses of the eligible members
+// (membership.Roster.Eligible), which may be outdated by the delay of gossip. There is no
+// election and no lease: while members disagree about which members are alive, two of them
+// may coordinate the same service. That costs efficiency, such as smaller batches or a
+// repeated prefill, but never a response. See docs/decisions/0011 and 0012.
 func Coordinator(name string, members []string) string {
 	coordinator, highest := "", uint64(0)
 	key := xxhash.Sum64String(name)
@@ -29,8 +29,9 @@
 	return coordinator
 }
 
-// Rank returns how many members come before one for a name, in the order whose first is the
-// Coordinator, and how many there are; 0 of 0 when it is not among them.
+// Rank returns the number of members that precede member in the order for name, in which the
+// Coordinator comes first, and the total number of members. Both are 0 if member is not in
+// members.
 func Rank(name string, members []string, member string) (before, of int) {
 	if !slices.Contains(members, member) {
 		return 0, 0
--- a/internal/gateway/placement/copysource.go
+++ b/internal/gateway/placement/copysource.go
@@ -9,29 +9,28 @@
 )
 
 const (
-	// copyAdvantage is how many times as fast as a prefill a copy must be by the
-	// catalog's figures: a copy to another data centre takes twice as long, and copies
-	// wait for each other. No other figure was run.
+	// copyAdvantage is the factor by which a copy must be faster than a prefill according to
+	// the catalog. A copy to another data centre takes twice as long, and copies queue behind
+	// each other.
 	copyAdvantage = 2.0
-	// minCopyTokens is the least that is worth a copy, in tokens: what takes about 1 ms to
-	// prefill at the first rate.
+	// minCopyTokens is the minimum number of tokens for a copy. Their prefill takes about
+	// 1 ms at firstPrefillRate.
 	minCopyTokens = 50
 )
 
-// copySource chooses the engine from which the chosen one should copy cached parts of
-// a prompt before it prefills the rest; false for none.
+// copySource selects the engine from which the engine at index chosen should copy cached
+// parts of a prompt before it prefills the rest. It returns false if there is none.
 //
-// Inputs, in the order in which they count: the time to copy a token by the catalog
-// against the learnt time to prefill one (copyAdvantage); how many tokens of the
-// shared parts each engine is taken to have beyond the chosen one (minCopyTokens); and
-// of those with the most, which used them last, as it is the likeliest to have them
-// still. Engines that may be gone, that leave, or that the asking node has excluded
-// are no source. The chosen engine copies only what it lacks, so a source that has
-// dropped the parts costs a look there.
+// A source is only used if a copy is sufficiently faster than a prefill (copyAdvantage), and
+// if it has at least minCopyTokens more of the shared parts cached than the chosen engine.
+// The engine with the most cached tokens is selected. Ties go to the engine that used the
+// parts last, as it is the most likely to still have them. Engines that may be gone, are
+// leaving or are excluded by the requesting node are never a source. The chosen engine only
+// copies what it lacks, so a source that has evicted the parts costs only a lookup.
 //
-// Engines are given and returned by their index; cached is what those that are looked at
-// have of the shared parts, in tokens. A wrong yes occupies the links of two engines; a
-// wrong no prefills what another engine has prefilled before.
+// cached maps the indexes of the engines to consider to the number of tokens of the shared
+// parts that they have cached. An unnecessary copy occupies the links of two engines; a
+// missed copy repeats a prefill.
 func (p *EngineChooser) copySource(now time.Time, engines []directory.Target, cached map[int]int, chosen int, q Prompt) (source int, found bool) {
 	if !p.copiesFast() {
 		return 0, false
@@ -51,8 +50,8 @@
 	return source, found
 }
 
-// copiesFast says whether engines copy cached tokens so much faster than they prefill
-// them that copying is worth it. An unknown time is not fast.
+// copiesFast reports whether engines copy cached tokens sufficiently faster than they prefill
+// them. It returns false if the copy time is unknown.
 func (p *EngineChooser) copiesFast() bool {
 	return p.copyTime > 0 && copyAdvantage*p.copyTime < p.prefillRate
 }
--- a/internal/gateway/placement/copysource_test.go
+++ b/internal/gateway/placement/copysource_test.go
@@ -11,13 +11,13 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 )
 
-// fastCopy is a time to copy a token at which a copy is worth it at the first prefill
-// rate of 20 µs.
+// fastCopy is a copy time per token that is short enough for copies, given the initial
+// estimate of the prefill time of 20 µs per token.
 const fastCopy = 5 * time.Microsecond
 
-// TestCopySource goes through when an engine copies cached parts from another: t0 has
-// a session's parts of 3,000 and 2,000 tokens cached and is busy, so that a prompt
-// goes to t1.
+// TestCopySource verifies when an engine copies cached parts from another engine. t0 has the
+// parts of a session cached, of 3,000 and 2,000 tokens, and is busy, so that a prompt goes to
+// t1.
 func TestCopySource(t *testing.T) {
 	session := []placement.SharedPart{{Key: 1, Tokens: 3000}, {Key: 2, Tokens: 2000}}
 	other := placement.SharedPart{Key: 9, Tokens: 2000}
@@ -42,21 +42,21 @@
 		state    directory.State
 		from     string
 	}{
-		{"are copied from the engine that has them", fastCopy, session, directory.Ready, "a0"},
-		{"are copied when it has the first of them", fastCopy, []placement.SharedPart{session[0], other}, directory.Ready, "a0"},
-		{"are not when it lacks the first of them", fastCopy, []placement.SharedPart{other, session[1]}, directory.Ready, ""},
-		{"are not when they are short", fastCopy, []placement.SharedPart{{Key: 1, Tokens: 49}}, directory.Ready, ""},
-		{"are not when a copy takes more than half as long as a prefill", 11 * time.Microsecond, session, directory.Ready, ""},
-		{"are not when the time of a copy is unknown", 0, session, directory.Ready, ""},
-		{"are not from an engine that leaves", fastCopy, session, directory.Draining, ""},
-		{"are not from an engine that may be gone", fastCopy, session, directory.Lapsed, ""},
+		{"are copied from the engine that has them cached", fastCopy, session, directory.Ready, "a0"},
+		{"are copied if the engine has the first part cached", fastCopy, []placement.SharedPart{session[0], other}, directory.Ready, "a0"},
+		{"are not copied if the engine lacks the first part", fastCopy, []placement.SharedPart{other, session[1]}, directory.Ready, ""},
+		{"are not copied if they are short", fastCopy, []placement.SharedPart{{Key: 1, Tokens: 49}}, directory.Ready, ""},
+		{"are not copied if a copy takes more than half the time of a prefill", 11 * time.Microsecond, session, directory.Ready, ""},
+		{"are not copied if the copy time is unknown", 0, session, directory.Ready, ""},
+		{"are not copied from a draining engine", fastCopy, session, directory.Draining, ""},
+		{"are not copied from an engine that may be gone", fastCopy, session, directory.Lapsed, ""},
 	}
 	convey.Convey("A prompt's shared parts", t, func() {
 		for _, c := range cases {
 			convey.Convey(c.why, func() { convey.So(source(c.copyTime, c.shared, c.state), convey.ShouldEqual, c.from) })
 		}
 	})
-	convey.Convey("An engine that the asking node excludes is no source", t, func() {
+	convey.Convey("An engine that the requesting node excludes is not a source", t, func() {
 		p := placement.NewEngineChooser()
 		p.SetCopyTime(fastCopy)
 		p.Place(now, list[:1], placement.Prompt{Request: "before", Shared: session, Tokens: 12_000})
--- a/internal/gateway/placement/doc.go
+++ b/internal/gateway/placement/doc.go
@@ -1,21 +1,21 @@
-// Package placement decides which target of a service a request goes to, and
-// which member coordinates a service. It does no input or output, reads no clock
-// and starts nothing; its callers guard its state with their locks.
+// Package placement selects the target for each request to a service, and the member that
+// coordinates a service. It performs no I/O, does not read the clock and starts no
+// goroutines. Callers protect its state with their own locks.
 //
-// One rule a file:
+// Each rule has its own file:
 //
-//   - leastloaded.go: the target of a call that generates nothing (LeastLoaded).
-//   - outlier.go: which targets are ejected for failing, and when one request
-//     probes them.
-//   - byprefix.go: the engine, when this node chooses on its own (ByPrefix).
-//   - byprefill.go: the engine, when one coordinator chooses for the prompts of
-//     all nodes (EngineChooser.Place).
-//   - coordinator.go: the member that coordinates a service (Coordinator).
+//   - leastloaded.go selects the target of a call that generates nothing (LeastLoaded).
+//   - outlier.go determines which failing targets are ejected, and when a request probes
+//     them.
+//   - byprefix.go selects the engine if this node selects on its own (ByPrefix).
+//   - byprefill.go selects the engine if one coordinator selects for the prompts of all
+//     nodes (EngineChooser.Place).
+//   - coordinator.go selects the member that coordinates a service (Coordinator).
 //
-// The package owns what a node has learnt of targets (TargetTable) and what a
-// coordinator has placed at engines (EngineChooser). It relies on the directory
-// for which targets exist and may take work. Without any knowledge of the targets
-// each rule still answers: the same order of targets at every node.
+// The package keeps the statistics that a node collects about targets (TargetTable), and
+// the prompts that a coordinator has assigned to engines (EngineChooser). The directory
+// determines which targets exist and accept requests. Without any statistics each rule
+// still works and produces the same order of targets on every node.
 //
 // See docs/decisions/0011, 0012 and 0014.
 package placement
--- a/internal/gateway/placement/leastloaded.go
+++ b/internal/gateway/placement/leastloaded.go
@@ -6,34 +6,34 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// Figures of LeastLoaded.
+// Parameters of LeastLoaded.
 const (
-	// minLatency is the latency assumed of a target at least, in seconds: one that was
-	// never called, or not lately, is as good as one that answers in 1 ms, so that each is
-	// tried.
+	// minLatency is the minimum latency assumed for a target, in seconds. It makes a target
+	// that was never or not recently called as good as one that responds in 1 ms, so that
+	// each target is tried.
 	minLatency = 0.001
-	// failurePenalty is how many times its latency a target that only fails costs beyond
-	// one that never does. A target that fails fast would look good without it.
+	// failurePenalty is the additional cost of a target on which all calls fail, as a multiple
+	// of its latency. Without it a target that fails fast would be preferred.
 	failurePenalty = 4
-	// otherDataCentreCost is the cost of a target in another data centre, in seconds:
-	// about the way there and back. Less spends bytes between data centres for nothing,
-	// more waits for a near target that is busy.
+	// otherDataCentreCost is the cost of a target in another data centre, in seconds. It is
+	// about the round-trip time. A lower cost causes unnecessary traffic between data centres;
+	// a higher cost causes requests to wait for a busy target nearby.
 	otherDataCentreCost = 0.002
 )
 
-// LeastLoaded chooses the target of a plain call: the one that should answer
-// first. It returns false when no usable target is left.
+// LeastLoaded selects the target of a plain call that is expected to respond first. It returns
+// false if no usable target is left.
 //
-// The tier counts first (see tier). Within a tier the least cost wins, in seconds:
-// the latency of the target's answers, which loses weight by halfLife, times 1 plus
-// the calls outstanding for each slot, times 1 plus failurePenalty for its failures;
-// then otherDataCentreCost. Latency and failures are of this node's own calls, and
-// failures do not age until the next one ends; the calls outstanding include those of
-// other nodes while the target's last report is not older than maxLoadAge.
+// Targets are compared by tier, then by cost in seconds. The cost is the target's latency,
+// which decays with halfLife, times 1 plus the outstanding calls per slot, times 1 plus
+// failurePenalty times the failure rate, plus otherDataCentreCost if applicable. Latency and
+// failure rate only cover this node's own calls, and the failure rate does not decay until
+// the next call ends. Outstanding calls include those of other nodes while the target's last
+// report is not older than maxLoadAge.
 //
-// Without any of this the first target of the node's own data centre in the order
-// given is chosen. A wrong answer costs the difference of two targets' waiting
-// times, and an attempt when the target fails. See docs/decisions/0011.
+// Without any statistics the first target in the node's own data centre is selected. A poor
+// selection costs the difference between the response times of two targets, or an attempt if
+// the target fails. See docs/decisions/0011.
 func (t *TargetTable) LeastLoaded(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	subset := q.Subset.contains(targets, q.DataCentre)
 	i, found := best(now, targets, q.Exclude, q.allows(now), func(i int, c *directory.Target) assessment {
--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -10,13 +10,13 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 )
 
-// answered counts a call that ended.
+// answered records a call from start to end.
 func answered(table *placement.TargetTable, at time.Time, id string, took time.Duration, failed bool) {
 	table.Sent(life(id))
 	table.Ended(at, life(id), took, failed)
 }
 
-// pair returns targets t0 and t1 of the same data centre, t0 in a state.
+// pair returns targets t0 and t1 in the same data centre. t0 has the given state.
 func pair(state directory.State) []directory.Target {
 	return []directory.Target{
 		{ID: "t0", DataCentre: "d0", Slots: 8, State: state, StateUntil: now.Add(time.Minute)},
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestLeastLoadedTable goes through what decides between two targets.
+// TestLeastLoadedTable verifies which of two targets is selected.
 func TestLeastLoadedTable(t *testing.T) {
 	lapsedAway := append(pair(directory.Lapsed)[:1], directory.Target{ID: "t1", DataCentre: "d1", Slots: 8})
 	cases := []struct {
@@ -34,22 +34,22 @@
 		q       placement.Query
 		want    string
 	}{
-		{"with nothing known, the first of the own data centre", nil, engines(2), placement.Query{DataCentre: "d1"}, "t1"},
-		{"with nothing known and alike, the first in the order given", nil, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
+		{"the first in the node's data centre if there are no statistics", nil, engines(2), placement.Query{DataCentre: "d1"}, "t1"},
+		{"the first in the list if all else is equal", nil, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
 		{"the faster one", func(table *placement.TargetTable) {
 			answered(table, now, "t0", 40*time.Millisecond, false)
 			answered(table, now, "t1", 20*time.Millisecond, false)
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t1"},
-		{"the faster one in another data centre, by more than 2 ms", func(table *placement.TargetTable) {
+		{"the one in another data centre if it is faster by more than 2 ms", func(table *placement.TargetTable) {
 			answered(table, now, "t0", 10*time.Millisecond, false)
 			answered(table, now, "t1", 7*time.Millisecond, false)
 		}, engines(2), placement.Query{DataCentre: "d0"}, "t1"},
-		{"not the faster one in another data centre, by less than 2 ms", func(table *placement.TargetTable) {
+		{"the one in the node's data centre if it is slower by less than 2 ms", func(table *placement.TargetTable) {
 			answered(table, now, "t0", 10*time.Millisecond, false)
 			answered(table, now, "t1", 9*time.Millisecond, false)
 		}, engines(2), placement.Query{DataCentre: "d0"}, "t0"},
 		{
-			"the one with fewer calls outstanding", func(table *placement.TargetTable) { table.Sent(life("t0")) },
+			"the one with fewer outstanding calls", func(table *placement.TargetTable) { table.Sent(life("t0")) },
 			pair(directory.Ready),
 			placement.Query{DataCentre: "d0"},
 			"t1",
@@ -58,36 +58,36 @@
 			answered(table, now, "t0", time.Millisecond, true)
 			answered(table, now, "t1", time.Millisecond, false)
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t1"},
-		{"the faster one with more load, when it still answers first", func(table *placement.TargetTable) {
+		{"the faster one with more load if it is still expected to respond first", func(table *placement.TargetTable) {
 			answered(table, now, "t0", 10*time.Millisecond, false)
 			answered(table, now, "t1", 40*time.Millisecond, false)
 			table.Report(now, life("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
-		{"a healthy one, however slow, before one whose connections are full", func(table *placement.TargetTable) {
+		{"a healthy one, however slow, rather than one without free connections", func(table *placement.TargetTable) {
 			answered(table, now, "t1", time.Minute, false)
 			table.Sent(life("t0"))
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0", MaxInflight: 1}, "t1"},
 		{
-			"one whose connections are full before a lapsed one", func(table *placement.TargetTable) { table.Sent(life("t1")) },
+			"one without free connections rather than a lapsed one", func(table *placement.TargetTable) { table.Sent(life("t1")) },
 			pair(directory.Lapsed),
 			placement.Query{DataCentre: "d0", MaxInflight: 1},
 			"t1",
 		},
-		{"a healthy one elsewhere before a lapsed one here", nil, lapsedAway, placement.Query{DataCentre: "d0"}, "t1"},
+		{"a healthy one in another data centre rather than a lapsed one nearby", nil, lapsedAway, placement.Query{DataCentre: "d0"}, "t1"},
 		{
-			"a lapsed one before an ejected one", func(table *placement.TargetTable) { table.Eject(now, life("t1")) },
+			"a lapsed one rather than an ejected one", func(table *placement.TargetTable) { table.Eject(now, life("t1")) },
 			pair(directory.Lapsed),
 			placement.Query{DataCentre: "d0"},
 			"t0",
 		},
 		{
-			"an ejected one when the other was tried", func(table *placement.TargetTable) { table.Eject(now, life("t0")) },
+			"an ejected one if the other was tried", func(table *placement.TargetTable) { table.Eject(now, life("t0")) },
 			pair(directory.Ready),
 			placement.Query{DataCentre: "d0", Exclude: []string{"t1"}},
 			"t0",
 		},
 		{
-			"none that drains, whatever the other does", func(table *placement.TargetTable) { table.Eject(now, life("t1")) },
+			"an ejected one rather than a draining one", func(table *placement.TargetTable) { table.Eject(now, life("t1")) },
 			pair(directory.Draining),
 			placement.Query{DataCentre: "d0"},
 			"t1",
@@ -108,7 +108,7 @@
 	})
 }
 
-// TestAge shows for how long what was learnt counts.
+// TestAge verifies how statistics decay and expire.
 func TestAge(t *testing.T) {
 	q := placement.Query{DataCentre: "d0"}
 	chosen := func(table *placement.TargetTable, after time.Duration) string {
@@ -121,7 +121,7 @@
 		convey.So(chosen(table, 500*time.Millisecond), convey.ShouldEqual, "t1")
 		convey.So(chosen(table, 501*time.Millisecond), convey.ShouldEqual, "t0")
 	})
-	convey.Convey("A learnt latency loses half its weight in 3 s", t, func() {
+	convey.Convey("A latency loses half its weight in 3 s", t, func() {
 		table := placement.NewTargetTable()
 		answered(table, now, "t0", 40*time.Millisecond, false)
 		answered(table, now.Add(3*time.Second), "t1", 21*time.Millisecond, false)
@@ -129,14 +129,14 @@
 		answered(table, now.Add(3*time.Second), "t1", 0, false)
 		convey.So(chosen(table, 3*time.Second), convey.ShouldEqual, "t1")
 	})
-	convey.Convey("Failures count until the next call ends, however long ago", t, func() {
+	convey.Convey("Failures do not decay until the next call ends", t, func() {
 		table := placement.NewTargetTable()
 		answered(table, now, "t0", 0, true)
 		convey.So(chosen(table, time.Hour), convey.ShouldEqual, "t1")
 		answered(table, now.Add(time.Hour), "t0", 0, false)
 		convey.So(chosen(table, time.Hour), convey.ShouldEqual, "t0")
 	})
-	convey.Convey("A target that gives no slots counts as one of 4", t, func() {
+	convey.Convey("A target with an unknown number of slots counts as having 4", t, func() {
 		for slots, want := range map[int]string{3: "t0", 5: "t1"} {
 			table := placement.NewTargetTable()
 			list := pair(directory.Ready)
@@ -147,7 +147,7 @@
 			convey.So(got.ID, convey.ShouldEqual, want)
 		}
 	})
-	convey.Convey("A latency below 1 ms does not count", t, func() {
+	convey.Convey("A latency below 1 ms counts as 1 ms", t, func() {
 		table := placement.NewTargetTable()
 		answered(table, now, "t0", 900*time.Microsecond, false)
 		answered(table, now, "t1", 100*time.Microsecond, false)
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -11,17 +11,17 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// engine is one life of an engine.
+// engine returns an engine with the given start time.
 func engine(id string, born int64) directory.Target {
 	return directory.Target{ID: id, Service: "s", Address: "10.0.0.1:1", DataCentre: "d", Slots: 8, Born: born}
 }
 
-// TestRestartedTarget holds that what was learnt of a target ends with its life, when it
-// starts again under its identity.
+// TestRestartedTarget verifies that the state of a target is discarded when the target
+// restarts with the same ID.
 func TestRestartedTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	query := placement.Query{DataCentre: "d", GivesOut: func(string) bool { return true }, Limits: warmup.New()}
-	convey.Convey("Ejection, failures and calls outstanding of its earlier life count no more", t, func() {
+	convey.Convey("Ejection, failures and outstanding calls from before the restart are discarded", t, func() {
 		table := placement.NewTargetTable()
 		old, other := engine("a", 1), engine("b", 1)
 		table.Eject(now, old.Life())
@@ -33,13 +33,13 @@
 		convey.So(table.Ejected(now, directory.New(fresh, other)), convey.ShouldBeEmpty)
 		got, _ := table.LeastLoaded(now, []directory.Target{fresh, other}, query)
 		convey.So(got.ID, convey.ShouldEqual, "a")
-		convey.Convey("and an end of its earlier calls changes nothing of the new one", func() {
+		convey.Convey("and the end of a call from before the restart does not affect it", func() {
 			table.Ended(now, old.Life(), time.Second, true)
 			got, _ := table.LeastLoaded(now, []directory.Target{fresh, other}, query)
 			convey.So(got.ID, convey.ShouldEqual, "a")
 		})
 	})
-	convey.Convey("Cached parts and pending prompts of its earlier life count no more", t, func() {
+	convey.Convey("Cached parts and pending prompts from before the restart are discarded", t, func() {
 		p := placement.NewEngineChooser()
 		prompt := placement.Prompt{
 			Request: "1", Shared: []placement.SharedPart{{Key: 7, Tokens: 5000}}, Tokens: 5100, Slack: time.Second,
@@ -52,7 +52,7 @@
 		again, _ := p.Place(now, engines, prompt)
 		convey.So(again.ID, convey.ShouldEqual, first.ID)
 		p.Prefilled(now, "2", true)
-		// The other engine has the part too, then the first one starts again.
+		// Cache the part on the other engine too, then restart the first one.
 		prompt.Request, prompt.Exclude = "3", []string{first.ID}
 		second, _ := p.Place(now, engines, prompt)
 		p.Prefilled(now, "3", true)
--- a/internal/gateway/placement/outlier.go
+++ b/internal/gateway/placement/outlier.go
@@ -8,47 +8,47 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// ejectAt is the average of failures, from 0 to 1, from which on a target is ejected.
-// By failureWeight and halfLife a target that did not fail before is ejected by two
-// failures in a row within 0.78 s, or by three a second apart; one failure alone, as of
-// a connection that was reset, ejects nobody.
+// ejectAt is the failure rate, from 0 to 1, at which a target is ejected. Given failureWeight
+// and halfLife, a target without earlier failures is ejected after two consecutive failures
+// within 0.78 s, or after three that are a second apart. A single failure, such as a
+// connection reset, does not eject a target.
 const ejectAt = 0.6
 
-// ejection is how long a target is ejected: 1 s after the first ejection, then 2 s and
-// 4 s for as long as its probes fail. A probe costs one request an attempt; a target
-// that has recovered is back within 4 s.
+// ejection is the duration of an ejection: 1 s for the first one, then 2 s and 4 s for as long
+// as probes fail. Each probe costs one request an attempt. A target that has recovered is
+// used again within 4 s.
 var ejection = backoff.Doubling{First: time.Second, Max: 4 * time.Second}
 
-// outlier decides whether a target that keeps failing is left unused.
+// outlier implements outlier detection: it determines whether a failing target is ejected.
 //
-// A target is ejected when its average of failures reaches ejectAt, or at once
-// when a failure proves that it is down (TargetTable.Eject). When the ejection is
-// over, one call probes the target; all others go elsewhere until the probe has
-// ended. A success ends the ejection for good; a failure ejects again, for twice
-// as long, also that of a call which was sent before the ejection.
+// A target is ejected if its failure rate reaches ejectAt, or immediately if a failure proves
+// that it is down (TargetTable.Eject). After the ejection one call probes the target, while
+// all other calls go elsewhere until the probe has ended. A success resets the state. A
+// failure ejects the target again for twice as long, even if the call was sent before the
+// ejection.
 //
-// Inputs are the outcomes of this node's own calls: nodes do not share them, since
-// a target may be down for one node alone. A target is still chosen when no other
-// is left (see tier), and such a call counts as a probe too. A wrong ejection
-// costs the target's capacity for a second; a missing one costs each request that
-// meets the target an attempt.
+// Only the results of this node's own calls are considered. Nodes do not share them because
+// a target may be unreachable from a single node. An ejected target is still used if no other
+// is left (see tier), and such a call counts as a probe too. An unnecessary ejection costs
+// the capacity of the target for a second; a missing ejection costs an attempt for each
+// request that is sent to the target.
 type outlier struct {
-	// until is when the ejection is over; zero for not ejected.
+	// until is the end of the ejection. It is zero if the target is not ejected.
 	until time.Time
-	// ejections is how often the target was ejected since its last success.
+	// ejections is the number of ejections since the last success.
 	ejections int
-	// probing is true while a call is out to the ejected target.
+	// probing reports whether a call to the ejected target is in progress.
 	probing bool
 }
 
-// sent counts a call that is being sent.
+// sent records that a call is sent to the target.
 func (o *outlier) sent() {
 	if !o.until.IsZero() {
 		o.probing = true
 	}
 }
 
-// ended counts the end of a call; failing is the average of failures after it.
+// ended records the end of a call. failing is the failure rate including this call.
 func (o *outlier) ended(now time.Time, failed bool, failing float64) {
 	if !failed {
 		*o = outlier{}
@@ -62,12 +62,12 @@
 	o.ejections++
 }
 
-// ejected says whether the target is left unused while there are others.
+// ejected reports whether the target is ejected, which includes the duration of a probe.
 func (o *outlier) ejected(now time.Time) bool {
 	return !o.until.IsZero() && (o.probing || now.Before(o.until))
 }
 
-// Eject ejects a target at once, for a failure that proves that it is down.
+// Eject ejects a target immediately after a failure that proves that it is down.
 func (t *TargetTable) Eject(now time.Time, l directory.Life) {
 	s := t.of(l)
 	s.failing = 1
@@ -75,8 +75,9 @@
 	s.outlier.ended(now, true, s.failing)
 }
 
-// Ejected returns the identities of the targets of a directory that are ejected now, of
-// all services: it looks at those that were called, a few of thousands.
+// Ejected returns the sorted IDs of the targets in d, of all services, that are currently
+// ejected. It only iterates over the targets that this node has called, which are few
+// compared to the thousands in the directory.
 func (t *TargetTable) Ejected(now time.Time, d *directory.Directory) []string {
 	var list []string
 	for life, s := range t.targets {
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -22,14 +22,14 @@
 }
 
 func TestPrefix(t *testing.T) {
-	convey.Convey("Nodes that know nothing of each other send a session to the same engine", t, func() {
+	convey.Convey("Nodes send a session to the same engine without communication", t, func() {
 		for key := range uint64(50) {
 			one, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
 			two, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
 			convey.So(one.ID, convey.ShouldEqual, two.ID)
 		}
 	})
-	convey.Convey("When an engine goes, only its own sessions move", t, func() {
+	convey.Convey("If an engine is removed, only its own sessions move", t, func() {
 		all := engines(9)
 		for key := range uint64(50) {
 			q := placement.Query{Key: key + 1, SharedTokens: 5000}
@@ -40,7 +40,7 @@
 			}
 		}
 	})
-	convey.Convey("A full engine loses its sessions to the next in their order", t, func() {
+	convey.Convey("The sessions of a full engine move to their next engine", t, func() {
 		table := placement.NewTargetTable()
 		q := placement.Query{Key: 7, SharedTokens: 500}
 		first, _ := table.ByPrefix(now, engines(3), q)
@@ -63,12 +63,12 @@
 			got, _ := table.LeastLoaded(now, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t1")
 		}
-		convey.Convey("unless there is no other", func() {
+		convey.Convey("unless it is the only target", func() {
 			got, ok := table.LeastLoaded(now, engines(1), q)
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
-		convey.Convey("by one request after a while, which lets it back", func() {
+		convey.Convey("by one request after the ejection, which readmits it if successful", func() {
 			later := now.Add(time.Minute)
 			table.Sent(life("t0"))
 			table.Ended(later, life("t0"), time.Millisecond, false)
@@ -77,13 +77,13 @@
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
 	})
-	convey.Convey("Targets that drain or were tried are never chosen", t, func() {
+	convey.Convey("Draining and excluded targets are never selected", t, func() {
 		list := engines(2)
 		list[0].State = directory.Draining
 		_, ok := placement.NewTargetTable().LeastLoaded(now, list, placement.Query{Exclude: []string{"t1"}})
 		convey.So(ok, convey.ShouldBeFalse)
 	})
-	convey.Convey("What a target reported counts until it is old", t, func() {
+	convey.Convey("A load report counts until it expires", t, func() {
 		table := placement.NewTargetTable()
 		table.Report(now, life("t0"), placement.Load{Running: 8, Waiting: 30, Slots: 8})
 		got, _ := table.LeastLoaded(now, engines(2), q)
@@ -94,7 +94,7 @@
 }
 
 func TestCoordinator(t *testing.T) {
-	convey.Convey("A service's coordinator changes only when it goes", t, func() {
+	convey.Convey("The coordinator of a service only changes if it leaves", t, func() {
 		members := []string{"a", "b", "c", "d"}
 		for i := range 50 {
 			name := fmt.Sprint("s", i)
@@ -107,5 +107,5 @@
 	})
 }
 
-// life is the life of a target whose start is not known.
+// life returns the directory.Life of a target with an unknown start time.
 func life(id string) directory.Life { return directory.Life{ID: id} }
--- a/internal/gateway/placement/prefixcache.go
+++ b/internal/gateway/placement/prefixcache.go
@@ -8,32 +8,32 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// cachedFor is how long an engine is taken to have a shared part cached after its last
-// use; engines do not say what they have dropped. Too long has prompts sent to engines
-// that lack the part; too short has it prefilled again elsewhere.
+// cachedFor is the time after its last use for which an engine is assumed to have a shared
+// part cached, as engines do not report evictions. If it is too long, prompts go to engines
+// that lack the part; if it is too short, the part is prefilled again on another engine.
 const cachedFor = 30 * time.Second
 
-// forgetInterval is how often parts that are too old are looked for: to go through
-// thousands of them for each prompt takes longer than to place it.
+// forgetInterval is the minimum interval between scans for expired parts. Scanning thousands
+// of parts for each prompt would take longer than placing the prompt.
 const forgetInterval = time.Second
 
-// SharedPart is a part of a prompt that other prompts may begin with too.
+// SharedPart is a segment of a prompt prefix that other prompts may share.
 type SharedPart struct {
-	// Key is the hash of the part's identity.
+	// Key is the hash of the part's ID.
 	Key uint64
-	// Tokens is its length.
+	// Tokens is the length of the part in tokens.
 	Tokens int
 }
 
-// prefixCache is what engines are taken to have cached of shared parts: those of
-// the prompts that were placed there within cachedFor. Engines do not report it here,
-// so a part that an engine has dropped for want of memory still counts.
+// prefixCache models the shared parts that engines have cached: those of the prompts that
+// were placed on them within cachedFor. Engines do not report their cache state, so parts
+// that an engine has evicted for lack of memory are still included.
 type prefixCache struct {
-	// used says when each engine last used a part, by the part's key.
+	// used is the time at which each engine last used a part, by the key of the part.
 	used map[uint64]map[directory.Life]time.Time
-	// last is the engine that used a part last.
+	// last is the engine that used a part last, by the key of the part.
 	last map[uint64]directory.Life
-	// forgotten is when parts that were too old were last looked for.
+	// forgotten is the time of the last scan for expired parts.
 	forgotten time.Time
 }
 
@@ -41,7 +41,7 @@
 	return prefixCache{used: map[uint64]map[directory.Life]time.Time{}, last: map[uint64]directory.Life{}}
 }
 
-// use notes that an engine prefills shared parts, or has them cached.
+// use records that an engine prefills shared parts or reads them from its cache.
 func (c *prefixCache) use(now time.Time, engine directory.Life, parts []SharedPart) {
 	for _, part := range parts {
 		if c.used[part.Key] == nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// tokens returns how many tokens of a prompt's shared parts an engine has cached: a part
-// counts only when all parts before it do.
+// tokens returns the number of tokens of the shared parts that an engine has cached. A part
+// only counts if the engine has cached all parts before it.
 func (c *prefixCache) tokens(engine directory.Life, parts []SharedPart) int {
 	total := 0
 	for _, part := range parts {
@@ -65,7 +65,7 @@
 	return total
 }
 
-// lastUsers returns the engines that used one of the parts last, each once.
+// lastUsers returns the engines that used one of the parts last, without duplicates.
 func (c *prefixCache) lastUsers(parts []SharedPart) []directory.Life {
 	var lives []directory.Life
 	for _, part := range parts {
@@ -76,7 +76,7 @@
 	return lives
 }
 
-// lastUsed returns when an engine last used the last of the parts.
+// lastUsed returns the time at which an engine last used the last of the parts.
 func (c *prefixCache) lastUsed(engine directory.Life, parts []SharedPart) time.Time {
 	if len(parts) == 0 {
 		return time.Time{}
@@ -84,14 +84,14 @@
 	return c.used[parts[len(parts)-1].Key][engine]
 }
 
-// prune forgets engines that are gone or have started again, which leaves nothing cached.
+// prune removes engines that are gone or have restarted, as a restart clears the cache.
 func (c *prefixCache) prune(d *directory.Directory) {
 	for _, engines := range c.used {
 		maps.DeleteFunc(engines, func(l directory.Life, _ time.Time) bool { return !d.Lives(l) })
 	}
 }
 
-// forgetExpired drops what is too old to count, at most once in forgetInterval.
+// forgetExpired removes expired entries, at most once per forgetInterval.
 func (c *prefixCache) forgetExpired(now time.Time) {
 	if now.Sub(c.forgotten) < forgetInterval {
 		return
--- a/internal/gateway/placement/prompts_test.go
+++ b/internal/gateway/placement/prompts_test.go
@@ -16,14 +16,14 @@
 }
 
 func TestPrompts(t *testing.T) {
-	convey.Convey("A session stays at its engine while that is in time", t, func() {
+	convey.Convey("A session stays on its engine as long as it is in time", t, func() {
 		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(9), prompt("a", 7))
 		p.Prefilled(now, "a", true)
 		second, _ := p.Place(now, engines(9), prompt("b", 7))
 		convey.So(second.ID, convey.ShouldEqual, first.ID)
 	})
-	convey.Convey("Long prompts that would be late behind others go elsewhere", t, func() {
+	convey.Convey("Long prompts that would be late behind others go to other engines", t, func() {
 		p := placement.NewEngineChooser()
 		used := map[string]int{}
 		for i := range 24 {
@@ -31,7 +31,7 @@
 			used[e.ID]++
 		}
 		convey.So(len(used), convey.ShouldEqual, 3)
-		convey.Convey("and both engines keep the session then", func() {
+		convey.Convey("and each engine still accepts the session afterwards", func() {
 			for i := range 24 {
 				p.Prefilled(now, fmt.Sprint(i), false)
 			}
@@ -51,13 +51,13 @@
 		}
 		convey.So(len(used), convey.ShouldBeGreaterThan, 6)
 	})
-	convey.Convey("A prompt of which nothing is reported is forgotten", t, func() {
+	convey.Convey("A pending prompt without any report expires", t, func() {
 		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(2), prompt("a", 7))
 		later, _ := p.Place(now.Add(10*time.Second), engines(2), prompt("b", 7))
 		convey.So(later.ID, convey.ShouldEqual, first.ID)
 	})
-	convey.Convey("Engines that leave or are excluded are never chosen", t, func() {
+	convey.Convey("Draining and excluded engines are never selected", t, func() {
 		list := engines(2)
 		list[0].State = directory.Draining
 		q := prompt("a", 7)
--- a/internal/gateway/placement/rendezvous_test.go
+++ b/internal/gateway/placement/rendezvous_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRendezvousRanks(t *testing.T) {
-	convey.Convey("A target's rank is how many have a higher weight", t, func() {
+	convey.Convey("The rank of a target is the number of targets with a higher weight", t, func() {
 		for n := range 40 {
 			targets := make([]directory.Target, n)
 			for i := range targets {
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// assessAll is the number of engines up to which all are assessed for each prompt: it
-	// takes some 20 µs.
+	// assessAll is the number of engines up to which all engines are assessed for each
+	// prompt, which takes about 20 µs.
 	assessAll = 64
-	// perDataCentre is how many engines of each data centre are assessed where there are
-	// more: the first for the prompt's session. Eight of one data centre are all busy only
-	// where nearly all of its engines are; a ninth differs from them by its rank, and a
-	// prompt goes to a low rank to find its session's parts.
+	// perDataCentre is the number of engines of each data centre that are assessed if there
+	// are more. They are the first ones for the session of the prompt. All eight are busy
+	// only if nearly all engines of the data centre are, and a ninth engine would be worse
+	// only by its rank, while engines with a low rank are likely to have the parts of the
+	// session cached.
 	perDataCentre = 8
 )
 
-// ranked is an engine by its index, with its rank for a session among the others that are
-// assessed.
+// ranked is the index of an engine, and its rank for a session among the assessed engines.
 type ranked struct{ index, rank int }
 
-// engineIndex gives the engines that are worth assessing for a session. It keeps the
-// hashes of one list of engines, and is made anew for another list.
+// engineIndex selects the engines to assess for a session. It caches the hashes of one list of
+// engines, and is rebuilt for each new list.
 //
-// To assess all engines takes as long as there are engines: 7.3 ms for 6,576 on a busy
-// machine, so that the member which places the prompts of all nodes could place some 140
-// a second of 313. With
-// the shortlist a prompt takes 0.17 ms, of which 0.06 go through the hashes
-// (BenchmarkPlaceFleet).
+// The time to assess all engines is proportional to their number. For 6,576 engines on a busy
+// machine it is 7.3 ms, so that the member that places the prompts of all nodes could place
+// only about 140 of 313 prompts a second. With the shortlist a prompt takes 0.17 ms, of which
+// the scan of the hashes takes 0.06 ms (BenchmarkPlaceFleet).
 type engineIndex struct {
 	engines []directory.Target
-	// hashes are those of the engines' identities, places the numbers of their data
-	// centres.
+	// hashes and places hold the hash of the ID and the number of the data centre of each
+	// engine.
 	hashes []uint64
 	places []int
-	// dataCentres is how many data centres there are.
+	// dataCentres is the number of data centres.
 	dataCentres int
-	// byLife gives the number of an engine; nil until it is asked for.
+	// byLife maps each engine to its index. It is nil until find is called.
 	byLife map[directory.Life]int
 }
 
-// of returns the index of a list of engines, which must not change.
+// of returns the index of a list of engines, which is x if it was built from the same list.
+// The list must not be modified.
 func (x *engineIndex) of(engines []directory.Target) *engineIndex {
 	if x != nil && sameList(x.engines, engines) {
 		return x
@@ -64,12 +64,12 @@
 	return next
 }
 
-// sameList says whether two lists are one in memory.
+// sameList reports whether two slices share the same memory.
 func sameList(a, b []directory.Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// find returns the index of an engine; false for one that is not listed.
+// find returns the index of an engine, or false if it is not in the list.
 func (x *engineIndex) find(life directory.Life) (int, bool) {
 	if x.byLife == nil {
 		x.byLife = make(map[directory.Life]int, len(x.engines))
@@ -81,11 +81,11 @@
 	return i, listed
 }
 
-// isLong says whether there are more engines than are assessed for a prompt.
+// isLong reports whether there are too many engines to assess all of them.
 func (x *engineIndex) isLong() bool { return len(x.engines) > assessAll }
 
-// shortlist returns the engines that are assessed for a session: all of a few, else the
-// first of each data centre by rendezvous hashing.
+// shortlist returns the engines to assess for a session. These are the first engines of each
+// data centre by rendezvous hashing, or all engines if there are few.
 func (x *engineIndex) shortlist(key uint64) []ranked {
 	if !x.isLong() {
 		return x.all(key)
@@ -110,8 +110,7 @@
 	return rank(list)
 }
 
-// rank numbers engines by their weights, the highest first; the result is in the order
-// of the engines.
+// rank ranks engines by descending weight. The result is sorted by index.
 func rank(list []weighted) []ranked {
 	slices.SortFunc(list, func(a, b weighted) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.index, b.index))
@@ -124,13 +123,13 @@
 	return out
 }
 
-// weighted is an engine by its index, with its rendezvous weight.
+// weighted is the index of an engine and its rendezvous weight.
 type weighted struct {
 	index  int
 	weight uint64
 }
 
-// topWeights holds the perDataCentre highest of the weights added, the highest first.
+// topWeights holds the perDataCentre highest weights that were added, in descending order.
 type topWeights struct {
 	n   int
 	top [perDataCentre]weighted
--- a/internal/gateway/placement/shortlist_test.go
+++ b/internal/gateway/placement/shortlist_test.go
@@ -11,8 +11,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 )
 
-// A service of a whole fleet: 6,576 engines in six data centres and 313 prompts a second
-// of 7,000 sessions; twice the fleet has twice of all.
+// A service with 6,576 engines in six data centres, and 313 prompts a second from 7,000
+// sessions. Engines and prompts scale with the size of the fleet.
 const (
 	fleetEngines  = 6576
 	fleetPrompts  = 313
@@ -28,7 +28,7 @@
 	return list
 }
 
-// fleetPlacing places prompts at the member that does so for all nodes.
+// fleetPlacing simulates the member that places the prompts of all nodes.
 type fleetPlacing struct {
 	chooser *placement.EngineChooser
 	engines []directory.Target
@@ -43,8 +43,8 @@
 	}
 }
 
-// place places the next prompt, whose inputs lie in one data centre; each is prefilled
-// 200 ms later.
+// place places the next prompt, whose inputs are in one data centre. Each prompt is prefilled
+// 200 ms after it is placed.
 func (f *fleetPlacing) place() placement.Placement {
 	f.at = f.at.Add(f.step)
 	f.n++
@@ -58,7 +58,7 @@
 	return placed
 }
 
-// BenchmarkPlaceFleet places a prompt among the engines of a fleet, and of twice that.
+// BenchmarkPlaceFleet places prompts on the engines of a fleet, and of one twice as large.
 func BenchmarkPlaceFleet(b *testing.B) {
 	for _, x := range []int{1, 2} {
 		b.Run(fmt.Sprint(fleetEngines*x, " engines"), func(b *testing.B) {
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestPlacingAmongManyEngines holds that the engines that are assessed for a prompt, a few
-// of thousands, are good enough: sessions keep their engines, prompts go to where their
-// inputs lie, and a session that is asked for by many spreads.
+// TestPlacingAmongManyEngines verifies that assessing only a few of thousands of engines for a
+// prompt is sufficient: sessions stay on their engines, prompts go to the data centre of their
+// inputs, and a session with many prompts spreads over engines.
 func TestPlacingAmongManyEngines(t *testing.T) {
-	convey.Convey("Given a fleet's prompts for some seconds", t, func() {
+	convey.Convey("Given the prompts of a fleet for some seconds", t, func() {
 		f := newFleetPlacing(1)
 		engineOf := map[int]string{}
 		moved, far := 0, 0
@@ -94,14 +94,14 @@
 				far++
 			}
 		}
-		convey.Convey("few sessions change their engine", func() { convey.So(moved, convey.ShouldBeLessThan, prompts/50) })
-		convey.Convey("few prompts go to another data centre than their inputs'", func() { convey.So(far, convey.ShouldBeLessThan, prompts/50) })
+		convey.Convey("few sessions move to another engine", func() { convey.So(moved, convey.ShouldBeLessThan, prompts/50) })
+		convey.Convey("few prompts go to a data centre other than that of their inputs", func() { convey.So(far, convey.ShouldBeLessThan, prompts/50) })
 	})
-	convey.Convey("A prompt that would be late at all of its first engines goes to another", t, func() {
+	convey.Convey("A prompt that would be late on all engines of its shortlist goes to another engine", t, func() {
 		f := newFleetPlacing(1)
 		hot := placement.Prompt{Tokens: 12_000, Slack: 300 * time.Millisecond, Shared: []placement.SharedPart{{Key: 7, Tokens: 5000}}}
 		used := map[string]int{}
-		// Each engine prefills one in its time; a shortlist has 48 engines.
+		// An engine can prefill one prompt in time. A shortlist has 48 engines.
 		for i := range 90 {
 			hot.Request = fmt.Sprint("hot", i)
 			placed, _ := f.chooser.Place(now, f.engines, hot)
@@ -109,7 +109,7 @@
 		}
 		convey.So(len(used), convey.ShouldEqual, 90)
 	})
-	convey.Convey("Where no engine of the shortlists may be used, any other is", t, func() {
+	convey.Convey("If no engine of the shortlists can be used, another engine is", t, func() {
 		f := newFleetPlacing(1)
 		for i := range f.engines {
 			f.engines[i].State = directory.Draining
--- a/internal/gateway/placement/subset.go
+++ b/internal/gateway/placement/subset.go
@@ -9,20 +9,22 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// Subset limits a node to some of a service's targets. The zero value limits nothing.
+// Subset limits a node to a subset of the targets of a service. The zero value imposes no
+// limit.
 type Subset struct {
-	// Node is the node's own name, by which it gets other targets than its fellows.
+	// Node is the name of the node. Different nodes get different subsets.
 	Node string
-	// Size is how many targets; 0 for all.
+	// Size is the number of targets in the subset. 0 means all targets.
 	Size int
 }
 
-// contains says of each target whether it is in the subset; nil when all are.
+// contains returns for each target whether it is in the subset, or nil if all are.
 //
-// Targets of the node's own data centre come first, then the order that rendezvous
-// hashing gives the node, so that nodes spread over targets without an exchange, and a
-// target that comes or goes changes little. All targets count, in whatever state: one
-// that fails is passed over by its tier, not by another subset.
+// Targets in the node's own data centre come first, followed by the others. Within each group
+// targets are ordered by rendezvous hashing with the name of the node, so that nodes spread
+// over the targets without communication, and adding or removing a target changes few
+// subsets. Targets are included regardless of their state: a failing target is avoided by its
+// tier, not by a different subset.
 func (s Subset) contains(targets []directory.Target, dataCentre string) []bool {
 	if s.Size <= 0 || s.Size >= len(targets) {
 		return nil
--- a/internal/gateway/placement/subset_test.go
+++ b/internal/gateway/placement/subset_test.go
@@ -10,7 +10,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// spreadTargets are n targets, each in a data centre of its own.
+// spreadTargets returns n targets, each in its own data centre.
 func spreadTargets(n int) []directory.Target {
 	var list []directory.Target
 	for i := range n {
@@ -21,11 +21,11 @@
 
 func TestSubset(t *testing.T) {
 	targets := spreadTargets(6)
-	convey.Convey("Without a size, or with one for all, there is no limit", t, func() {
+	convey.Convey("A subset without a size, or with a size for all targets, imposes no limit", t, func() {
 		convey.So(Subset{Node: "n"}.contains(targets, "d0"), convey.ShouldBeNil)
 		convey.So(Subset{Node: "n", Size: 6}.contains(targets, "d0"), convey.ShouldBeNil)
 	})
-	convey.Convey("A node uses so many, those of its data centre among them, and always the same", t, func() {
+	convey.Convey("A subset has the given size, includes the node's data centre, and is stable", t, func() {
 		in := Subset{Node: "n", Size: 3}.contains(targets, "d4")
 		count := 0
 		for _, used := range in {
@@ -37,7 +37,7 @@
 		convey.So(in[4], convey.ShouldBeTrue)
 		convey.So(Subset{Node: "n", Size: 3}.contains(targets, "d4"), convey.ShouldResemble, in)
 	})
-	convey.Convey("Many nodes spread evenly", t, func() {
+	convey.Convey("Subsets of many nodes are spread evenly", t, func() {
 		nodes := make([]int, len(targets))
 		for n := range 300 {
 			for i, used := range (Subset{Node: fmt.Sprint("node", n), Size: 3}).contains(targets, fmt.Sprint("d", n%6)) {
@@ -50,7 +50,7 @@
 			convey.So(n, convey.ShouldBeBetween, 120, 180)
 		}
 	})
-	convey.Convey("A target outside goes after those inside, and before those whose connections are in use", t, func() {
+	convey.Convey("A target outside the subset is used after those inside, and before those without free connections", t, func() {
 		now := time.Unix(1000, 0)
 		table := NewTargetTable()
 		q := Query{DataCentre: "d0", MaxInflight: 1, Subset: Subset{Node: "n", Size: 1}}
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -7,60 +7,60 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// How what was learnt of a target ages.
+// Parameters of the target statistics.
 const (
-	// latencyWeight is the weight of the newest answer in the average latency, a share:
-	// five answers make up two thirds of it.
+	// latencyWeight is the weight of the newest response in the average latency. The last five
+	// responses make up two thirds of the average.
 	latencyWeight = 0.2
-	// failureWeight is the weight of the newest outcome in the average of failures, a
-	// share: two failures in a row lead to ejection.
+	// failureWeight is the weight of the newest result in the failure rate. Two consecutive
+	// failures lead to an ejection.
 	failureWeight = 2 * latencyWeight
-	// halfLife is the time in which a learnt latency or average of failures loses half its
-	// weight, so that a target that was slow is tried again after some seconds. A latency
-	// ages by the time of each choice; failures age only when the next call ends, so a
-	// target that failed keeps its average while it is not called.
+	// halfLife is the half-life of a latency or failure rate, so that a target that was slow
+	// is tried again after a few seconds. The latency decays until each selection. The failure
+	// rate only decays when the next call ends, so that a target that failed keeps its failure
+	// rate while it is not called.
 	halfLife = 3 * time.Second
-	// maxLoadAge is how long a reported load counts; after that only this node's own calls
-	// do. A plain call takes some 20 ms, so that an older report says nothing of the
-	// queue.
+	// maxLoadAge is the maximum age of a load report. After that only this node's own calls
+	// are taken into account. A plain call takes about 20 ms, so that an older report does not
+	// describe the current queue.
 	maxLoadAge = 500 * time.Millisecond
-	// defaultSlots is the number of calls at a time assumed of a target for which neither
-	// a report nor the directory gives one.
+	// defaultSlots is the number of concurrent calls assumed for a target if neither a report
+	// nor the directory specifies it.
 	defaultSlots = 4
 )
 
-// Load is what a target reported of itself, in calls of all nodes.
+// Load is the load that a target reported, in calls from all nodes.
 type Load struct {
-	// Running is how many calls the target works on.
+	// Running is the number of calls in progress.
 	Running int
-	// Waiting is how many calls wait at the target.
+	// Waiting is the number of queued calls.
 	Waiting int
-	// Slots is how many calls the target works on at a time; 0 for unknown.
+	// Slots is the maximum number of concurrent calls. 0 means unknown.
 	Slots int
 }
 
-// TargetTable is what a node learnt of all targets, by its own calls and by what
-// answers reported, by their lives. It is not safe for concurrent use.
+// TargetTable holds the statistics that a node collects about each target incarnation from
+// its own calls and from the load that responses report. It is not safe for concurrent use.
 type TargetTable struct {
 	targets map[directory.Life]*stats
-	// indexes are those of the engines of each service.
+	// indexes holds the index of the engines of each service.
 	indexes map[string]*engineIndex
 }
 
-// stats is what a node learnt of one target.
+// stats holds the statistics of one target.
 type stats struct {
-	// inflight is how many calls of this node the target works on.
+	// inflight is the number of calls in progress from this node.
 	inflight int
-	// latency is the average time of an answer, in seconds; 0 for unknown.
+	// latency is the moving average of response times in seconds. 0 means unknown.
 	latency float64
-	// failing is the average of failures, from 0 for none to 1 for nothing else.
+	// failing is the moving average of failures, from 0 (none) to 1 (all calls fail).
 	failing float64
-	// learntAt is when latency and failing were last added to.
+	// learntAt is the time of the last update of latency and failing.
 	learntAt time.Time
-	// load is what the target last reported, at loadAt.
+	// load is the last load report, and loadAt its time.
 	load   Load
 	loadAt time.Time
-	// sentSinceLoad counts this node's calls since that report.
+	// sentSinceLoad is the number of calls sent by this node since that report.
 	sentSinceLoad int
 	outlier       outlier
 }
@@ -79,7 +79,7 @@
 	return s
 }
 
-// Sent counts a call that is being sent to a target.
+// Sent records that a call is sent to a target.
 func (t *TargetTable) Sent(l directory.Life) {
 	s := t.of(l)
 	s.inflight++
@@ -87,8 +87,9 @@
 	s.outlier.sent()
 }
 
-// Ended counts the end of a call that took some time. A failure is the target's
-// own: no answer, a broken one, or one that says that the target is in trouble.
+// Ended records the end of a call and its duration. A call counts as failed only if the target
+// is at fault: it did not respond, its response was incomplete or invalid, or its response
+// reports a problem of the target.
 func (t *TargetTable) Ended(now time.Time, l directory.Life, took time.Duration, failed bool) {
 	s := t.of(l)
 	s.inflight--
@@ -106,7 +107,7 @@
 	s.outlier.ended(now, failed, s.failing)
 }
 
-// Report takes in the load that a target reported.
+// Report records the load that a target reported.
 func (t *TargetTable) Report(now time.Time, l directory.Life, load Load) {
 	s := t.of(l)
 	s.load = load
@@ -114,7 +115,7 @@
 	s.sentSinceLoad = 0
 }
 
-// Prune forgets lives that have ended, of which no call is left.
+// Prune removes target incarnations that no longer exist and have no calls in progress.
 func (t *TargetTable) Prune(d *directory.Directory) {
 	for l, s := range t.targets {
 		if !d.Lives(l) && s.inflight <= 0 {
@@ -123,8 +124,8 @@
 	}
 }
 
-// remainingWeight is the share of its weight that something learnt earlier still
-// has, by halfLife; 0 when it was never learnt.
+// remainingWeight returns the factor by which a value has decayed since learntAt, given
+// halfLife. It returns 0 if the value was never set.
 func remainingWeight(now, learntAt time.Time) float64 {
 	if learntAt.IsZero() {
 		return 0
@@ -132,8 +133,9 @@
 	return math.Exp2(-now.Sub(learntAt).Seconds() / halfLife.Seconds())
 }
 
-// outstanding estimates how many calls the target has to work on: at least those
-// of this node, and all that a fresh report and the calls since add up to.
+// outstanding estimates the number of running and queued calls of the target. It is at least
+// the number of calls from this node, and at least the sum of a recent report and the calls
+// sent since.
 func (s *stats) outstanding(now time.Time) float64 {
 	own := float64(s.inflight)
 	if s.loadAt.IsZero() || now.Sub(s.loadAt) > maxLoadAge {
@@ -142,8 +144,8 @@
 	return max(own, float64(s.load.Running+s.load.Waiting+s.sentSinceLoad))
 }
 
-// slots returns how many calls the target works on at a time: as it last reported,
-// however long ago, else as configured, else defaultSlots.
+// slots returns the maximum number of concurrent calls of the target. It is the last reported
+// value regardless of its age, otherwise the configured value, otherwise defaultSlots.
 func (s *stats) slots(configured int32) float64 {
 	switch {
 	case s.load.Slots > 0:
--- a/internal/gateway/placement/transfer.go
+++ b/internal/gateway/placement/transfer.go
@@ -1,17 +1,17 @@
 package placement
 
 // transferCost is the cost of a megabyte of results that crosses data centres, in
-// milliseconds. Both rules for engines use it. It weighs the bytes, not their time,
-// which is below a millisecond: a megabyte that is near is worth a first event 200 ms
-// later (waitCost).
+// milliseconds. Both rules for engines use it. It accounts for the traffic rather than the
+// transfer time, which is below a millisecond: to avoid the transfer of a megabyte, the first
+// event may be 200 ms later (waitCost).
 const transferCost = 60.0
 
-// bytesPerMegabyte is the unit of transferCost.
+// bytesPerMegabyte is the number of bytes to which transferCost applies.
 const bytesPerMegabyte = 1e6
 
-// transfer is where the results lie that a prompt reads.
+// transfer describes the location of the results that a prompt reads.
 type transfer struct {
-	// bytes is how many bytes lie in each data centre, total in all.
+	// bytes is the number of bytes in each data centre, and total their sum.
 	bytes map[string]int64
 	total int64
 }
@@ -24,8 +24,8 @@
 	return t
 }
 
-// cost is the cost of reading the results from a data centre, in milliseconds: all
-// but those that lie there have to cross.
+// cost returns the cost of reading the results in the given data centre, in milliseconds. All
+// results that are stored in other data centres have to be transferred.
 func (t transfer) cost(dataCentre string) float64 {
 	return transferCost * float64(t.total-t.bytes[dataCentre]) / bytesPerMegabyte
 }
