--- a/internal/gateway/retrybudget/retrybudget.go
+++ b/internal/gateway/retrybudget/retrybudget.go
@@ -55,9 +55,9 @@
 // Budget tracks the retries that one node may spend on one service. It is not safe for
 // concurrent use.
 type Budget struct {
-	policy  Policy
-	firsts  []time.Time
-	retries []time.Time
+	policy        Policy
+	firstAttempts []time.Time
+	retries       []time.Time
 }
 
 // New returns a budget with no retries spent.
@@ -66,7 +66,7 @@
 // First records the first attempt of a request.
 func (b *Budget) First(now time.Time) {
 	b.trim(now)
-	b.firsts = append(b.firsts, now)
+	b.firstAttempts = append(b.firstAttempts, now)
 }
 
 // Spend reports whether one retry is allowed, and records it if so. A fractional
@@ -87,13 +87,13 @@
 // fractional. It is negative if the number of nodes has grown since retries were spent.
 func (b *Budget) Left(now time.Time) float64 {
 	b.trim(now)
-	return b.policy.Ratio*float64(len(b.firsts)) + b.policy.share() - float64(len(b.retries))
+	return b.policy.Ratio*float64(len(b.firstAttempts)) + b.policy.share() - float64(len(b.retries))
 }
 
 // trim drops events that are older than the window, so that retries are only allowed on
 // account of requests within the window.
 func (b *Budget) trim(now time.Time) {
-	b.firsts = since(b.firsts, now.Add(-b.policy.Window))
+	b.firstAttempts = since(b.firstAttempts, now.Add(-b.policy.Window))
 	b.retries = since(b.retries, now.Add(-b.policy.Window))
 }
 
--- a/internal/gateway/retrybudget/retrybudget_test.go
+++ b/internal/gateway/retrybudget/retrybudget_test.go
@@ -79,11 +79,11 @@
 		return p
 	}
 	cases := []struct {
-		why    string
-		policy retrybudget.Policy
-		firsts int
-		after  time.Duration
-		want   int
+		name     string
+		policy   retrybudget.Policy
+		requests int
+		after    time.Duration
+		want     int
 	}{
 		{"its share of the extra retries if it sent no requests", policy, 0, 0, 2},
 		{"one more after ten requests", policy, 10, 0, 3},
@@ -98,9 +98,9 @@
 	}
 	convey.Convey("A node may retry", t, func() {
 		for _, c := range cases {
-			convey.Convey(c.why, func() {
+			convey.Convey(c.name, func() {
 				b := retrybudget.New(c.policy)
-				for range c.firsts {
+				for range c.requests {
 					b.First(now)
 				}
 				spent := 0
