--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -17,19 +17,20 @@
 )
 
 const (
-	// modelRound and modelPartners are the interval between gossip rounds and the number of
-	// partners in a round, as in the gateway. modelTimeout is how long a node waits for the
-	// member that places prompts.
-	modelRound    = 500 * time.Millisecond
-	modelPartners = 2
-	modelTimeout  = 60 * time.Millisecond
+	// modelGossipInterval and modelGossipPartners are the interval between gossip rounds and
+	// the number of partners in a round, as in the gateway. modelPlaceTimeout is how long a
+	// node waits for the member that places prompts.
+	modelGossipInterval = 500 * time.Millisecond
+	modelGossipPartners = 2
+	modelPlaceTimeout   = 60 * time.Millisecond
 	// modelStep is the resolution of the simulated clock.
 	modelStep = 20 * time.Millisecond
-	// modelRequests is the number of requests that arrive in a step, which makes 200 a
+	// modelRequestsPerStep is the number of requests that arrive in a step, which makes 200 a
 	// second. Without the limit all of them would go to the cold target.
-	modelRequests = 4
-	// modelBound is the maximum number of requests that may reach the target in a second.
-	modelBound = 20
+	modelRequestsPerStep = 4
+	// maxRequestsPerSecond is the maximum number of requests that may reach the target in a
+	// second.
+	maxRequestsPerSecond = 20
 	// maxDelay is the maximum delay from a node to the target, including the dial.
 	maxDelay = 300 * time.Millisecond
 )
@@ -37,14 +38,14 @@
 // modelNode is a simulated node.
 type modelNode struct {
 	*membership.Roster
-	address string
-	limits  *warmup.Limits
-	next    time.Time
-	down    bool
-	// frozen nodes neither act nor respond. side is the partition that the node is in; it
+	address    string
+	limits     *warmup.Limits
+	nextGossip time.Time
+	down       bool
+	// frozen nodes neither act nor respond. partition is the network partition of the node. It
 	// only reaches nodes in the same partition.
-	frozen bool
-	side   int
+	frozen    bool
+	partition int
 }
 
 // arrival is a request that reached the cold target.
@@ -52,29 +53,29 @@
 
 // model simulates a cluster whose nodes all prefer the same cold target.
 type model struct {
-	rnd      *rand.Rand
-	now      time.Time
-	nodes    []*modelNode
-	at       map[string]*modelNode
-	target   directory.Target
-	arrivals []arrival
-	// givers maps each member that assigned a request to the target to the time of its last
+	rng       *rand.Rand
+	now       time.Time
+	nodes     []*modelNode
+	byAddress map[string]*modelNode
+	target    directory.Target
+	arrivals  []arrival
+	// assigners maps each member that assigned a request to the target to the time of its last
 	// assignment.
-	givers map[string]time.Time
-	// mostGivers is the maximum number of members that assigned requests to the target
-	// within a second.
-	mostGivers int
+	assigners map[string]time.Time
+	// maxConcurrentAssigners is the maximum number of members that assigned requests to the
+	// target within a second.
+	maxConcurrentAssigners int
 }
 
 func newModel(seed uint64, size int) *model {
 	m := &model{
-		rnd: rand.New(rand.NewPCG(seed, seed)), now: start, at: map[string]*modelNode{}, givers: map[string]time.Time{},
+		rng: rand.New(rand.NewPCG(seed, seed)), now: start, byAddress: map[string]*modelNode{}, assigners: map[string]time.Time{},
 		target: directory.Target{ID: "engine", Service: "s", ColdUntil: start.Add(time.Hour)},
 	}
 	for i := range size {
 		n := &modelNode{address: fmt.Sprintf("10.0.0.%d:80", i)}
 		m.nodes = append(m.nodes, n)
-		m.at[n.address] = n
+		m.byAddress[n.address] = n
 	}
 	for _, n := range m.nodes {
 		m.start(n)
@@ -90,13 +91,13 @@
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
 	n.limits = warmup.New()
 	n.limits.SetBound(margin.Bound(service))
-	n.next = m.now.Add(time.Duration(m.rnd.Int64N(int64(modelRound))))
+	n.nextGossip = m.now.Add(time.Duration(m.rng.Int64N(int64(modelGossipInterval))))
 	n.down = false
 }
 
 // reaches reports whether a node gets responses from another node.
 func (n *modelNode) reaches(other *modelNode) bool {
-	return !other.down && !other.frozen && n.side == other.side
+	return !other.down && !other.frozen && n.partition == other.partition
 }
 
 // run advances the simulated clock by d, with gossip and requests at all nodes.
@@ -104,22 +105,22 @@
 	for end := m.now.Add(d); m.now.Before(end); {
 		m.now = m.now.Add(modelStep)
 		for _, n := range m.nodes {
-			if !n.down && !n.frozen && !m.now.Before(n.next) {
+			if !n.down && !n.frozen && !m.now.Before(n.nextGossip) {
 				m.gossip(n)
 			}
 		}
-		for range modelRequests {
-			m.request(m.nodes[m.rnd.IntN(len(m.nodes))])
+		for range modelRequestsPerStep {
+			m.request(m.nodes[m.rng.IntN(len(m.nodes))])
 		}
 	}
 }
 
 func (m *model) gossip(n *modelNode) {
-	n.next = m.now.Add(modelRound)
+	n.nextGossip = m.now.Add(modelGossipInterval)
 	n.Heartbeat()
 	n.Forget(m.now)
-	for _, address := range n.Partners(m.now, modelPartners) {
-		partner := m.at[address]
+	for _, address := range n.Partners(m.now, modelGossipPartners) {
+		partner := m.byAddress[address]
 		if !n.reaches(partner) {
 			continue
 		}
@@ -136,39 +137,39 @@
 	if n.down || n.frozen {
 		return
 	}
-	giver := m.at[placement.Coordinator("prompts/s", n.Eligible(m.now))]
-	if giver == nil || !n.reaches(giver) {
+	placer := m.byAddress[placement.Coordinator("prompts/s", n.Eligible(m.now))]
+	if placer == nil || !n.reaches(placer) {
 		return
 	}
-	took := time.Duration(m.rnd.Int64N(int64(2 * modelTimeout)))
-	if !giver.limits.Allows(m.now, m.target, func() bool { return giver.Settled(m.now) }) {
+	delay := time.Duration(m.rng.Int64N(int64(2 * modelPlaceTimeout)))
+	if !placer.limits.Allows(m.now, m.target, func() bool { return placer.Settled(m.now) }) {
 		return
 	}
-	giver.limits.Sent(m.now, m.target)
-	if took > modelTimeout {
+	placer.limits.Sent(m.now, m.target)
+	if delay > modelPlaceTimeout {
 		return
 	}
-	m.gave(giver)
-	sent := m.now.Add(took)
-	m.arrivals = append(m.arrivals, arrival{sent: sent, at: sent.Add(time.Duration(m.rnd.Int64N(int64(maxDelay))))})
+	m.recordAssignment(placer)
+	sent := m.now.Add(delay)
+	m.arrivals = append(m.arrivals, arrival{sent: sent, at: sent.Add(time.Duration(m.rng.Int64N(int64(maxDelay))))})
 }
 
-func (m *model) gave(n *modelNode) {
-	m.givers[n.address] = m.now
-	lately := 0
-	for _, last := range m.givers {
+func (m *model) recordAssignment(n *modelNode) {
+	m.assigners[n.address] = m.now
+	recent := 0
+	for _, last := range m.assigners {
 		if m.now.Sub(last) < time.Second {
-			lately++
+			recent++
 		}
 	}
-	m.mostGivers = max(m.mostGivers, lately)
+	m.maxConcurrentAssigners = max(m.maxConcurrentAssigners, recent)
 }
 
-// mostInASecond returns the maximum number of requests that were sent and arrived within the
+// maxInOneSecond returns the maximum number of requests that were sent and arrived within the
 // same second.
-func (m *model) mostInASecond() int {
+func (m *model) maxInOneSecond() int {
 	slices.SortFunc(m.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
-	most := 0
+	highest := 0
 	for i, last := range m.arrivals {
 		n := 0
 		for j := i; j >= 0 && last.at.Sub(m.arrivals[j].at) < time.Second; j-- {
@@ -176,26 +177,26 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
 // fault applies a random fault, or ends earlier ones.
 func (m *model) fault(t *rapid.T) {
-	some := func(label string, most int) []*modelNode {
+	sample := func(label string, most int) []*modelNode {
 		share := rapid.IntRange(1, most).Draw(t, label)
 		list := slices.Clone(m.nodes)
-		m.rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+		m.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		return list[:max(len(list)*share/10, 1)]
 	}
 	switch rapid.IntRange(0, 6).Draw(t, "fault") {
 	case 0:
-		for _, n := range some("ended tenths", 10) {
+		for _, n := range sample("ended tenths", 10) {
 			m.start(n)
 		}
 	case 1:
-		for _, n := range some("down tenths", 6) {
+		for _, n := range sample("down tenths", 6) {
 			n.down = true
 		}
 	case 2:
@@ -205,22 +206,22 @@
 			}
 		}
 	case 3:
-		sides := rapid.IntRange(2, 4).Draw(t, "sides")
+		partitions := rapid.IntRange(2, 4).Draw(t, "sides")
 		for _, n := range m.nodes {
-			n.side = m.rnd.IntN(sides)
+			n.partition = m.rng.IntN(partitions)
 		}
 	case 4:
-		for _, n := range some("alone tenths", 6) {
-			n.side = 1 + m.rnd.IntN(len(m.nodes))
+		for _, n := range sample("alone tenths", 6) {
+			n.partition = 1 + m.rng.IntN(len(m.nodes))
 		}
 	case 5:
 		for _, n := range m.nodes {
-			n.side, n.frozen = 0, false
+			n.partition, n.frozen = 0, false
 		}
 	case 6:
-		asked := m.nodes[m.rnd.IntN(len(m.nodes))]
-		if giver := m.at[placement.Coordinator("prompts/s", asked.Eligible(m.now))]; giver != nil {
-			giver.frozen = true
+		asked := m.nodes[m.rng.IntN(len(m.nodes))]
+		if placer := m.byAddress[placement.Coordinator("prompts/s", asked.Eligible(m.now))]; placer != nil {
+			placer.frozen = true
 		}
 	}
 }
@@ -229,7 +230,7 @@
 // limit allows, summed over all nodes, while nodes repeatedly start, stop, freeze and are
 // partitioned, and in the time after the last fault.
 func TestBoundHolds(t *testing.T) {
-	mostGivers := 0
+	maxConcurrentAssigners := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 60).Draw(t, "nodes"))
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
@@ -237,12 +238,12 @@
 			m.fault(t)
 		}
 		m.run(4 * time.Second)
-		if most := m.mostInASecond(); most > modelBound {
-			t.Fatalf("%d requests assigned by up to %d members arrived in one second, want at most %d", most, m.mostGivers, modelBound)
+		if most := m.maxInOneSecond(); most > maxRequestsPerSecond {
+			t.Fatalf("%d requests assigned by up to %d members arrived in one second, want at most %d", most, m.maxConcurrentAssigners, maxRequestsPerSecond)
 		}
-		mostGivers = max(mostGivers, m.mostGivers)
+		maxConcurrentAssigners = max(maxConcurrentAssigners, m.maxConcurrentAssigners)
 	})
-	t.Logf("at most %d members assigned requests within a second", mostGivers)
+	t.Logf("at most %d members assigned requests within a second", maxConcurrentAssigners)
 }
 
 // TestColdTargetIsUsed verifies that a cold target gets requests as long as there are no
@@ -255,7 +256,7 @@
 			m.arrivals = nil
 			m.run(10 * time.Second)
 			// One member assigns 2.3 requests a second. The model drops half of them because
-			// the response takes longer than modelTimeout.
+			// the response takes longer than modelPlaceTimeout.
 			if n := len(m.arrivals); n < 5 {
 				t.Fatalf("got %d requests in 10 s, want at least 5", n)
 			}
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -15,7 +15,7 @@
 //     of the service, or for a plain service the member that rendezvous hashing selects for
 //     the target.
 //   - That member keeps a token bucket for each cold target, which is filled at a fraction
-//     1/sharers of the limit (Bound.Share). Up to sharers members that each consider
+//     1/maxAssigners of the limit (Bound.Share). Up to maxAssigners members that each consider
 //     themselves responsible stay within the limit together.
 //   - A member that has just started, or has lost contact with most other members, assigns
 //     no requests (membership.Roster.Settled), because members in this state are the ones
@@ -42,11 +42,11 @@
 )
 
 const (
-	// sharers is the number of members that may assign requests to a cold target within one
+	// maxAssigners is the number of members that may assign requests to a cold target within one
 	// second without exceeding the limit. At most 6 members do so at once in 4,500 cases of
 	// TestBoundHolds, in which members start, stop, freeze and are partitioned repeatedly.
 	// A target limited to 20 requests a second gets 3.3 a second from one member.
-	sharers = 6
+	maxAssigners = 6
 	// burstShare is the fraction of a member's share that may be used at once. The bucket
 	// refills at the rate of the rest, so that no second exceeds the share.
 	burstShare = 0.25
@@ -72,7 +72,7 @@
 
 // Share returns the maximum number of requests a second that one member may assign to a
 // target.
-func (b Bound) Share() float64 { return (b.PerSecond*b.Overshoot + b.Tolerance) / sharers }
+func (b Bound) Share() float64 { return (b.PerSecond*b.Overshoot + b.Tolerance) / maxAssigners }
 
 // limiter returns a token bucket that allows at most Share requests in any second, or nil
 // if Share is less than one.
@@ -107,18 +107,18 @@
 
 // Allows reports whether a target may get a request now. It may if it is warm, if its
 // service has no limit, or if its bucket has a token and this member assigns the requests of
-// the target. givesOut reports the latter and is only called for cold targets.
-func (l *Limits) Allows(now time.Time, t directory.Target, givesOut func() bool) bool {
-	if !l.bounds(now, t) {
+// the target. mayAssign reports the latter and is only called for cold targets.
+func (l *Limits) Allows(now time.Time, t directory.Target, mayAssign func() bool) bool {
+	if !l.applies(now, t) {
 		return true
 	}
 	bucket := l.bucket(t.Life())
-	return bucket != nil && bucket.TokensAt(now) >= 1 && givesOut()
+	return bucket != nil && bucket.TokensAt(now) >= 1 && mayAssign()
 }
 
 // Sent takes a token for a request that is sent to a target.
 func (l *Limits) Sent(now time.Time, t directory.Target) {
-	if !l.bounds(now, t) {
+	if !l.applies(now, t) {
 		return
 	}
 	if bucket := l.bucket(t.Life()); bucket != nil {
@@ -135,8 +135,8 @@
 	}
 }
 
-// bounds reports whether the target is cold and has a limit.
-func (l *Limits) bounds(now time.Time, t directory.Target) bool {
+// applies reports whether the target is cold and has a limit.
+func (l *Limits) applies(now time.Time, t directory.Target) bool {
 	return l != nil && l.bound.PerSecond > 0 && t.Cold(now)
 }
 
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -23,7 +23,7 @@
 	return directory.Target{ID: id, ColdUntil: start.Add(time.Minute)}
 }
 
-func limitsOf(b warmup.Bound) *warmup.Limits {
+func newLimiter(b warmup.Bound) *warmup.Limits {
 	l := warmup.New()
 	l.SetBound(b)
 	return l
@@ -33,9 +33,9 @@
 
 func never() bool { return false }
 
-// sentWithin sends a target as many requests as are allowed within d and returns their
+// sendAllowed sends a target as many requests as are allowed within d and returns their
 // number.
-func sentWithin(l *warmup.Limits, t directory.Target, d time.Duration) int {
+func sendAllowed(l *warmup.Limits, t directory.Target, d time.Duration) int {
 	n := 0
 	for at := start; at.Before(start.Add(d)); at = at.Add(time.Millisecond) {
 		if l.Allows(at, t, always) {
@@ -49,30 +49,30 @@
 func TestLimits(t *testing.T) {
 	bound := margin.Bound(service)
 	convey.Convey("Six members together stay within the limit in a second", t, func() {
-		convey.So(6*sentWithin(limitsOf(bound), cold("a"), time.Second), convey.ShouldBeBetweenOrEqual, 12, 20)
-		convey.So(sentWithin(limitsOf(bound), cold("a"), 10*time.Second), convey.ShouldBeBetween, 20, 30)
+		convey.So(6*sendAllowed(newLimiter(bound), cold("a"), time.Second), convey.ShouldBeBetweenOrEqual, 12, 20)
+		convey.So(sendAllowed(newLimiter(bound), cold("a"), 10*time.Second), convey.ShouldBeBetween, 20, 30)
 	})
 	convey.Convey("Each target has its own bucket", t, func() {
-		l := limitsOf(bound)
-		sentWithin(l, cold("a"), time.Second)
+		l := newLimiter(bound)
+		sendAllowed(l, cold("a"), time.Second)
 		convey.So(l.Allows(start, cold("b"), always), convey.ShouldBeTrue)
 	})
 	convey.Convey("Warm targets and targets of a service without a limit are not limited", t, func() {
-		convey.So(sentWithin(limitsOf(bound), directory.Target{ID: "a"}, time.Second), convey.ShouldEqual, 1000)
-		convey.So(sentWithin(limitsOf(margin.Bound(catalog.WarmUp{Time: time.Second})), cold("a"), time.Second), convey.ShouldEqual, 1000)
+		convey.So(sendAllowed(newLimiter(bound), directory.Target{ID: "a"}, time.Second), convey.ShouldEqual, 1000)
+		convey.So(sendAllowed(newLimiter(margin.Bound(catalog.WarmUp{Time: time.Second})), cold("a"), time.Second), convey.ShouldEqual, 1000)
 		convey.So((*warmup.Limits)(nil).Allows(start, cold("a"), never), convey.ShouldBeTrue)
 	})
 	convey.Convey("A member that does not assign the requests of a cold target sends it none", t, func() {
-		convey.So(limitsOf(bound).Allows(start, cold("a"), never), convey.ShouldBeFalse)
-		convey.So(limitsOf(bound).Allows(start, directory.Target{ID: "a"}, never), convey.ShouldBeTrue)
+		convey.So(newLimiter(bound).Allows(start, cold("a"), never), convey.ShouldBeFalse)
+		convey.So(newLimiter(bound).Allows(start, directory.Target{ID: "a"}, never), convey.ShouldBeTrue)
 	})
 	convey.Convey("A cold target gets no requests if the limit is too small for six members", t, func() {
-		l := limitsOf(warmup.Margin{Overshoot: 1}.Bound(catalog.WarmUp{PerSecond: 3}))
-		convey.So(sentWithin(l, cold("a"), time.Second), convey.ShouldEqual, 0)
+		l := newLimiter(warmup.Margin{Overshoot: 1}.Bound(catalog.WarmUp{PerSecond: 3}))
+		convey.So(sendAllowed(l, cold("a"), time.Second), convey.ShouldEqual, 0)
 	})
 	convey.Convey("Prune removes the buckets of targets that are no longer listed and keeps the others", t, func() {
-		l := limitsOf(bound)
-		sentWithin(l, cold("a"), time.Second)
+		l := newLimiter(bound)
+		sendAllowed(l, cold("a"), time.Second)
 		l.Prune(start, directory.New(cold("a")))
 		convey.So(l.Allows(start, cold("a"), always), convey.ShouldBeFalse)
 		l.Prune(start, directory.New())
