--- a/internal/gateway/backpressure/doc.go
+++ b/internal/gateway/backpressure/doc.go
@@ -11,8 +11,8 @@
 //
 //   - Only a few nodes send to a limited target: for batching services the coordinator of
 //     the service, otherwise the members that rendezvous hashing ranks first for the target,
-//     one for each perGiver of the limit.
-//   - Each sender has a token bucket that is filled at its part of givenShare of the limit,
+//     one for each limitPerSender of the limit.
+//   - Each sender has a token bucket that is filled at its part of usedShare of the limit,
 //     so that nodes that disagree about who may send, for example while a member joins or
 //     leaves, exceed the limit only slightly.
 //   - A node that has just started, or has lost contact with most other members, does not
@@ -20,10 +20,10 @@
 //
 // Members pass on limits by gossip, so that nodes that do not send to a target learn of its
 // limit and of the end of the limit. If no member reports a confirmation of the limit, the
-// members ranked after the senders substitute for them, one at a time, for confirmFor each.
-// The senders may have no requests for the target, or run a version that does not support
-// limits. If all members substituted at once, they would send a burst after a period without
-// load.
+// members ranked after the senders substitute for them, one at a time, for confirmTimeout
+// each. The senders may have no requests for the target, or run a version that does not
+// support limits. If all members substituted at once, they would send a burst after a
+// period without load.
 //
 // If the bucket of a target is empty, the request goes to another target. If there is none,
 // the request is refused as not run, with a time after which to retry.
--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -6,38 +6,38 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// giver returns the part of a target's limit that a sender may use, in requests a second,
-// and reports whether this node is currently a sender. silent is the time since the target
-// last confirmed the limit.
-type giver func(target directory.Life, l Limit, silent time.Duration) (perSecond float64, gives bool)
+// shareFunc returns the part of a target's limit that a sender may use, in requests a
+// second, and reports whether this node is currently a sender. unconfirmedFor is the time
+// since the target last confirmed the limit.
+type shareFunc func(target directory.Life, l Limit, unconfirmedFor time.Duration) (perSecond float64, sends bool)
 
 // Gate determines which targets a component of a node may send to. It is safe for concurrent
 // use.
 type Gate struct {
 	keeper *Keeper
-	giver  giver
+	share  shareFunc
 }
 
 // Requests returns the gate for requests that this node relays. Only the members ranked
 // first for a limited target may send to it. While the limit is unconfirmed, one more member
-// substitutes for them, the next one after each confirmFor.
+// substitutes for them, the next one after each confirmTimeout.
 func (k *Keeper) Requests() Gate {
-	return Gate{keeper: k, giver: func(target directory.Life, l Limit, silent time.Duration) (float64, bool) {
-		before, members := k.cfg.Rank(limitRole + target.String())
+	return Gate{keeper: k, share: func(target directory.Life, l Limit, unconfirmedFor time.Duration) (float64, bool) {
+		before, members := k.cfg.Rank(limitRolePrefix + target.String())
 		if members == 0 {
 			return 0, false
 		}
-		givers := min(l.givers(), members)
-		substitute := (givers - 1 + int(silent/confirmFor)) % members
-		return l.given(givers), before < givers || before == substitute
+		senders := min(l.senders(), members)
+		substitute := (senders - 1 + int(unconfirmedFor/confirmTimeout)) % members
+		return l.ratePerSender(senders), before < senders || before == substitute
 	}}
 }
 
 // Calls returns the gate for the calls that a coordinator makes. The coordinator is the only
 // sender for all targets of its service, as long as coordinates returns true.
 func (k *Keeper) Calls(coordinates func() bool) Gate {
-	return Gate{keeper: k, giver: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
-		return l.given(1), coordinates()
+	return Gate{keeper: k, share: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
+		return l.ratePerSender(1), coordinates()
 	}}
 }
 
@@ -49,7 +49,7 @@
 	g.keeper.mu.Lock()
 	defer g.keeper.mu.Unlock()
 	var list []string
-	for _, target := range g.keeper.table.known() {
+	for _, target := range g.keeper.table.all() {
 		if d.Lives(target) && !g.allows(target) {
 			list = append(list, target.ID)
 		}
@@ -77,7 +77,7 @@
 	if !g.allows(target) {
 		return false
 	}
-	g.keeper.table.sent(g.keeper.cfg.Now(), target)
+	g.keeper.table.takeToken(g.keeper.cfg.Now(), target)
 	return true
 }
 
@@ -115,11 +115,11 @@
 		return 0, true
 	}
 	l := g.keeper.table.limit(target)
-	perSecond, _ = g.giver(target, l, 0)
+	perSecond, _ = g.share(target, l, 0)
 	return perSecond, l.Set
 }
 
 // allows is like Allows. The caller must hold the lock.
 func (g Gate) allows(target directory.Life) bool {
-	return g.keeper.table.allows(g.keeper.cfg.Now(), target, g.giver)
+	return g.keeper.table.allows(g.keeper.cfg.Now(), target, g.share)
 }
--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// confirmFor is the time without a confirmation of a limit after which a member
+	// confirmTimeout is the time without a confirmation of a limit after which a member
 	// substitutes for the senders, and the time for which it does so.
-	confirmFor = 5 * time.Second
-	// maxReported is the maximum number of targets in one exchange with a member.
-	maxReported = 64
-	// limitRole is the prefix of the name by which members are ranked as senders for a
+	confirmTimeout = 5 * time.Second
+	// maxReportsPerExchange is the maximum number of targets in one exchange with a member.
+	maxReportsPerExchange = 64
+	// limitRolePrefix is the prefix of the name by which members are ranked as senders for a
 	// limited target.
-	limitRole = "limit/"
+	limitRolePrefix = "limit/"
 )
 
 // Config configures a Keeper.
@@ -43,43 +43,43 @@
 
 	mu    sync.Mutex
 	table *table
-	// entries is the number of table entries. It can be read without the lock, which skips
+	// entryCount is the number of table entries. It can be read without the lock, which skips
 	// the lock in the usual case of an empty table.
-	entries atomic.Int64
+	entryCount atomic.Int64
 }
 
 // NewKeeper returns a Keeper without any reports.
 func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, table: newTable()} }
 
-// unlock updates entries and releases the lock. It must be used instead of mu.Unlock after
-// any change to the table.
-func (k *Keeper) unlock() {
-	k.entries.Store(int64(len(k.table.entries)))
+// updateAndUnlock updates entryCount and releases the lock. It must be used instead of
+// mu.Unlock after any change to the table.
+func (k *Keeper) updateAndUnlock() {
+	k.entryCount.Store(int64(len(k.table.entries)))
 	k.mu.Unlock()
 }
 
 // empty reports whether the table has no entries.
-func (k *Keeper) empty() bool { return k.entries.Load() == 0 }
+func (k *Keeper) empty() bool { return k.entryCount.Load() == 0 }
 
 // Heard records the signal in a target's response to this node.
 func (k *Keeper) Heard(target directory.Life, s Signal) {
-	if k.empty() && s.asksNothing() {
+	if k.empty() && s.isEmpty() {
 		return
 	}
 	k.mu.Lock()
-	defer k.unlock()
+	defer k.updateAndUnlock()
 	now := k.cfg.Now()
-	if s.Leaving && k.table.leave(now, target) {
+	if s.Leaving && k.table.markLeaving(now, target) {
 		k.cfg.Log.Info().Str("target", target.String()).Msg("backpressure: target is leaving")
 	}
 	if s.Pause > 0 && k.table.pause(now, target, s.Pause) {
 		k.cfg.Log.Info().Str("target", target.String()).Dur("pause", s.Pause).Msg("backpressure: target requested a pause")
 	}
-	if !s.Limit.Set && !k.table.ends(target, s.Sent) {
+	if !s.Limit.Set && !k.table.endsLimit(target, s.Sent) {
 		return
 	}
 	if k.table.merge(target, report{Limit: s.Limit, at: now}) {
-		k.changed(target, "")
+		k.limitChanged(target, "")
 	}
 }
 
@@ -90,7 +90,7 @@
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
 	list := []message.TargetHold{}
-	for _, target := range k.table.told(now) {
+	for _, target := range k.table.held(now) {
 		e := k.table.entries[target]
 		list = append(list, message.TargetHold{
 			Target: target.String(), Leaving: e.leaving, PauseMs: max(int(e.pausedUntil.Sub(now).Milliseconds()), 0),
@@ -100,14 +100,15 @@
 	return list
 }
 
-// changed logs the changed limit of a target and notifies Config.Changed. from is the member
-// that reported the change, or empty if the target did. The caller must hold the lock.
-func (k *Keeper) changed(target directory.Life, from string) {
-	line := k.cfg.Log.Info().Str("target", target.String()).Str("from", from)
+// limitChanged logs the changed limit of a target and notifies Config.Changed. from is
+// the member that reported the change, or empty if the target did. The caller must hold the
+// lock.
+func (k *Keeper) limitChanged(target directory.Life, from string) {
+	event := k.cfg.Log.Info().Str("target", target.String()).Str("from", from)
 	if l := k.table.limit(target); l.Set {
-		line.Float64("perSecond", l.PerSecond).Msg("backpressure: target set a request limit")
+		event.Float64("perSecond", l.PerSecond).Msg("backpressure: target set a request limit")
 	} else {
-		line.Msg("backpressure: target removed its request limit")
+		event.Msg("backpressure: target removed its request limit")
 	}
 	k.cfg.Changed(len(k.table.limited()))
 }
@@ -116,7 +117,7 @@
 func (k *Keeper) Limits() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	list := k.messages(k.table.limited())
+	list := k.limitMessages(k.table.limited())
 	slices.SortFunc(list, func(a, b message.TargetLimit) int { return strings.Compare(a.Target, b.Target) })
 	return list
 }
@@ -124,14 +125,14 @@
 // Recent returns the newest limits and ends of limits for gossip with other members.
 func (k *Keeper) Recent() []message.TargetLimit {
 	k.mu.Lock()
-	defer k.unlock()
-	k.table.prune(k.cfg.Now())
-	return k.messages(k.table.newest(maxReported))
+	defer k.updateAndUnlock()
+	k.table.pruneEnded(k.cfg.Now())
+	return k.limitMessages(k.table.newest(maxReportsPerExchange))
 }
 
-// messages returns the limits of targets as messages. Times are sent as ages, because the
-// clocks of members may differ. The caller must hold the lock.
-func (k *Keeper) messages(targets []directory.Life) []message.TargetLimit {
+// limitMessages returns the limits of targets as messages. Times are sent as ages,
+// because the clocks of members may differ. The caller must hold the lock.
+func (k *Keeper) limitMessages(targets []directory.Life) []message.TargetLimit {
 	now := k.cfg.Now()
 	list := make([]message.TargetLimit, len(targets))
 	for i, target := range targets {
@@ -146,7 +147,7 @@
 // Merge merges limits that another member reported.
 func (k *Keeper) Merge(member string, list []message.TargetLimit) {
 	k.mu.Lock()
-	defer k.unlock()
+	defer k.updateAndUnlock()
 	now := k.cfg.Now()
 	for _, m := range list {
 		r := report{at: now.Add(-time.Duration(max(m.AgoMs, 0)) * time.Millisecond)}
@@ -157,8 +158,8 @@
 			continue
 		}
 		target := directory.ParseLife(m.Target)
-		if !k.table.passedOn(target, r) && k.table.merge(target, r) {
-			k.changed(target, member)
+		if !k.table.isDuplicate(target, r) && k.table.merge(target, r) {
+			k.limitChanged(target, member)
 		}
 	}
 }
@@ -166,9 +167,9 @@
 // Prune removes target incarnations that no longer exist.
 func (k *Keeper) Prune(d *directory.Directory) {
 	k.mu.Lock()
-	defer k.unlock()
+	defer k.updateAndUnlock()
 	before := len(k.table.limited())
-	k.table.pruneLives(k.cfg.Now(), d)
+	k.table.pruneUnlisted(k.cfg.Now(), d)
 	if after := len(k.table.limited()); after != before {
 		k.cfg.Changed(after)
 	}
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// modelRound and modelPartners are the interval between gossip rounds and the number of
-	// partners in a round, as in the gateway.
-	modelRound    = 500 * time.Millisecond
-	modelPartners = 2
+	// modelGossipInterval and modelGossipPartners are the interval between gossip rounds and the
+	// number of partners in a round, as in the gateway.
+	modelGossipInterval = 500 * time.Millisecond
+	modelGossipPartners = 2
 	// modelStep is the resolution of the simulated clock.
 	modelStep = 20 * time.Millisecond
-	// modelRequests is the number of requests that arrive in a step, which makes 200 a second.
-	// Without the limit all of them would go to the target. nodeRequests is the number for
-	// each node of a larger cluster, which makes 4 a second.
-	modelRequests = 4
-	nodeRequests  = 0.08
+	// modelRequestsPerStep is the number of requests that arrive in a step, which makes 200 a
+	// second. Without the limit all of them would go to the target. requestsPerNodeAndStep is
+	// the number for each node of a larger cluster, which makes 4 a second.
+	modelRequestsPerStep   = 4
+	requestsPerNodeAndStep = 0.08
 	// maxDelay is the maximum one-way delay between a node and the target.
 	maxDelay = 100 * time.Millisecond
 )
@@ -36,12 +36,12 @@
 // The bound on the requests that a limited target may get. In any boundWindow it may get
 // boundOvershoot times its limit plus boundTolerance requests. The bound applies from
 // boundGrace after the limit was first announced, and to nodes that received the limit more
-// than boundTold ago.
+// than boundDelay ago.
 const (
 	boundWindow    = 4 * time.Second
 	boundOvershoot = 1.5
 	boundTolerance = 5
-	boundTold      = 500 * time.Millisecond
+	boundDelay     = 500 * time.Millisecond
 	boundGrace     = 3 * time.Second
 )
 
@@ -50,22 +50,22 @@
 // modelNode is a simulated node.
 type modelNode struct {
 	*membership.Roster
-	address string
-	keeper  *backpressure.Keeper
-	gate    backpressure.Gate
-	next    time.Time
-	down    bool
-	// frozen nodes neither act nor respond. side is the partition that the node is in; it
+	address    string
+	keeper     *backpressure.Keeper
+	gate       backpressure.Gate
+	nextGossip time.Time
+	down       bool
+	// frozen nodes neither act nor respond. partition is the network partition of the node. It
 	// only reaches nodes in the same partition.
-	frozen bool
-	side   int
-	// told is the time at which the node first received the limit in a response since it
+	frozen    bool
+	partition int
+	// limitReceived is the time at which the node first received the limit in a response since it
 	// last started, resumed or was partitioned. It is zero if it has not received it.
-	told time.Time
+	limitReceived time.Time
 }
 
-// answer is a response of the target in transit to a node.
-type answer struct {
+// response is a response of the target in transit to a node.
+type response struct {
 	node *modelNode
 	at   time.Time
 	// keeper is the Keeper of the node incarnation that sent the request.
@@ -75,31 +75,31 @@
 
 // model simulates a cluster whose nodes all send to the same target.
 type model struct {
-	rnd    *rand.Rand
-	now    time.Time
-	nodes  []*modelNode
-	at     map[string]*modelNode
-	target directory.Target
-	// limit is the limit that the target announces since the time named.
-	limit backpressure.Limit
-	named time.Time
-	// quiet is the time until which no requests arrive.
-	quiet   time.Time
-	answers []answer
-	// arrivals are the arrival times of all requests. judged are those that count towards
-	// the bound.
-	arrivals, judged []time.Time
+	rng       *rand.Rand
+	now       time.Time
+	nodes     []*modelNode
+	byAddress map[string]*modelNode
+	target    directory.Target
+	// limit is the limit that the target announces since limitSince.
+	limit      backpressure.Limit
+	limitSince time.Time
+	// quietUntil is the time until which no requests arrive.
+	quietUntil time.Time
+	responses  []response
+	// arrivals are the arrival times of all requests. boundedArrivals are those that count
+	// towards the bound.
+	arrivals, boundedArrivals []time.Time
 }
 
 func newModel(seed uint64, size int) *model {
 	m := &model{
-		rnd: rand.New(rand.NewPCG(seed, seed)), now: start, at: map[string]*modelNode{},
+		rng: rand.New(rand.NewPCG(seed, seed)), now: start, byAddress: map[string]*modelNode{},
 		target: directory.Target{ID: "target", Service: "s"},
 	}
 	for i := range size {
 		n := &modelNode{address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256)}
 		m.nodes = append(m.nodes, n)
-		m.at[n.address] = n
+		m.byAddress[n.address] = n
 	}
 	for _, n := range m.nodes {
 		m.start(n)
@@ -124,22 +124,22 @@
 		},
 	})
 	n.gate = n.keeper.Requests()
-	n.next = m.now.Add(time.Duration(m.rnd.Int64N(int64(modelRound))))
-	n.down, n.told = false, time.Time{}
+	n.nextGossip = m.now.Add(time.Duration(m.rng.Int64N(int64(modelGossipInterval))))
+	n.down, n.limitReceived = false, time.Time{}
 }
 
-// name sets the limit that the target announces.
-func (m *model) name(l backpressure.Limit) {
-	m.limit, m.named = l, m.now
-	m.arrivals, m.judged = nil, nil
+// setLimit sets the limit that the target announces.
+func (m *model) setLimit(l backpressure.Limit) {
+	m.limit, m.limitSince = l, m.now
+	m.arrivals, m.boundedArrivals = nil, nil
 	for _, n := range m.nodes {
-		n.told = time.Time{}
+		n.limitReceived = time.Time{}
 	}
 }
 
 // reaches reports whether a node gets responses from another node.
 func (n *modelNode) reaches(other *modelNode) bool {
-	return !other.down && !other.frozen && n.side == other.side
+	return !other.down && !other.frozen && n.partition == other.partition
 }
 
 // run advances the simulated clock by d, with gossip and requests at all nodes.
@@ -148,52 +148,55 @@
 		m.now = m.now.Add(modelStep)
 		m.deliver()
 		for _, n := range m.nodes {
-			if !n.down && !n.frozen && !m.now.Before(n.next) {
+			if !n.down && !n.frozen && !m.now.Before(n.nextGossip) {
 				m.gossip(n)
 			}
 		}
-		for range m.requests() {
-			m.request(m.nodes[m.rnd.IntN(len(m.nodes))])
+		for range m.requestsNow() {
+			m.request(m.nodes[m.rng.IntN(len(m.nodes))])
 		}
 	}
 }
 
-// requests returns the number of requests that arrive in the current step.
-func (m *model) requests() int {
-	if m.now.Before(m.quiet) {
+// requestsNow returns the number of requests that arrive in the current step.
+func (m *model) requestsNow() int {
+	if m.now.Before(m.quietUntil) {
 		return 0
 	}
-	return m.perStep()
+	return m.requestsPerStep()
 }
 
-// perStep returns the number of requests that arrive in a step unless the model is quiet.
-func (m *model) perStep() int { return max(modelRequests, int(nodeRequests*float64(len(m.nodes)))) }
+// requestsPerStep returns the number of requests that arrive in a step outside of quiet
+// periods.
+func (m *model) requestsPerStep() int {
+	return max(modelRequestsPerStep, int(requestsPerNodeAndStep*float64(len(m.nodes))))
+}
 
 // deliver passes responses that have arrived to their nodes. A frozen node reads them when
 // it resumes.
 func (m *model) deliver() {
-	var later []answer
-	for _, a := range m.answers {
+	var inTransit []response
+	for _, a := range m.responses {
 		switch {
 		case a.node.down || a.node.keeper != a.keeper:
 		case a.node.frozen || a.at.After(m.now):
-			later = append(later, a)
+			inTransit = append(inTransit, a)
 		default:
 			a.keeper.Heard(m.target.Life(), a.signal)
-			if a.signal.Limit.Set && a.signal.Limit == m.limit && a.node.told.IsZero() {
-				a.node.told = m.now
+			if a.signal.Limit.Set && a.signal.Limit == m.limit && a.node.limitReceived.IsZero() {
+				a.node.limitReceived = m.now
 			}
 		}
 	}
-	m.answers = later
+	m.responses = inTransit
 }
 
 func (m *model) gossip(n *modelNode) {
-	n.next = m.now.Add(modelRound)
+	n.nextGossip = m.now.Add(modelGossipInterval)
 	n.Heartbeat()
 	n.Forget(m.now)
-	for _, address := range n.Partners(m.now, modelPartners) {
-		partner := m.at[address]
+	for _, address := range n.Partners(m.now, modelGossipPartners) {
+		partner := m.byAddress[address]
 		if !n.reaches(partner) {
 			continue
 		}
@@ -210,23 +213,23 @@
 	if n.down || n.frozen || !n.gate.Take(m.target.Life()) {
 		return
 	}
-	delay := func() time.Duration { return time.Duration(m.rnd.Int64N(int64(maxDelay))) }
+	delay := func() time.Duration { return time.Duration(m.rng.Int64N(int64(maxDelay))) }
 	at := m.now.Add(delay())
 	m.arrivals = append(m.arrivals, at)
-	counts := !n.told.IsZero() && m.now.Sub(n.told) > boundTold && at.Sub(m.named) > boundGrace
-	if m.limit.Set && n.side == 0 && counts {
-		m.judged = append(m.judged, at)
+	bounded := !n.limitReceived.IsZero() && m.now.Sub(n.limitReceived) > boundDelay && at.Sub(m.limitSince) > boundGrace
+	if m.limit.Set && n.partition == 0 && bounded {
+		m.boundedArrivals = append(m.boundedArrivals, at)
 	}
-	m.answers = append(m.answers, answer{node: n, at: at.Add(delay()), keeper: n.keeper, signal: backpressure.Signal{Sent: m.now, Limit: m.limit}})
+	m.responses = append(m.responses, response{node: n, at: at.Add(delay()), keeper: n.keeper, signal: backpressure.Signal{Sent: m.now, Limit: m.limit}})
 }
 
-// check verifies that the target did not get more requests than the bound in any window.
-func (m *model) check(t interface{ Fatalf(string, ...any) }) {
+// checkBound verifies that the target did not get more requests than the bound in any window.
+func (m *model) checkBound(t interface{ Fatalf(string, ...any) }) {
 	bound := boundOvershoot*m.limit.PerSecond*boundWindow.Seconds() + boundTolerance
-	slices.SortFunc(m.judged, time.Time.Compare)
+	slices.SortFunc(m.boundedArrivals, time.Time.Compare)
 	first := 0
-	for last, at := range m.judged {
-		for at.Sub(m.judged[first]) >= boundWindow {
+	for last, at := range m.boundedArrivals {
+		for at.Sub(m.boundedArrivals[first]) >= boundWindow {
 			first++
 		}
 		if n := last - first + 1; float64(n) > bound {
@@ -235,25 +238,25 @@
 	}
 }
 
-// excuse exempts a node that was disturbed by a fault from the bound until it receives the
+// exempt exempts a node that was disturbed by a fault from the bound until it receives the
 // limit again.
-func (n *modelNode) excuse() { n.told = time.Time{} }
+func (n *modelNode) exempt() { n.limitReceived = time.Time{} }
 
 // fault applies a random fault, or ends earlier ones.
 func (m *model) fault(t *rapid.T) {
-	some := func(label string, most int) []*modelNode {
+	sample := func(label string, most int) []*modelNode {
 		share := rapid.IntRange(1, most).Draw(t, label)
 		list := slices.Clone(m.nodes)
-		m.rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+		m.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		return list[:max(len(list)*share/10, 1)]
 	}
 	switch rapid.IntRange(0, 7).Draw(t, "fault") {
 	case 0:
-		for _, n := range some("ended tenths", 10) {
+		for _, n := range sample("ended tenths", 10) {
 			m.start(n)
 		}
 	case 1:
-		for _, n := range some("down tenths", 6) {
+		for _, n := range sample("down tenths", 6) {
 			n.down = true
 		}
 	case 2:
@@ -264,34 +267,34 @@
 		}
 	case 3:
 		for _, n := range m.nodes {
-			n.side = 1 + m.rnd.IntN(rapid.IntRange(2, 4).Draw(t, "sides"))
-			n.excuse()
+			n.partition = 1 + m.rng.IntN(rapid.IntRange(2, 4).Draw(t, "sides"))
+			n.exempt()
 		}
 	case 4:
-		for _, n := range some("alone tenths", 6) {
-			n.side = 1 + m.rnd.IntN(len(m.nodes))
-			n.excuse()
+		for _, n := range sample("alone tenths", 6) {
+			n.partition = 1 + m.rng.IntN(len(m.nodes))
+			n.exempt()
 		}
 	case 5:
 		for _, n := range m.nodes {
-			if n.side != 0 || n.frozen {
-				n.excuse()
+			if n.partition != 0 || n.frozen {
+				n.exempt()
 			}
-			n.side, n.frozen = 0, false
+			n.partition, n.frozen = 0, false
 		}
 	case 6:
-		for _, n := range some("frozen tenths", 3) {
+		for _, n := range sample("frozen tenths", 3) {
 			n.frozen = true
-			n.excuse()
+			n.exempt()
 		}
 	case 7:
-		m.quiet = m.now.Add(time.Duration(rapid.IntRange(0, 10000).Draw(t, "quiet ms")) * time.Millisecond)
-		m.run(m.quiet.Sub(m.now))
+		m.quietUntil = m.now.Add(time.Duration(rapid.IntRange(0, 10000).Draw(t, "quiet ms")) * time.Millisecond)
+		m.run(m.quietUntil.Sub(m.now))
 	}
 }
 
-// limits draws a random limit.
-func limits(t *rapid.T) backpressure.Limit {
+// drawLimit draws a random limit.
+func drawLimit(t *rapid.T) backpressure.Limit {
 	return backpressure.Limit{Set: true, PerSecond: rapid.SampledFrom([]float64{0, 0.3, 1, 3, 10, 40}).Draw(t, "limit")}
 }
 
@@ -302,13 +305,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 60).Draw(t, "nodes"))
 		m.run(time.Duration(rapid.IntRange(0, 5000).Draw(t, "before")) * time.Millisecond)
-		m.name(limits(t))
+		m.setLimit(drawLimit(t))
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
 			m.run(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			m.fault(t)
 		}
 		m.run(boundWindow)
-		m.check(t)
+		m.checkBound(t)
 	})
 }
 
@@ -319,19 +322,19 @@
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			m := newModel(1, size)
 			m.run(5 * time.Second)
-			m.name(backpressure.Limit{Set: true, PerSecond: 10})
+			m.setLimit(backpressure.Limit{Set: true, PerSecond: 10})
 			m.run(boundGrace + boundWindow)
-			m.check(t)
+			m.checkBound(t)
 			m.arrivals = nil
 			m.run(10 * time.Second)
 			if n := len(m.arrivals); n < 40 {
 				t.Errorf("got %d requests in 10 s, want at least 40 of 100", n)
 			}
-			m.name(backpressure.Limit{})
+			m.setLimit(backpressure.Limit{})
 			m.run(5 * time.Second)
 			m.arrivals = nil
 			m.run(time.Second)
-			if n, all := len(m.arrivals), m.perStep()*int(time.Second/modelStep); n < all*9/10 {
+			if n, all := len(m.arrivals), m.requestsPerStep()*int(time.Second/modelStep); n < all*9/10 {
 				t.Errorf("got %d of %d requests in a second after the end of the limit, want at least 90%%", n, all)
 			}
 		})
@@ -383,20 +386,20 @@
 // ages at the correct rate, although each exchange adds a delay. A report that looks too
 // fresh keeps the limit from ending, and keeps members from substituting for the senders.
 func TestReportsAge(t *testing.T) {
-	const transit, lasts = 100 * time.Millisecond, 10 * time.Second
+	const exchangeTime, duration = 100 * time.Millisecond, 10 * time.Second
 	m := newModel(1, 4)
 	m.nodes[0].keeper.Heard(m.target.Life(), backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 1}})
 	named := m.now
-	for i := 0; m.now.Sub(named) < lasts; i++ {
+	for i := 0; m.now.Sub(named) < duration; i++ {
 		from, to := m.nodes[i%4], m.nodes[(i+1+i/4%3)%4]
 		reported := from.keeper.Recent()
-		m.now = m.now.Add(transit)
+		m.now = m.now.Add(exchangeTime)
 		to.keeper.Merge(from.address, reported)
 	}
 	for _, n := range m.nodes {
 		age := time.Duration(n.keeper.Limits()[0].AgoMs) * time.Millisecond
-		if age < lasts-time.Second {
-			t.Errorf("report from %v ago has an age of %v", lasts, age)
+		if age < duration-time.Second {
+			t.Errorf("report from %v ago has an age of %v", duration, age)
 		}
 	}
 }
--- a/internal/gateway/backpressure/signal.go
+++ b/internal/gateway/backpressure/signal.go
@@ -18,8 +18,8 @@
 	Pause time.Duration
 }
 
-// asksNothing reports whether the signal has no limit, pause or leave announcement.
-func (s Signal) asksNothing() bool { return !s.Limit.Set && !s.Leaving && s.Pause <= 0 }
+// isEmpty reports whether the signal has no limit, pause or leave announcement.
+func (s Signal) isEmpty() bool { return !s.Limit.Set && !s.Leaving && s.Pause <= 0 }
 
 // Limit is a request rate, summed over all nodes. The zero value means no limit.
 type Limit struct {
--- a/internal/gateway/backpressure/table.go
+++ b/internal/gateway/backpressure/table.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// givenShare is the fraction of a limit that the senders use together. If two sets of
+	// usedShare is the fraction of a limit that the senders use together. If two sets of
 	// nodes both send, for example while a member joins or leaves, they exceed the limit by
 	// only a fifth.
-	givenShare = 0.6
-	// perGiver is the part of a limit for which there is one sender, in requests a second.
+	usedShare = 0.6
+	// limitPerSender is the part of a limit for which there is one sender, in requests a second.
 	// In a large cluster few nodes have more requests than this for one target.
-	perGiver = 2
-	// giverBurst is the number of requests that a sender may send at once.
-	giverBurst = 1
-	// minPerSecond is the minimum rate of a sender in requests a second. It is not 0, so that
+	limitPerSender = 2
+	// senderBurst is the number of requests that a sender may send at once.
+	senderBurst = 1
+	// minSenderRate is the minimum rate of a sender in requests a second. It is not 0, so that
 	// a response can announce the end of a limit of 0.
-	minPerSecond = 0.1
-	// endedFor is the time for which the end of a limit is kept, so that it reaches all
+	minSenderRate = 0.1
+	// endedRetention is the time for which the end of a limit is kept, so that it reaches all
 	// members.
-	endedFor = 10 * time.Second
-	// sameReport is the maximum difference in time between two equal reports that are
+	endedRetention = 10 * time.Second
+	// duplicateTolerance is the maximum difference in time between two equal reports that are
 	// considered the same report. It exceeds the duration of an exchange between members,
 	// which makes a forwarded report look newer.
-	sameReport = 500 * time.Millisecond
-	// unlistedFor is the time for which the state of an unlisted target is kept in case it
+	duplicateTolerance = 500 * time.Millisecond
+	// unlistedRetention is the time for which the state of an unlisted target is kept in case it
 	// is listed again. It exceeds the outages of the source, and the time for which a leaving
 	// target keeps running.
-	unlistedFor = time.Minute
+	unlistedRetention = time.Minute
 )
 
 // report is a target's report of its limit, and the time of the report.
@@ -53,9 +53,9 @@
 	pausedUntil time.Time
 	// bucket limits the requests that this node sends under the target's limit.
 	bucket *rate.Limiter
-	// unlisted is the time since which the target is not listed. It is zero while the target
+	// unlistedSince is the time since which the target is not listed. It is zero while the target
 	// is listed.
-	unlisted time.Time
+	unlistedSince time.Time
 }
 
 // table holds an entry for each target incarnation that is leaving, paused or limited, or
@@ -66,7 +66,7 @@
 
 // merge records a report unless a newer one is known, and reports whether the limit changed.
 func (t *table) merge(target directory.Life, r report) bool {
-	e := t.of(target, r.at)
+	e := t.getOrCreate(target, r.at)
 	if !r.at.After(e.at) {
 		return false
 	}
@@ -75,15 +75,15 @@
 	return changed
 }
 
-// passedOn reports whether a member's report may be one that is already known. Each exchange
-// makes a forwarded report look newer by the duration of the exchange.
-func (t *table) passedOn(target directory.Life, r report) bool {
+// isDuplicate reports whether a member's report may be one that is already known. Each
+// exchange makes a forwarded report look newer by the duration of the exchange.
+func (t *table) isDuplicate(target directory.Life, r report) bool {
 	e := t.entries[target]
-	return e != nil && r.Limit == e.Limit && r.at.Sub(e.at) < sameReport
+	return e != nil && r.Limit == e.Limit && r.at.Sub(e.at) < duplicateTolerance
 }
 
-// of returns the entry of a target and creates it if necessary.
-func (t *table) of(target directory.Life, now time.Time) *entry {
+// getOrCreate returns the entry of a target and creates it if necessary.
+func (t *table) getOrCreate(target directory.Life, now time.Time) *entry {
 	e := t.entries[target]
 	if e == nil {
 		e = &entry{bucket: newBucket(now)}
@@ -92,39 +92,39 @@
 	return e
 }
 
-// leave marks a target as leaving, and reports whether it was not marked before.
-func (t *table) leave(now time.Time, target directory.Life) bool {
-	e := t.of(target, now)
-	known := e.leaving
+// markLeaving marks a target as leaving, and reports whether it was not marked before.
+func (t *table) markLeaving(now time.Time, target directory.Life) bool {
+	e := t.getOrCreate(target, now)
+	wasLeaving := e.leaving
 	e.leaving = true
-	return !known
+	return !wasLeaving
 }
 
 // pause pauses a target for d, and reports whether it was not paused before. A longer pause
 // that is already in effect is kept.
 func (t *table) pause(now time.Time, target directory.Life, d time.Duration) bool {
-	e := t.of(target, now)
-	begins := !now.Before(e.pausedUntil)
+	e := t.getOrCreate(target, now)
+	isNew := !now.Before(e.pausedUntil)
 	if until := now.Add(d); until.After(e.pausedUntil) {
 		e.pausedUntil = until
 	}
-	return begins
+	return isNew
 }
 
 // newBucket returns an empty bucket, because a target that announces a limit is already
 // overloaded.
 func newBucket(now time.Time) *rate.Limiter {
-	b := rate.NewLimiter(minPerSecond, giverBurst)
-	b.AllowN(now, giverBurst)
+	b := rate.NewLimiter(minSenderRate, senderBurst)
+	b.AllowN(now, senderBurst)
 	return b
 }
 
-// givers returns the number of nodes that may send to a target with limit l.
-func (l Limit) givers() int { return max(int(l.PerSecond/perGiver), 1) }
+// senders returns the number of nodes that may send to a target with limit l.
+func (l Limit) senders() int { return max(int(l.PerSecond/limitPerSender), 1) }
 
-// given returns the rate of each of several senders, in requests a second.
-func (l Limit) given(givers int) float64 {
-	return max(givenShare*l.PerSecond/float64(givers), minPerSecond)
+// ratePerSender returns the rate of each of several senders, in requests a second.
+func (l Limit) ratePerSender(senders int) float64 {
+	return max(usedShare*l.PerSecond/float64(senders), minSenderRate)
 }
 
 // limit returns the limit of a target, which is the zero value if it has none.
@@ -135,10 +135,10 @@
 	return Limit{}
 }
 
-// ends reports whether a response without a limit ends the target's limit. Responses may
-// arrive out of order, so only a response to a request that was sent after the last
-// announcement of the limit ends it.
-func (t *table) ends(target directory.Life, sent time.Time) bool {
+// endsLimit reports whether a response without a limit ends the target's limit.
+// Responses may arrive out of order, so only a response to a request that was sent after
+// the last announcement of the limit ends it.
+func (t *table) endsLimit(target directory.Life, sent time.Time) bool {
 	e := t.entries[target]
 	return e != nil && e.Set && sent.After(e.at)
 }
@@ -164,7 +164,7 @@
 
 // allows reports whether a target may get a request: it is not held back, and either has no
 // limit, or this node is a sender for it and its bucket has a token.
-func (t *table) allows(now time.Time, target directory.Life, giver giver) bool {
+func (t *table) allows(now time.Time, target directory.Life, share shareFunc) bool {
 	e := t.entries[target]
 	switch {
 	case e == nil:
@@ -174,15 +174,15 @@
 	case !e.Set:
 		return true
 	}
-	perSecond, gives := giver(target, e.Limit, now.Sub(e.at))
-	if each := rate.Limit(perSecond); e.bucket.Limit() != each {
-		e.bucket.SetLimitAt(now, each)
+	perSecond, sends := share(target, e.Limit, now.Sub(e.at))
+	if limit := rate.Limit(perSecond); e.bucket.Limit() != limit {
+		e.bucket.SetLimitAt(now, limit)
 	}
-	return gives && e.bucket.TokensAt(now) >= 1
+	return sends && e.bucket.TokensAt(now) >= 1
 }
 
-// sent takes a token for a request that is sent to a target.
-func (t *table) sent(now time.Time, target directory.Life) {
+// takeToken takes a token for a request that is sent to a target.
+func (t *table) takeToken(now time.Time, target directory.Life) {
 	if e := t.entries[target]; e != nil && e.Set {
 		e.bucket.AllowN(now, 1)
 	}
@@ -190,24 +190,24 @@
 
 // limited returns the targets with a limit, in no particular order.
 func (t *table) limited() []directory.Life {
-	return t.where(func(e *entry) bool { return e.Set })
+	return t.filter(func(e *entry) bool { return e.Set })
 }
 
-// told returns the targets that told this node that they are leaving or want a pause, in no
+// held returns the targets that told this node that they are leaving or want a pause, in no
 // particular order.
-func (t *table) told(now time.Time) []directory.Life {
-	return t.where(func(e *entry) bool { return e.heldBack(now) })
+func (t *table) held(now time.Time) []directory.Life {
+	return t.filter(func(e *entry) bool { return e.heldBack(now) })
 }
 
-// known returns all targets in the table, in no particular order.
-func (t *table) known() []directory.Life {
-	return t.where(func(*entry) bool { return true })
+// all returns all targets in the table, in no particular order.
+func (t *table) all() []directory.Life {
+	return t.filter(func(*entry) bool { return true })
 }
 
-func (t *table) where(is func(*entry) bool) []directory.Life {
+func (t *table) filter(match func(*entry) bool) []directory.Life {
 	var list []directory.Life
 	for target, e := range t.entries {
-		if is(e) {
+		if match(e) {
 			list = append(list, target)
 		}
 	}
@@ -216,31 +216,32 @@
 
 // newest returns the targets with the newest reports of a limit or its end, at most n.
 func (t *table) newest(n int) []directory.Life {
-	list := t.where(func(e *entry) bool { return !e.at.IsZero() })
+	list := t.filter(func(e *entry) bool { return !e.at.IsZero() })
 	slices.SortFunc(list, func(a, b directory.Life) int {
 		return cmp.Or(t.entries[b].at.Compare(t.entries[a].at), cmp.Compare(a.ID, b.ID))
 	})
 	return list[:min(n, len(list))]
 }
 
-// prune removes entries whose limit ended more than endedFor ago, unless the target is leaving
-// or paused.
-func (t *table) prune(now time.Time) {
+// pruneEnded removes entries whose limit ended more than endedRetention ago, unless the
+// target is leaving or paused.
+func (t *table) pruneEnded(now time.Time) {
 	maps.DeleteFunc(t.entries, func(_ directory.Life, e *entry) bool {
-		return !e.Set && now.Sub(e.at) > endedFor && !e.leaving && !now.Before(e.pausedUntil)
+		return !e.Set && now.Sub(e.at) > endedRetention && !e.leaving && !now.Before(e.pausedUntil)
 	})
 }
 
-// pruneLives removes target incarnations that have not been listed for unlistedFor. An entry
-// of the source may disappear temporarily, and the state of the target must outlast that.
-func (t *table) pruneLives(now time.Time, d *directory.Directory) {
+// pruneUnlisted removes target incarnations that have not been listed for
+// unlistedRetention. An entry of the source may disappear temporarily, and the state of the
+// target must outlast that.
+func (t *table) pruneUnlisted(now time.Time, d *directory.Directory) {
 	maps.DeleteFunc(t.entries, func(target directory.Life, e *entry) bool {
 		switch {
 		case d.Lives(target):
-			e.unlisted = time.Time{}
-		case e.unlisted.IsZero():
-			e.unlisted = now
+			e.unlistedSince = time.Time{}
+		case e.unlistedSince.IsZero():
+			e.unlistedSince = now
 		}
-		return !e.unlisted.IsZero() && now.Sub(e.unlisted) > unlistedFor
+		return !e.unlistedSince.IsZero() && now.Sub(e.unlistedSince) > unlistedRetention
 	})
 }
