--- a/internal/gateway/placement/bench_test.go
+++ b/internal/gateway/placement/bench_test.go
@@ -11,8 +11,8 @@
 // sizes are the numbers of targets in the benchmarks.
 var sizes = []int{12, 60}
 
-// loaded returns a table with statistics of every engine.
-func loaded(n int) *placement.TargetTable {
+// loadedTable returns a table with statistics of every engine.
+func loadedTable(n int) *placement.TargetTable {
 	table := placement.NewTargetTable()
 	for i, e := range engines(n) {
 		for range i % 5 {
@@ -28,7 +28,7 @@
 func BenchmarkLeastLoaded(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, list := loaded(n), engines(n)
+			table, list := loadedTable(n), engines(n)
 			for b.Loop() {
 				table.LeastLoaded(now, list, placement.Query{DataCentre: "d0", Exclude: []string{"t3"}})
 			}
@@ -40,7 +40,7 @@
 	q := placement.Query{Key: 7, SharedTokens: 5000, Exclude: []string{"t3"}, InputBytes: map[string]int64{"d0": 2e6, "d1": 1e6}}
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, list := loaded(n), engines(n)
+			table, list := loadedTable(n), engines(n)
 			for b.Loop() {
 				table.ByPrefix(now, list, q)
 			}
--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -14,27 +14,27 @@
 // of ByPrefix because this rule knows the prefill backlog and the cached shared parts of each
 // engine. Only the ratios between the weights matter.
 const (
-	// waitCost is the cost of a millisecond until the first event.
-	waitCost = 0.3
+	// waitCostPerMs is the cost of a millisecond until the first event.
+	waitCostPerMs = 0.3
 	// lateCost is the cost of a first event after its objective, to which the lateness is
 	// added. It is also the cost of an engine that may be gone (directory.Lapsed). A late
 	// first event thereby costs more than two seconds of waiting, so that an engine that is
 	// in time is preferred.
 	lateCost = 600.0
-	// prefillAgainCost is the cost of a thousand shared tokens that another engine has cached
+	// reprefillCostPerUnit is the cost of a thousand shared tokens that another engine has cached
 	// and this one has not. A cost of 160 lowers the benchmark score.
-	prefillAgainCost = 90.0
-	// copyCost is the cost of a thousand such tokens if the engine copies them from the other
-	// one. Copying raises the benchmark score by 0.019 with a cost of 15 and by 0.010 with 50,
-	// and lowers it by 0.011 with prefillAgainCost.
-	copyCost = 15.0
+	reprefillCostPerUnit = 90.0
+	// copyCostPerUnit is the cost of a thousand such tokens if the engine copies them from the
+	// other one. Copying raises the benchmark score by 0.019 with a cost of 15 and by 0.010
+	// with 50, and lowers it by 0.011 with reprefillCostPerUnit.
+	copyCostPerUnit = 15.0
 	// rankCost is the cost of a rank. It is small because it only decides between otherwise
 	// equal engines, in favour of the one that nodes would select on their own.
 	rankCost = 3.0
-	// firstEventDelay is the time from a prompt's arrival at an idle engine to its first
+	// firstEventDelayMs is the time from a prompt's arrival at an idle engine to its first
 	// event, excluding the prefill. It is the same for all engines, so that an error only
 	// affects which prompts count as late.
-	firstEventDelay = 25.0
+	firstEventDelayMs = 25.0
 )
 
 // Prompt describes a request for which an EngineChooser selects an engine.
@@ -61,19 +61,19 @@
 	GivesOut func() bool
 }
 
-// key returns the key of the last shared part, which only prompts of the same session have,
-// or 0 if there is none.
-func (q Prompt) key() uint64 {
+// sessionKey returns the key of the last shared part, which only prompts of the same
+// session have, or 0 if there is none.
+func (q Prompt) sessionKey() uint64 {
 	if len(q.Shared) == 0 {
 		return 0
 	}
 	return q.Shared[len(q.Shared)-1].Key
 }
 
-// session returns the key by which engines are ranked for the prompt: the key of its session,
+// rankKey returns the key by which engines are ranked for the prompt: the key of its session,
 // or a hash of the request ID if it has no session.
-func (q Prompt) session() uint64 {
-	if key := q.key(); key != 0 {
+func (q Prompt) rankKey() uint64 {
+	if key := q.sessionKey(); key != 0 {
 		return key
 	}
 	return xxhash.Sum64String(q.Request)
@@ -95,7 +95,7 @@
 // that another engine has cached, which are copied (copySource) or prefilled again; the rank
 // for the session; results that cross data centres; and a penalty if the engine may be gone.
 // Backlog and cache state only cover prompts that this EngineChooser placed, within
-// pendingFor and cachedFor; it does not know about prompts from callers outside the system.
+// pendingTimeout and cacheTTL; it does not know about prompts from callers outside the system.
 // Unlike ByPrefix the rule has no tiers: nodes exclude the engines that they have ejected,
 // and late and lapsed engines are compared by cost.
 //
@@ -103,38 +103,38 @@
 // poor selection results in a late first event, or in a repeated prefill. The benchmark
 // score is 0.016 higher than with ByPrefix on each node. See docs/decisions/0014.
 //
-// If there are many engines, only a shortlist is assessed (engineIndex). A second shortlist
-// is assessed if the prompt would be late on all engines of the first one, and all engines
-// are assessed only if no engine of either shortlist can be used.
+// If there are many engines, only a shortlist is scored (engineIndex). A second shortlist
+// is scored if the prompt would be late on all engines of the first one, and all engines
+// are scored only if no engine of either shortlist can be used.
 func (p *EngineChooser) Place(now time.Time, engines []directory.Target, q Prompt) (Placement, bool) {
-	p.forgetExpired(now)
+	p.removeExpired(now)
 	delete(p.pending, q.Request)
-	p.index = p.index.of(engines)
-	a := p.assessor(now, engines, q)
-	chosen, found := a.chooseApart()
+	p.index = p.index.forEngines(engines)
+	s := p.scorer(now, engines, q)
+	chosen, found := s.chooseIsolated()
 	if !found {
 		return Placement{}, false
 	}
 	engine := engines[chosen.index]
 	p.limits.Sent(now, engine)
 	placed := Placement{Target: engine}
-	held := a.cached[chosen.index]
-	if source, ok := p.copySource(now, engines, a.cached, chosen.index, q); ok {
+	cached := s.cached[chosen.index]
+	if source, ok := p.copySource(now, engines, s.cached, chosen.index, q); ok {
 		placed.CopyFrom = engines[source].Address
-		held = a.cached[source]
+		cached = s.cached[source]
 	}
-	p.add(now, engine, q, q.prefillTokens(held), a.backlogs[engine.Life()] == 0)
+	p.add(now, engine, q, q.prefillTokens(cached), s.backlogs[engine.Life()] == 0)
 	return placed, true
 }
 
-// assessor assesses engines for one prompt.
-type assessor struct {
+// promptScorer scores engines for one prompt.
+type promptScorer struct {
 	*EngineChooser
 	now     time.Time
 	engines []directory.Target
 	q       Prompt
-	allowed allows
-	inputs  transfer
+	allow   filter
+	inputs  inputLocation
 	// backlogs is the number of tokens that each engine has to prefill.
 	backlogs map[directory.Life]int
 	// cached is the number of tokens of the prompt that each engine examined so far has
@@ -143,78 +143,78 @@
 	mostCached int
 }
 
-// assessor returns an assessor for a prompt. It has already examined the engines that used
+// scorer returns a promptScorer for a prompt. It has already examined the engines that used
 // the shared parts of the prompt last.
-func (p *EngineChooser) assessor(now time.Time, engines []directory.Target, q Prompt) *assessor {
-	a := &assessor{
-		EngineChooser: p, now: now, engines: engines, q: q, allowed: p.allows(now, q),
-		inputs: newTransfer(q.InputBytes), backlogs: p.backlogs(), cached: map[int]int{},
+func (p *EngineChooser) scorer(now time.Time, engines []directory.Target, q Prompt) *promptScorer {
+	s := &promptScorer{
+		EngineChooser: p, now: now, engines: engines, q: q, allow: p.filter(now, q),
+		inputs: newInputLocation(q.InputBytes), backlogs: p.backlogs(), cached: map[int]int{},
 	}
 	for _, life := range p.cache.lastUsers(q.Shared) {
 		if i, listed := p.index.find(life); listed {
-			a.look(i)
+			s.lookUpCached(i)
 		}
 	}
-	return a
+	return s
 }
 
-// look looks up the number of tokens of the prompt that an engine has cached.
-func (a *assessor) look(i int) {
-	a.cached[i] = a.cache.tokens(a.engines[i].Life(), a.q.Shared)
-	a.mostCached = max(a.mostCached, a.cached[i])
+// lookUpCached looks up the number of tokens of the prompt that an engine has cached.
+func (s *promptScorer) lookUpCached(i int) {
+	s.cached[i] = s.cache.tokens(s.engines[i].Life(), s.q.Shared)
+	s.mostCached = max(s.mostCached, s.cached[i])
 }
 
-// chooseApart selects an engine. For a suspected prompt it prefers engines that have no other
-// suspected prompt pending.
-func (a *assessor) chooseApart() (choice, bool) {
-	chosen, found := a.choose(slices.Concat(a.q.Exclude, a.withSuspects(a.q)))
-	if !found && a.q.Suspect {
-		return a.choose(a.q.Exclude)
+// chooseIsolated selects an engine. For a suspected prompt it prefers engines that have no
+// other suspected prompt pending.
+func (s *promptScorer) chooseIsolated() (choice, bool) {
+	chosen, found := s.choose(slices.Concat(s.q.Exclude, s.enginesWithSuspects(s.q)))
+	if !found && s.q.Suspect {
+		return s.choose(s.q.Exclude)
 	}
 	return chosen, found
 }
 
 // choose selects an engine that is not excluded.
-func (a *assessor) choose(exclude []string) (choice, bool) {
-	chosen, found := a.chooseOf(a.index.shortlist(a.q.session()), exclude)
-	if (!found || chosen.cost >= lateCost) && a.index.isLong() {
-		if other, is := a.chooseOf(a.index.shortlist(a.q.session()^secondList), exclude); is && (!found || other.before(chosen.assessment)) {
+func (s *promptScorer) choose(exclude []string) (choice, bool) {
+	chosen, found := s.chooseAmong(s.index.shortlist(s.q.rankKey()), exclude)
+	if (!found || chosen.cost >= lateCost) && s.index.needsShortlist() {
+		if other, ok := s.chooseAmong(s.index.shortlist(s.q.rankKey()^secondShortlistMask), exclude); ok && (!found || other.less(chosen.score)) {
 			chosen, found = other, true
 		}
 	}
-	if !found && a.index.isLong() {
-		return a.chooseOf(a.index.all(a.q.session()), exclude)
+	if !found && s.index.needsShortlist() {
+		return s.chooseAmong(s.index.all(s.q.rankKey()), exclude)
 	}
 	return chosen, found
 }
 
-// secondList is XORed with the key of a session to get the key of its second shortlist. It is
-// an arbitrary number with about as many one bits as zero bits.
-const secondList = 0x9e3779b97f4a7c15
+// secondShortlistMask is XORed with the key of a session to get the key of its second
+// shortlist. It is an arbitrary number with about as many one bits as zero bits.
+const secondShortlistMask = 0x9e3779b97f4a7c15
 
-// chooseOf selects one of the given engines.
-func (a *assessor) chooseOf(among []ranked, exclude []string) (choice, bool) {
-	for _, r := range among {
-		a.look(r.index)
+// chooseAmong selects one of the given engines.
+func (s *promptScorer) chooseAmong(among []candidate, exclude []string) (choice, bool) {
+	for _, cand := range among {
+		s.lookUpCached(cand.index)
 	}
-	return bestOf(a.now, a.engines, among, exclude, a.allowed, a.assess)
+	return bestAmong(s.now, s.engines, among, exclude, s.allow, s.score)
 }
 
-// assess returns the cost of placing the prompt on an engine.
-func (a *assessor) assess(r ranked, e *directory.Target) assessment {
-	held := a.cached[r.index]
-	cost := a.promptCost(a.q, engineLoad{backlog: a.backlogs[e.Life()], cached: held, cachedElsewhere: a.mostCached - held})
-	cost += rankCost * float64(r.rank)
-	cost += a.inputs.cost(e.DataCentre)
+// score returns the score of placing the prompt on an engine.
+func (s *promptScorer) score(cand candidate, e *directory.Target) score {
+	cached := s.cached[cand.index]
+	cost := s.promptCost(s.q, engineLoad{backlog: s.backlogs[e.Life()], cached: cached, cachedElsewhere: s.mostCached - cached})
+	cost += rankCost * float64(cand.rank)
+	cost += s.inputs.cost(e.DataCentre)
 	if e.State == directory.Lapsed {
 		cost += lateCost
 	}
-	return assessment{cost: cost}
+	return score{cost: cost}
 }
 
-// withSuspects returns the IDs of the engines that have a suspected prompt pending, if q is
-// suspected too. Otherwise it returns nil.
-func (p *EngineChooser) withSuspects(q Prompt) []string {
+// enginesWithSuspects returns the IDs of the engines that have a suspected prompt pending,
+// if q is suspected too. Otherwise it returns nil.
+func (p *EngineChooser) enginesWithSuspects(q Prompt) []string {
 	var engines []string
 	for _, r := range p.pending {
 		if q.Suspect && r.suspect {
@@ -224,9 +224,9 @@
 	return engines
 }
 
-// allows returns a function that reports whether an engine may get another prompt under the
+// filter returns a function that reports whether an engine may get another prompt under the
 // limits for cold engines.
-func (p *EngineChooser) allows(now time.Time, q Prompt) allows {
+func (p *EngineChooser) filter(now time.Time, q Prompt) filter {
 	givesOut := sync.OnceValue(q.GivesOut)
 	return func(e directory.Target) bool { return p.limits.Allows(now, e, givesOut) }
 }
@@ -243,16 +243,16 @@
 // promptCost returns the cost of the time to a prompt's first event on an engine, and of the
 // shared tokens that are copied or prefilled again there, in milliseconds.
 func (p *EngineChooser) promptCost(q Prompt, e engineLoad) float64 {
-	again, againTime := prefillAgainCost, p.prefillRate
-	if p.copiesFast() {
-		again, againTime = copyCost, p.copyTime
+	costPerUnit, msPerToken := reprefillCostPerUnit, p.prefillMsPerToken
+	if p.copyIsFaster() {
+		costPerUnit, msPerToken = copyCostPerUnit, p.copyMsPerToken
 	}
 	elsewhere := float64(e.cachedElsewhere)
-	firstEvent := firstEventDelay + againTime*elsewhere +
-		p.prefillRate*float64(e.backlog+q.prefillTokens(e.cached+e.cachedElsewhere))
-	cost := waitCost*firstEvent + again*elsewhere/tokensPerUnit
-	if late := firstEvent - float64(q.Slack.Milliseconds()); late > 0 {
-		cost += lateCost + late
+	firstEventMs := firstEventDelayMs + msPerToken*elsewhere +
+		p.prefillMsPerToken*float64(e.backlog+q.prefillTokens(e.cached+e.cachedElsewhere))
+	cost := waitCostPerMs*firstEventMs + costPerUnit*elsewhere/tokensPerUnit
+	if lateMs := firstEventMs - float64(q.Slack.Milliseconds()); lateMs > 0 {
+		cost += lateCost + lateMs
 	}
 	return cost
 }
--- a/internal/gateway/placement/byprefill_test.go
+++ b/internal/gateway/placement/byprefill_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	cases := []struct {
-		why     string
+		name    string
 		pending int
 		list    []directory.Target
 		q       placement.Prompt
@@ -72,7 +72,7 @@
 	}
 	convey.Convey("A session", t, func() {
 		for _, c := range cases {
-			convey.Convey(c.why, func() { c.assert(place(c.pending, c.list, c.q)) })
+			convey.Convey(c.name, func() { c.assert(place(c.pending, c.list, c.q)) })
 		}
 	})
 }
@@ -110,9 +110,9 @@
 	})
 }
 
-// TestPendingFor verifies how long a prompt counts as pending if neither its first event nor
-// its end is reported.
-func TestPendingFor(t *testing.T) {
+// TestPendingTimeout verifies how long a prompt counts as pending if neither its first
+// event nor its end is reported.
+func TestPendingTimeout(t *testing.T) {
 	stays := func(after time.Duration) bool {
 		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(2), prompt("a", 7))
@@ -127,8 +127,9 @@
 	})
 }
 
-// TestSameOrder verifies that both rules select the same engine if all other costs are equal.
-func TestSameOrder(t *testing.T) {
+// TestFirstEngineMatchesByPrefix verifies that both rules select the same engine if all
+// other costs are equal.
+func TestFirstEngineMatchesByPrefix(t *testing.T) {
 	convey.Convey("A new session goes to the engine that a node would select on its own", t, func() {
 		for key := range uint64(50) {
 			got, _ := placement.NewEngineChooser().Place(now, engines(9), prompt("a", key+1))
@@ -137,8 +138,8 @@
 	})
 }
 
-// TestCachedFor verifies when a shared part no longer counts as cached.
-func TestCachedFor(t *testing.T) {
+// TestCacheTTL verifies when a shared part no longer counts as cached.
+func TestCacheTTL(t *testing.T) {
 	place := func(after time.Duration, prune bool) (first, got placement.Placement) {
 		p := placement.NewEngineChooser()
 		key := uint64(7)
--- a/internal/gateway/placement/byprefix.go
+++ b/internal/gateway/placement/byprefix.go
@@ -14,20 +14,20 @@
 	// fullCost is the cost of an engine whose slots are all in use. The cost is proportional
 	// to the number of calls. It is about the time that a request waits for a slot.
 	fullCost = 1500.0
-	// failingCost is the cost of an engine on which all calls fail. The cost is proportional
+	// failureCost is the cost of an engine on which all calls fail. The cost is proportional
 	// to the failure rate. It exceeds the cost of a full engine, but not that of an engine
 	// with twice as many calls.
-	failingCost = 2 * fullCost
+	failureCost = 2 * fullCost
 	// busyShare is the fraction of an engine's slots beyond which each call also costs
 	// busyCost, because other nodes send calls that this node does not know of yet.
 	busyShare = 0.75
 	// busyCost is the cost of each outstanding call beyond busyShare of the slots. It is about
 	// a third of the cost of a rank for a typical prompt.
 	busyCost = 100.0
-	// rankTokensCost is the cost of a thousand shared tokens for each rank that an engine is
+	// rankCostPerUnit is the cost of a thousand shared tokens for each rank that an engine is
 	// behind the first engine of the session. The engine probably has to prefill them, which
 	// takes about 18 ms.
-	rankTokensCost = 250.0
+	rankCostPerUnit = 250.0
 	// minRankCost is the minimum cost of a rank. It keeps sessions with short prompts on one
 	// engine too.
 	minRankCost = 30.0
@@ -57,37 +57,37 @@
 		return directory.Target{}, false
 	}
 	index := t.indexOf(targets)
-	inputs := newTransfer(q.InputBytes)
-	rankCost := max(rankTokensCost*float64(q.SharedTokens)/tokensPerUnit, minRankCost)
-	assess := func(r ranked, c *directory.Target) assessment {
-		s := t.of(c.Life())
-		cost := s.engineLoad(now, c.Slots)
+	inputs := newInputLocation(q.InputBytes)
+	rankCost := max(rankCostPerUnit*float64(q.SharedTokens)/tokensPerUnit, minRankCost)
+	scoreOf := func(cand candidate, c *directory.Target) score {
+		s := t.statsOf(c.Life())
+		cost := s.loadCost(now, c.Slots)
 		cost += inputs.cost(c.DataCentre)
 		if q.Key != 0 {
-			cost += rankCost * float64(min(r.rank, maxRanks))
+			cost += rankCost * float64(min(cand.rank, maxRanks))
 		}
-		return assessment{tier: s.tier(now, c.State, q.MaxInflight), cost: cost}
+		return score{tier: s.tier(now, c.State, q.MaxInflight), cost: cost}
 	}
-	chosen, found := bestOf(now, targets, index.shortlist(q.Key), q.Exclude, q.allows(now), assess)
-	if index.isLong() && (!found || chosen.tier != healthy) {
-		chosen, found = bestOf(now, targets, index.all(q.Key), q.Exclude, q.allows(now), assess)
+	chosen, found := bestAmong(now, targets, index.shortlist(q.Key), q.Exclude, q.filter(now), scoreOf)
+	if index.needsShortlist() && (!found || chosen.tier != tierHealthy) {
+		chosen, found = bestAmong(now, targets, index.all(q.Key), q.Exclude, q.filter(now), scoreOf)
 	}
 	target, found := targetAt(targets, chosen.index, found)
-	return q.sent(now, target, found)
+	return q.countSent(now, target, found)
 }
 
 // indexOf returns the index of the engines of a service. engines must not be empty.
 func (t *TargetTable) indexOf(engines []directory.Target) *engineIndex {
 	service := engines[0].Service
-	t.indexes[service] = t.indexes[service].of(engines)
+	t.indexes[service] = t.indexes[service].forEngines(engines)
 	return t.indexes[service]
 }
 
-// engineLoad returns the cost of an engine's load and failures, in milliseconds.
-func (s *stats) engineLoad(now time.Time, configuredSlots int32) float64 {
+// loadCost returns the cost of an engine's load and failures, in milliseconds.
+func (s *stats) loadCost(now time.Time, configuredSlots int32) float64 {
 	outstanding, slots := s.outstanding(now), s.slots(configuredSlots)
 	cost := fullCost * outstanding / slots
 	cost += busyCost * max(outstanding-busyShare*slots, 0)
-	cost += failingCost * s.failing
+	cost += failureCost * s.failureRate
 	return cost
 }
--- a/internal/gateway/placement/byprefix_test.go
+++ b/internal/gateway/placement/byprefix_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	cases := []struct {
-		why   string
+		name  string
 		learn func(*placement.TargetTable)
 		q     placement.Query
 		want  directory.Target
@@ -52,7 +52,7 @@
 			table.Report(now, first.Life(), placement.Load{Running: 6, Slots: 8})
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine has failed", func(table *placement.TargetTable) {
-			answered(table, now, first.ID, time.Millisecond, true)
+			recordCall(table, now, first.ID, time.Millisecond, true)
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine is ejected, regardless of its cache", func(table *placement.TargetTable) {
 			table.Eject(now, first.Life())
@@ -67,7 +67,7 @@
 	}
 	convey.Convey("The engine of a session when", t, func() {
 		for _, c := range cases {
-			convey.Convey(c.why, func() {
+			convey.Convey(c.name, func() {
 				table := placement.NewTargetTable()
 				if c.learn != nil {
 					c.learn(table)
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -14,61 +14,61 @@
 
 // Tiers of candidates.
 const (
-	// healthy candidates are used first.
-	healthy tier = iota
-	// outside candidates are not in the node's Subset.
-	outside
-	// connectionsFull candidates have no connection left in this node's share. A further
+	// tierHealthy candidates are used first.
+	tierHealthy tier = iota
+	// tierOutsideSubset candidates are not in the node's Subset.
+	tierOutsideSubset
+	// tierConnectionsFull candidates have no connection left in this node's share. A further
 	// call would wait or be refused.
-	connectionsFull
-	// lapsed candidates may be gone. They vanished from the list during or soon after an
+	tierConnectionsFull
+	// tierLapsed candidates may be gone. They vanished from the list during or soon after an
 	// outage of the source (directory.Lapsed).
-	lapsed
-	// ejected candidates failed recently (outlier). They are only used if all others are
+	tierLapsed
+	// tierEjected candidates failed recently (outlier). They are only used if all others are
 	// excluded or gone.
-	ejected
+	tierEjected
 )
 
-// assessment is the result of a rule for one candidate. Costs of different rules have
+// score is the result of a rule for one candidate. Costs of different rules have
 // different units and are not comparable.
-type assessment struct {
+type score struct {
 	tier tier
 	cost float64
 }
 
-// before reports whether a is preferred to b.
-func (a assessment) before(b assessment) bool {
-	if a.tier != b.tier {
-		return a.tier < b.tier
+// less reports whether s is preferred to other.
+func (s score) less(other score) bool {
+	if s.tier != other.tier {
+		return s.tier < other.tier
 	}
-	return a.cost < b.cost
+	return s.cost < other.cost
 }
 
-// allows reports whether a candidate may get another request now.
-type allows func(directory.Target) bool
+// filter reports whether a candidate may get another request now.
+type filter func(directory.Target) bool
 
 // best returns the index of the best candidate among the usable targets that are not
 // excluded and may get a request, or false if there is none. Ties go to the lower index.
-func best(now time.Time, targets []directory.Target, exclude []string, allowed allows, assess func(i int, c *directory.Target) assessment) (int, bool) {
-	all := make([]ranked, len(targets))
+func best(now time.Time, targets []directory.Target, exclude []string, allow filter, scoreOf func(i int, c *directory.Target) score) (int, bool) {
+	all := make([]candidate, len(targets))
 	for i := range all {
 		all[i].index = i
 	}
-	found, ok := bestOf(now, targets, all, exclude, allowed, func(r ranked, c *directory.Target) assessment { return assess(r.index, c) })
+	found, ok := bestAmong(now, targets, all, exclude, allow, func(cand candidate, c *directory.Target) score { return scoreOf(cand.index, c) })
 	return found.index, ok
 }
 
-// bestOf is like best but only considers the targets in among.
-func bestOf(
-	now time.Time, targets []directory.Target, among []ranked, exclude []string, allowed allows, assess func(r ranked, c *directory.Target) assessment,
+// bestAmong is like best but only considers the targets in among.
+func bestAmong(
+	now time.Time, targets []directory.Target, among []candidate, exclude []string, allow filter, scoreOf func(cand candidate, c *directory.Target) score,
 ) (chosen choice, found bool) {
-	for _, r := range among {
-		c := &targets[r.index]
-		if slices.Contains(exclude, c.ID) || !c.Usable(now) || !allowed(*c) {
+	for _, cand := range among {
+		c := &targets[cand.index]
+		if slices.Contains(exclude, c.ID) || !c.Usable(now) || !allow(*c) {
 			continue
 		}
-		if a := assess(r, c); !found || a.before(chosen.assessment) {
-			chosen, found = choice{index: r.index, assessment: a}, true
+		if s := scoreOf(cand, c); !found || s.less(chosen.score) {
+			chosen, found = choice{index: cand.index, score: s}, true
 		}
 	}
 	return chosen, found
@@ -77,7 +77,7 @@
 // choice is a selected candidate, identified by its index.
 type choice struct {
 	index int
-	assessment
+	score
 }
 
 // targetAt returns targets[i] if found is true.
@@ -113,16 +113,16 @@
 	GivesOut func(target string) bool
 }
 
-// allows returns a function that reports whether a target may get another request under the
+// filter returns a function that reports whether a target may get another request under the
 // limits for cold targets.
-func (q Query) allows(now time.Time) allows {
+func (q Query) filter(now time.Time) filter {
 	return func(t directory.Target) bool {
 		return q.Limits.Allows(now, t, func() bool { return q.GivesOut(t.ID) })
 	}
 }
 
-// sent counts a request against the limit of the selected target, if found is true.
-func (q Query) sent(now time.Time, t directory.Target, found bool) (directory.Target, bool) {
+// countSent counts a request against the limit of the selected target, if found is true.
+func (q Query) countSent(now time.Time, t directory.Target, found bool) (directory.Target, bool) {
 	if found {
 		q.Limits.Sent(now, t)
 	}
@@ -134,11 +134,11 @@
 func (s *stats) tier(now time.Time, state directory.State, maxInflight int) tier {
 	switch {
 	case s.outlier.ejected(now):
-		return ejected
+		return tierEjected
 	case state == directory.Lapsed:
-		return lapsed
+		return tierLapsed
 	case maxInflight > 0 && s.inflight >= maxInflight:
-		return connectionsFull
+		return tierConnectionsFull
 	}
-	return healthy
+	return tierHealthy
 }
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -8,23 +8,23 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// pendingFor is the time after which a prompt no longer counts as pending if neither its
+// pendingTimeout is the time after which a prompt no longer counts as pending if neither its
 // first event nor its end is reported, for example because its node has failed. It exceeds
 // the longest prefill. A longer time would keep prompts away from the engine because of
 // prompts that have long ended.
-const pendingFor = 5 * time.Second
+const pendingTimeout = 5 * time.Second
 
 // Parameters of the estimate of the prefill time per token.
 const (
-	// firstPrefillRate is the initial estimate in milliseconds per token. An idle engine
+	// initialPrefillMsPerToken is the initial estimate in milliseconds per token. An idle engine
 	// prefills 12,000 tokens in 210 ms, which is 0.0175 ms per token.
-	firstPrefillRate = 0.02
-	// rateWeight is the weight of the newest prompt in the moving average. The last ten
+	initialPrefillMsPerToken = 0.02
+	// prefillWeight is the weight of the newest prompt in the moving average. The last ten
 	// prompts make up two thirds of the average.
-	rateWeight = 0.1
-	// minRateTokens is the minimum length of a prefill that updates the estimate, in tokens.
-	// In shorter prefills firstEventDelay dominates.
-	minRateTokens = 1000
+	prefillWeight = 0.1
+	// minSampleTokens is the minimum length of a prefill that updates the estimate, in tokens.
+	// In shorter prefills firstEventDelayMs dominates.
+	minSampleTokens = 1000
 )
 
 // EngineChooser selects engines for the prompts of all nodes. It runs on the member that
@@ -32,17 +32,17 @@
 // engine, based only on the prompts that it placed itself, so that a new coordinator starts
 // without any state. It is not safe for concurrent use.
 type EngineChooser struct {
-	// index selects the engines to assess for a prompt.
+	// index selects the engines to score for a prompt.
 	index *engineIndex
 	// cache tracks the shared parts that engines are assumed to have cached.
 	cache prefixCache
 	// pending holds the prompts that have no first event yet, by request.
 	pending map[string]pendingPrompt
-	// prefillRate is the average prefill time per token, in milliseconds.
-	prefillRate float64
-	// copyTime is the time in which an engine copies a cached token from another engine, in
+	// prefillMsPerToken is the average prefill time per token, in milliseconds.
+	prefillMsPerToken float64
+	// copyMsPerToken is the time in which an engine copies a cached token from another engine, in
 	// milliseconds. 0 means unknown.
-	copyTime float64
+	copyMsPerToken float64
 	// limits limits the request rate of cold engines.
 	limits *warmup.Limits
 }
@@ -53,9 +53,9 @@
 	// tokens is the number of tokens that the engine has to prefill.
 	tokens int
 	placed time.Time
-	// alone reports whether the engine had nothing else to prefill when the prompt was
+	// engineIdle reports whether the engine had nothing else to prefill when the prompt was
 	// placed.
-	alone bool
+	engineIdle bool
 	// suspect reports whether engines have crashed during an earlier attempt of the request.
 	suspect bool
 }
@@ -63,7 +63,7 @@
 // NewEngineChooser returns an EngineChooser without any state about engines.
 func NewEngineChooser() *EngineChooser {
 	return &EngineChooser{
-		cache: newPrefixCache(), pending: map[string]pendingPrompt{}, prefillRate: firstPrefillRate,
+		cache: newPrefixCache(), pending: map[string]pendingPrompt{}, prefillMsPerToken: initialPrefillMsPerToken,
 		limits: warmup.New(),
 	}
 }
@@ -71,7 +71,7 @@
 // SetCopyTime sets the time in which an engine copies a cached token from another engine. 0
 // means unknown and disables copying.
 func (p *EngineChooser) SetCopyTime(perToken time.Duration) {
-	p.copyTime = float64(perToken) / float64(time.Millisecond)
+	p.copyMsPerToken = float64(perToken) / float64(time.Millisecond)
 }
 
 // SetWarmUp sets the maximum request rate of a cold engine, summed over all nodes.
@@ -87,9 +87,9 @@
 		return
 	}
 	delete(p.pending, request)
-	if whole && r.alone && r.tokens >= minRateTokens {
-		took := float64(now.Sub(r.placed).Milliseconds()) - firstEventDelay
-		p.prefillRate += rateWeight * (max(took, 0)/float64(r.tokens) - p.prefillRate)
+	if whole && r.engineIdle && r.tokens >= minSampleTokens {
+		elapsedMs := float64(now.Sub(r.placed).Milliseconds()) - firstEventDelayMs
+		p.prefillMsPerToken += prefillWeight * (max(elapsedMs, 0)/float64(r.tokens) - p.prefillMsPerToken)
 	}
 }
 
@@ -102,9 +102,9 @@
 
 // add records a prompt as pending on an engine that has to prefill the given number of
 // tokens of it, and records its shared parts as cached on the engine.
-func (p *EngineChooser) add(now time.Time, engine directory.Target, q Prompt, tokens int, alone bool) {
-	p.pending[q.Request] = pendingPrompt{engine: engine.Life(), tokens: tokens, placed: now, alone: alone, suspect: q.Suspect}
-	p.cache.use(now, engine.Life(), q.Shared)
+func (p *EngineChooser) add(now time.Time, engine directory.Target, q Prompt, tokens int, engineIdle bool) {
+	p.pending[q.Request] = pendingPrompt{engine: engine.Life(), tokens: tokens, placed: now, engineIdle: engineIdle, suspect: q.Suspect}
+	p.cache.record(now, engine.Life(), q.Shared)
 }
 
 // backlogs returns the number of tokens that each engine has to prefill.
@@ -116,8 +116,8 @@
 	return tokens
 }
 
-// forgetExpired removes expired pending prompts and cache entries.
-func (p *EngineChooser) forgetExpired(now time.Time) {
-	maps.DeleteFunc(p.pending, func(_ string, r pendingPrompt) bool { return now.Sub(r.placed) > pendingFor })
-	p.cache.forgetExpired(now)
+// removeExpired removes expired pending prompts and cache entries.
+func (p *EngineChooser) removeExpired(now time.Time) {
+	maps.DeleteFunc(p.pending, func(_ string, r pendingPrompt) bool { return now.Sub(r.placed) > pendingTimeout })
+	p.cache.removeExpired(now)
 }
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -27,14 +27,14 @@
 	return list
 }
 
-// rush places perSecond prompts of one session within a second. It returns the number of
-// prompts by engine, and the number of prompts without an engine.
-func rush(p *placement.EngineChooser, list []directory.Target, perSecond int, givesOut bool) (got map[string]int, refused int) {
+// placeForOneSecond places perSecond prompts of one session within a second. It returns the
+// number of prompts by engine, and the number of prompts without an engine.
+func placeForOneSecond(p *placement.EngineChooser, list []directory.Target, perSecond int, mayAssign bool) (got map[string]int, refused int) {
 	got = map[string]int{}
 	for i := range perSecond {
 		at := now.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
 		q := prompt(string(rune('a'+i)), 7)
-		q.GivesOut = func() bool { return givesOut }
+		q.GivesOut = func() bool { return mayAssign }
 		placed, found := p.Place(at, list, q)
 		if !found {
 			refused++
@@ -55,27 +55,27 @@
 		p.SetWarmUp(coldBound)
 		return p
 	}
-	usual, _ := rush(chooser(), engines(4), 30, true)
+	unlimited, _ := placeForOneSecond(chooser(), engines(4), 30, true)
 	convey.Convey("Without the limit one engine gets all prompts", t, func() {
-		convey.So(usual, convey.ShouldHaveLength, 1)
+		convey.So(unlimited, convey.ShouldHaveLength, 1)
 	})
 	first := ""
-	for id := range usual {
+	for id := range unlimited {
 		first = id
 	}
 	firstIsCold := coldEngines(4, func(i int) bool { return engines(4)[i].ID == first })
 	convey.Convey("It gets its share, and warm engines get the rest", t, func() {
-		got, refused := rush(chooser(), firstIsCold, 30, true)
+		got, refused := placeForOneSecond(chooser(), firstIsCold, 30, true)
 		convey.So(refused, convey.ShouldEqual, 0)
 		convey.So(got[first], convey.ShouldBeBetweenOrEqual, 1, 4)
 	})
 	convey.Convey("It gets none from a member that assigns no requests of cold engines", t, func() {
-		got, refused := rush(chooser(), firstIsCold, 30, false)
+		got, refused := placeForOneSecond(chooser(), firstIsCold, 30, false)
 		convey.So(refused, convey.ShouldEqual, 0)
 		convey.So(got[first], convey.ShouldEqual, 0)
 	})
 	convey.Convey("If all engines are cold, each gets its share, and the remaining prompts get no engine", t, func() {
-		got, refused := rush(chooser(), coldEngines(4, func(int) bool { return true }), 30, true)
+		got, refused := placeForOneSecond(chooser(), coldEngines(4, func(int) bool { return true }), 30, true)
 		convey.So(got, convey.ShouldHaveLength, 4)
 		convey.So(refused, convey.ShouldBeGreaterThan, 0)
 		for _, n := range got {
@@ -84,18 +84,18 @@
 	})
 }
 
-// TestColdTargetsOfNodesAlone verifies that a node that selects targets on its own only sends
-// to a cold target if it assigns the requests of that target.
-func TestColdTargetsOfNodesAlone(t *testing.T) {
+// TestColdTargetsWithoutCoordinator verifies that a node that selects targets on its own
+// only sends to a cold target if it assigns the requests of that target.
+func TestColdTargetsWithoutCoordinator(t *testing.T) {
 	limits := func() *warmup.Limits {
 		l := warmup.New()
 		l.SetBound(coldBound)
 		return l
 	}
-	gives := func(yes bool) func(string) bool { return func(string) bool { return yes } }
+	mayAssign := func(yes bool) func(string) bool { return func(string) bool { return yes } }
 	list := coldEngines(2, func(i int) bool { return i == 0 })
 	allCold := coldEngines(2, func(int) bool { return true })
-	rules := map[string]func(*placement.TargetTable, []directory.Target, placement.Query) (directory.Target, bool){
+	selectors := map[string]func(*placement.TargetTable, []directory.Target, placement.Query) (directory.Target, bool){
 		"an engine": func(table *placement.TargetTable, list []directory.Target, q placement.Query) (directory.Target, bool) {
 			return table.ByPrefix(now, list, q)
 		},
@@ -103,11 +103,11 @@
 			return table.LeastLoaded(now, list, q)
 		},
 	}
-	for name, choose := range rules {
+	for name, choose := range selectors {
 		convey.Convey("If a node selects "+name+" on its own", t, func() {
 			table := placement.NewTargetTable()
 			convey.Convey("it skips cold targets whose requests another member assigns", func() {
-				q := placement.Query{Key: 7, Limits: limits(), GivesOut: gives(false)}
+				q := placement.Query{Key: 7, Limits: limits(), GivesOut: mayAssign(false)}
 				for range 20 {
 					got, found := choose(table, list, q)
 					convey.So(found, convey.ShouldBeTrue)
@@ -117,7 +117,7 @@
 				convey.So(found, convey.ShouldBeFalse)
 			})
 			convey.Convey("it limits cold targets whose requests it assigns to its share", func() {
-				q := placement.Query{Key: 7, Limits: limits(), GivesOut: gives(true)}
+				q := placement.Query{Key: 7, Limits: limits(), GivesOut: mayAssign(true)}
 				n := 0
 				for range 20 {
 					if _, found := choose(table, allCold[:1], q); found {
--- a/internal/gateway/placement/coordinator.go
+++ b/internal/gateway/placement/coordinator.go
@@ -32,7 +32,7 @@
 // Rank returns the number of members that precede member in the order for name, in which the
 // Coordinator comes first, and the total number of members. Both are 0 if member is not in
 // members.
-func Rank(name string, members []string, member string) (before, of int) {
+func Rank(name string, members []string, member string) (before, total int) {
 	if !slices.Contains(members, member) {
 		return 0, 0
 	}
--- a/internal/gateway/placement/copysource.go
+++ b/internal/gateway/placement/copysource.go
@@ -14,7 +14,7 @@
 	// each other.
 	copyAdvantage = 2.0
 	// minCopyTokens is the minimum number of tokens for a copy. Their prefill takes about
-	// 1 ms at firstPrefillRate.
+	// 1 ms at initialPrefillMsPerToken.
 	minCopyTokens = 50
 )
 
@@ -32,7 +32,7 @@
 // parts that they have cached. An unnecessary copy occupies the links of two engines; a
 // missed copy repeats a prefill.
 func (p *EngineChooser) copySource(now time.Time, engines []directory.Target, cached map[int]int, chosen int, q Prompt) (source int, found bool) {
-	if !p.copiesFast() {
+	if !p.copyIsFaster() {
 		return 0, false
 	}
 	most := cached[chosen] + minCopyTokens
@@ -50,8 +50,8 @@
 	return source, found
 }
 
-// copiesFast reports whether engines copy cached tokens sufficiently faster than they prefill
-// them. It returns false if the copy time is unknown.
-func (p *EngineChooser) copiesFast() bool {
-	return p.copyTime > 0 && copyAdvantage*p.copyTime < p.prefillRate
+// copyIsFaster reports whether engines copy cached tokens sufficiently faster than they
+// prefill them. It returns false if the copy time is unknown.
+func (p *EngineChooser) copyIsFaster() bool {
+	return p.copyMsPerToken > 0 && copyAdvantage*p.copyMsPerToken < p.prefillMsPerToken
 }
--- a/internal/gateway/placement/copysource_test.go
+++ b/internal/gateway/placement/copysource_test.go
@@ -36,7 +36,7 @@
 		return placed.CopyFrom
 	}
 	cases := []struct {
-		why      string
+		name     string
 		copyTime time.Duration
 		shared   []placement.SharedPart
 		state    directory.State
@@ -53,7 +53,7 @@
 	}
 	convey.Convey("A prompt's shared parts", t, func() {
 		for _, c := range cases {
-			convey.Convey(c.why, func() { convey.So(source(c.copyTime, c.shared, c.state), convey.ShouldEqual, c.from) })
+			convey.Convey(c.name, func() { convey.So(source(c.copyTime, c.shared, c.state), convey.ShouldEqual, c.from) })
 		}
 	})
 	convey.Convey("An engine that the requesting node excludes is not a source", t, func() {
--- a/internal/gateway/placement/leastloaded.go
+++ b/internal/gateway/placement/leastloaded.go
@@ -8,47 +8,47 @@
 
 // Parameters of LeastLoaded.
 const (
-	// minLatency is the minimum latency assumed for a target, in seconds. It makes a target
-	// that was never or not recently called as good as one that responds in 1 ms, so that
-	// each target is tried.
-	minLatency = 0.001
+	// minLatencySeconds is the minimum latency assumed for a target, in seconds. It makes a
+	// target that was never or not recently called as good as one that responds in 1 ms, so
+	// that each target is tried.
+	minLatencySeconds = 0.001
 	// failurePenalty is the additional cost of a target on which all calls fail, as a multiple
 	// of its latency. Without it a target that fails fast would be preferred.
 	failurePenalty = 4
-	// otherDataCentreCost is the cost of a target in another data centre, in seconds. It is
-	// about the round-trip time. A lower cost causes unnecessary traffic between data centres;
-	// a higher cost causes requests to wait for a busy target nearby.
-	otherDataCentreCost = 0.002
+	// otherDataCentreCostSeconds is the cost of a target in another data centre, in seconds.
+	// It is about the round-trip time. A lower cost causes unnecessary traffic between data
+	// centres; a higher cost causes requests to wait for a busy target nearby.
+	otherDataCentreCostSeconds = 0.002
 )
 
 // LeastLoaded selects the target of a plain call that is expected to respond first. It returns
 // false if no usable target is left.
 //
 // Targets are compared by tier, then by cost in seconds. The cost is the target's latency,
-// which decays with halfLife, times 1 plus the outstanding calls per slot, times 1 plus
-// failurePenalty times the failure rate, plus otherDataCentreCost if applicable. Latency and
-// failure rate only cover this node's own calls, and the failure rate does not decay until
-// the next call ends. Outstanding calls include those of other nodes while the target's last
-// report is not older than maxLoadAge.
+// which decays with statsHalfLife, times 1 plus the outstanding calls per slot, times 1
+// plus failurePenalty times the failure rate, plus otherDataCentreCostSeconds if
+// applicable. Latency and failure rate only cover this node's own calls, and the failure
+// rate does not decay until the next call ends. Outstanding calls include those of other
+// nodes while the target's last report is not older than maxLoadAge.
 //
 // Without any statistics the first target in the node's own data centre is selected. A poor
 // selection costs the difference between the response times of two targets, or an attempt if
 // the target fails. See docs/decisions/0011.
 func (t *TargetTable) LeastLoaded(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
-	subset := q.Subset.contains(targets, q.DataCentre)
-	i, found := best(now, targets, q.Exclude, q.allows(now), func(i int, c *directory.Target) assessment {
-		s := t.of(c.Life())
-		latency := max(s.latency*remainingWeight(now, s.learntAt), minLatency)
-		cost := latency * (1 + s.outstanding(now)/s.slots(c.Slots)) * (1 + failurePenalty*s.failing)
+	subset := q.Subset.mask(targets, q.DataCentre)
+	i, found := best(now, targets, q.Exclude, q.filter(now), func(i int, c *directory.Target) score {
+		s := t.statsOf(c.Life())
+		latencySeconds := max(s.latencySeconds*decayFactor(now, s.updatedAt), minLatencySeconds)
+		cost := latencySeconds * (1 + s.outstanding(now)/s.slots(c.Slots)) * (1 + failurePenalty*s.failureRate)
 		if c.DataCentre != q.DataCentre {
-			cost += otherDataCentreCost
+			cost += otherDataCentreCostSeconds
 		}
-		level := s.tier(now, c.State, q.MaxInflight)
+		tier := s.tier(now, c.State, q.MaxInflight)
 		if subset != nil && !subset[i] {
-			level = max(level, outside)
+			tier = max(tier, tierOutsideSubset)
 		}
-		return assessment{tier: level, cost: cost}
+		return score{tier: tier, cost: cost}
 	})
 	target, found := targetAt(targets, i, found)
-	return q.sent(now, target, found)
+	return q.countSent(now, target, found)
 }
--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -10,8 +10,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/placement"
 )
 
-// answered records a call from start to end.
-func answered(table *placement.TargetTable, at time.Time, id string, took time.Duration, failed bool) {
+// recordCall records a call from start to end.
+func recordCall(table *placement.TargetTable, at time.Time, id string, took time.Duration, failed bool) {
 	table.Sent(life(id))
 	table.Ended(at, life(id), took, failed)
 }
@@ -26,9 +26,9 @@
 
 // TestLeastLoadedTable verifies which of two targets is selected.
 func TestLeastLoadedTable(t *testing.T) {
-	lapsedAway := append(pair(directory.Lapsed)[:1], directory.Target{ID: "t1", DataCentre: "d1", Slots: 8})
+	lapsedAndRemote := append(pair(directory.Lapsed)[:1], directory.Target{ID: "t1", DataCentre: "d1", Slots: 8})
 	cases := []struct {
-		why     string
+		name    string
 		learn   func(*placement.TargetTable)
 		targets []directory.Target
 		q       placement.Query
@@ -37,16 +37,16 @@
 		{"the first in the node's data centre if there are no statistics", nil, engines(2), placement.Query{DataCentre: "d1"}, "t1"},
 		{"the first in the list if all else is equal", nil, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
 		{"the faster one", func(table *placement.TargetTable) {
-			answered(table, now, "t0", 40*time.Millisecond, false)
-			answered(table, now, "t1", 20*time.Millisecond, false)
+			recordCall(table, now, "t0", 40*time.Millisecond, false)
+			recordCall(table, now, "t1", 20*time.Millisecond, false)
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t1"},
 		{"the one in another data centre if it is faster by more than 2 ms", func(table *placement.TargetTable) {
-			answered(table, now, "t0", 10*time.Millisecond, false)
-			answered(table, now, "t1", 7*time.Millisecond, false)
+			recordCall(table, now, "t0", 10*time.Millisecond, false)
+			recordCall(table, now, "t1", 7*time.Millisecond, false)
 		}, engines(2), placement.Query{DataCentre: "d0"}, "t1"},
 		{"the one in the node's data centre if it is slower by less than 2 ms", func(table *placement.TargetTable) {
-			answered(table, now, "t0", 10*time.Millisecond, false)
-			answered(table, now, "t1", 9*time.Millisecond, false)
+			recordCall(table, now, "t0", 10*time.Millisecond, false)
+			recordCall(table, now, "t1", 9*time.Millisecond, false)
 		}, engines(2), placement.Query{DataCentre: "d0"}, "t0"},
 		{
 			"the one with fewer outstanding calls", func(table *placement.TargetTable) { table.Sent(life("t0")) },
@@ -55,16 +55,16 @@
 			"t1",
 		},
 		{"the one that fails less", func(table *placement.TargetTable) {
-			answered(table, now, "t0", time.Millisecond, true)
-			answered(table, now, "t1", time.Millisecond, false)
+			recordCall(table, now, "t0", time.Millisecond, true)
+			recordCall(table, now, "t1", time.Millisecond, false)
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t1"},
 		{"the faster one with more load if it is still expected to respond first", func(table *placement.TargetTable) {
-			answered(table, now, "t0", 10*time.Millisecond, false)
-			answered(table, now, "t1", 40*time.Millisecond, false)
+			recordCall(table, now, "t0", 10*time.Millisecond, false)
+			recordCall(table, now, "t1", 40*time.Millisecond, false)
 			table.Report(now, life("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
 		{"a healthy one, however slow, rather than one without free connections", func(table *placement.TargetTable) {
-			answered(table, now, "t1", time.Minute, false)
+			recordCall(table, now, "t1", time.Minute, false)
 			table.Sent(life("t0"))
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0", MaxInflight: 1}, "t1"},
 		{
@@ -73,7 +73,7 @@
 			placement.Query{DataCentre: "d0", MaxInflight: 1},
 			"t1",
 		},
-		{"a healthy one in another data centre rather than a lapsed one nearby", nil, lapsedAway, placement.Query{DataCentre: "d0"}, "t1"},
+		{"a healthy one in another data centre rather than a lapsed one nearby", nil, lapsedAndRemote, placement.Query{DataCentre: "d0"}, "t1"},
 		{
 			"a lapsed one rather than an ejected one", func(table *placement.TargetTable) { table.Eject(now, life("t1")) },
 			pair(directory.Lapsed),
@@ -95,7 +95,7 @@
 	}
 	convey.Convey("Of two targets a plain call goes to", t, func() {
 		for _, c := range cases {
-			convey.Convey(c.why, func() {
+			convey.Convey(c.name, func() {
 				table := placement.NewTargetTable()
 				if c.learn != nil {
 					c.learn(table)
@@ -108,8 +108,8 @@
 	})
 }
 
-// TestAge verifies how statistics decay and expire.
-func TestAge(t *testing.T) {
+// TestStatsDecay verifies how statistics decay and expire.
+func TestStatsDecay(t *testing.T) {
 	q := placement.Query{DataCentre: "d0"}
 	chosen := func(table *placement.TargetTable, after time.Duration) string {
 		got, _ := table.LeastLoaded(now.Add(after), pair(directory.Ready), q)
@@ -123,17 +123,17 @@
 	})
 	convey.Convey("A latency loses half its weight in 3 s", t, func() {
 		table := placement.NewTargetTable()
-		answered(table, now, "t0", 40*time.Millisecond, false)
-		answered(table, now.Add(3*time.Second), "t1", 21*time.Millisecond, false)
+		recordCall(table, now, "t0", 40*time.Millisecond, false)
+		recordCall(table, now.Add(3*time.Second), "t1", 21*time.Millisecond, false)
 		convey.So(chosen(table, 3*time.Second), convey.ShouldEqual, "t0")
-		answered(table, now.Add(3*time.Second), "t1", 0, false)
+		recordCall(table, now.Add(3*time.Second), "t1", 0, false)
 		convey.So(chosen(table, 3*time.Second), convey.ShouldEqual, "t1")
 	})
 	convey.Convey("Failures do not decay until the next call ends", t, func() {
 		table := placement.NewTargetTable()
-		answered(table, now, "t0", 0, true)
+		recordCall(table, now, "t0", 0, true)
 		convey.So(chosen(table, time.Hour), convey.ShouldEqual, "t1")
-		answered(table, now.Add(time.Hour), "t0", 0, false)
+		recordCall(table, now.Add(time.Hour), "t0", 0, false)
 		convey.So(chosen(table, time.Hour), convey.ShouldEqual, "t0")
 	})
 	convey.Convey("A target with an unknown number of slots counts as having 4", t, func() {
@@ -149,8 +149,8 @@
 	})
 	convey.Convey("A latency below 1 ms counts as 1 ms", t, func() {
 		table := placement.NewTargetTable()
-		answered(table, now, "t0", 900*time.Microsecond, false)
-		answered(table, now, "t1", 100*time.Microsecond, false)
+		recordCall(table, now, "t0", 900*time.Microsecond, false)
+		recordCall(table, now, "t1", 100*time.Microsecond, false)
 		convey.So(chosen(table, 0), convey.ShouldEqual, "t0")
 	})
 }
--- a/internal/gateway/placement/outlier_test.go
+++ b/internal/gateway/placement/outlier_test.go
@@ -18,7 +18,7 @@
 // TestEjection verifies when failures eject a target.
 func TestEjection(t *testing.T) {
 	cases := []struct {
-		why      string
+		name     string
 		failedAt []time.Duration
 		want     bool
 	}{
@@ -30,11 +30,11 @@
 	}
 	convey.Convey("For a target without earlier failures", t, func() {
 		for _, c := range cases {
-			convey.Convey(c.why+" eject it", func() {
+			convey.Convey(c.name+" eject it", func() {
 				table := placement.NewTargetTable()
 				last := time.Duration(0)
 				for _, at := range c.failedAt {
-					answered(table, now.Add(at), "t0", time.Millisecond, true)
+					recordCall(table, now.Add(at), "t0", time.Millisecond, true)
 					last = at
 				}
 				convey.So(ejectedAfter(table, last), convey.ShouldEqual, c.want)
@@ -43,7 +43,7 @@
 		convey.Convey("two failures with a success in between do not eject it", func() {
 			table := placement.NewTargetTable()
 			for _, failed := range []bool{true, false, true} {
-				answered(table, now, "t0", time.Millisecond, failed)
+				recordCall(table, now, "t0", time.Millisecond, failed)
 			}
 			convey.So(ejectedAfter(table, 0), convey.ShouldBeFalse)
 		})
@@ -56,7 +56,7 @@
 		table := placement.NewTargetTable()
 		table.Eject(now, life("t0"))
 		probe := func(after time.Duration, failed bool) {
-			answered(table, now.Add(after), "t0", time.Millisecond, failed)
+			recordCall(table, now.Add(after), "t0", time.Millisecond, failed)
 		}
 		convey.Convey("it is ejected for 1 s", func() {
 			convey.So(ejectedAfter(table, 999*time.Millisecond), convey.ShouldBeTrue)
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -21,12 +21,12 @@
 	return list
 }
 
-func TestPrefix(t *testing.T) {
+func TestByPrefixAffinity(t *testing.T) {
 	convey.Convey("Nodes send a session to the same engine without communication", t, func() {
 		for key := range uint64(50) {
-			one, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
-			two, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
-			convey.So(one.ID, convey.ShouldEqual, two.ID)
+			first, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
+			second, _ := placement.NewTargetTable().ByPrefix(now, engines(9), placement.Query{Key: key + 1, SharedTokens: 5000})
+			convey.So(first.ID, convey.ShouldEqual, second.ID)
 		}
 	})
 	convey.Convey("If an engine is removed, only its own sessions move", t, func() {
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestLeast(t *testing.T) {
+func TestLeastLoaded(t *testing.T) {
 	q := placement.Query{DataCentre: "d0"}
 	convey.Convey("A target that fails is ejected and probed", t, func() {
 		table := placement.NewTargetTable()
--- a/internal/gateway/placement/prefixcache.go
+++ b/internal/gateway/placement/prefixcache.go
@@ -8,14 +8,14 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// cachedFor is the time after its last use for which an engine is assumed to have a shared
+// cacheTTL is the time after its last use for which an engine is assumed to have a shared
 // part cached, as engines do not report evictions. If it is too long, prompts go to engines
 // that lack the part; if it is too short, the part is prefilled again on another engine.
-const cachedFor = 30 * time.Second
+const cacheTTL = 30 * time.Second
 
-// forgetInterval is the minimum interval between scans for expired parts. Scanning thousands
+// expiryInterval is the minimum interval between scans for expired parts. Scanning thousands
 // of parts for each prompt would take longer than placing the prompt.
-const forgetInterval = time.Second
+const expiryInterval = time.Second
 
 // SharedPart is a segment of a prompt prefix that other prompts may share.
 type SharedPart struct {
@@ -26,29 +26,29 @@
 }
 
 // prefixCache models the shared parts that engines have cached: those of the prompts that
-// were placed on them within cachedFor. Engines do not report their cache state, so parts
+// were placed on them within cacheTTL. Engines do not report their cache state, so parts
 // that an engine has evicted for lack of memory are still included.
 type prefixCache struct {
-	// used is the time at which each engine last used a part, by the key of the part.
-	used map[uint64]map[directory.Life]time.Time
-	// last is the engine that used a part last, by the key of the part.
-	last map[uint64]directory.Life
-	// forgotten is the time of the last scan for expired parts.
-	forgotten time.Time
+	// lastUse is the time at which each engine last used a part, by the key of the part.
+	lastUse map[uint64]map[directory.Life]time.Time
+	// lastUser is the engine that used a part last, by the key of the part.
+	lastUser map[uint64]directory.Life
+	// lastExpiry is the time of the last scan for expired parts.
+	lastExpiry time.Time
 }
 
 func newPrefixCache() prefixCache {
-	return prefixCache{used: map[uint64]map[directory.Life]time.Time{}, last: map[uint64]directory.Life{}}
+	return prefixCache{lastUse: map[uint64]map[directory.Life]time.Time{}, lastUser: map[uint64]directory.Life{}}
 }
 
-// use records that an engine prefills shared parts or reads them from its cache.
-func (c *prefixCache) use(now time.Time, engine directory.Life, parts []SharedPart) {
+// record records that an engine prefills shared parts or reads them from its cache.
+func (c *prefixCache) record(now time.Time, engine directory.Life, parts []SharedPart) {
 	for _, part := range parts {
-		if c.used[part.Key] == nil {
-			c.used[part.Key] = map[directory.Life]time.Time{}
+		if c.lastUse[part.Key] == nil {
+			c.lastUse[part.Key] = map[directory.Life]time.Time{}
 		}
-		c.used[part.Key][engine] = now
-		c.last[part.Key] = engine
+		c.lastUse[part.Key][engine] = now
+		c.lastUser[part.Key] = engine
 	}
 }
 
@@ -57,7 +57,7 @@
 func (c *prefixCache) tokens(engine directory.Life, parts []SharedPart) int {
 	total := 0
 	for _, part := range parts {
-		if _, cached := c.used[part.Key][engine]; !cached {
+		if _, cached := c.lastUse[part.Key][engine]; !cached {
 			break
 		}
 		total += part.Tokens
@@ -69,7 +69,7 @@
 func (c *prefixCache) lastUsers(parts []SharedPart) []directory.Life {
 	var lives []directory.Life
 	for _, part := range parts {
-		if life, known := c.last[part.Key]; known && !slices.Contains(lives, life) {
+		if life, known := c.lastUser[part.Key]; known && !slices.Contains(lives, life) {
 			lives = append(lives, life)
 		}
 	}
@@ -81,25 +81,25 @@
 	if len(parts) == 0 {
 		return time.Time{}
 	}
-	return c.used[parts[len(parts)-1].Key][engine]
+	return c.lastUse[parts[len(parts)-1].Key][engine]
 }
 
 // prune removes engines that are gone or have restarted, as a restart clears the cache.
 func (c *prefixCache) prune(d *directory.Directory) {
-	for _, engines := range c.used {
+	for _, engines := range c.lastUse {
 		maps.DeleteFunc(engines, func(l directory.Life, _ time.Time) bool { return !d.Lives(l) })
 	}
 }
 
-// forgetExpired removes expired entries, at most once per forgetInterval.
-func (c *prefixCache) forgetExpired(now time.Time) {
-	if now.Sub(c.forgotten) < forgetInterval {
+// removeExpired removes expired entries, at most once per expiryInterval.
+func (c *prefixCache) removeExpired(now time.Time) {
+	if now.Sub(c.lastExpiry) < expiryInterval {
 		return
 	}
-	c.forgotten = now
-	maps.DeleteFunc(c.used, func(_ uint64, engines map[directory.Life]time.Time) bool {
-		maps.DeleteFunc(engines, func(_ directory.Life, used time.Time) bool { return now.Sub(used) > cachedFor })
+	c.lastExpiry = now
+	maps.DeleteFunc(c.lastUse, func(_ uint64, engines map[directory.Life]time.Time) bool {
+		maps.DeleteFunc(engines, func(_ directory.Life, used time.Time) bool { return now.Sub(used) > cacheTTL })
 		return len(engines) == 0
 	})
-	maps.DeleteFunc(c.last, func(key uint64, _ directory.Life) bool { return c.used[key] == nil })
+	maps.DeleteFunc(c.lastUser, func(key uint64, _ directory.Life) bool { return c.lastUse[key] == nil })
 }
--- a/internal/gateway/placement/prompts_test.go
+++ b/internal/gateway/placement/prompts_test.go
@@ -15,7 +15,7 @@
 	return placement.Prompt{Request: request, Shared: []placement.SharedPart{{Key: key, Tokens: 5000}}, Tokens: 12000, Slack: time.Second}
 }
 
-func TestPrompts(t *testing.T) {
+func TestPlace(t *testing.T) {
 	convey.Convey("A session stays on its engine as long as it is in time", t, func() {
 		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(9), prompt("a", 7))
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	// assessAll is the number of engines up to which all engines are assessed for each
+	// shortlistThreshold is the number of engines up to which all engines are scored for each
 	// prompt, which takes about 20 µs.
-	assessAll = 64
-	// perDataCentre is the number of engines of each data centre that are assessed if there
-	// are more. They are the first ones for the session of the prompt. All eight are busy
-	// only if nearly all engines of the data centre are, and a ninth engine would be worse
-	// only by its rank, while engines with a low rank are likely to have the parts of the
-	// session cached.
-	perDataCentre = 8
+	shortlistThreshold = 64
+	// shortlistPerDataCentre is the number of engines of each data centre that are scored if
+	// there are more. They are the first ones for the session of the prompt. All eight are
+	// busy only if nearly all engines of the data centre are, and a ninth engine would be
+	// worse only by its rank, while engines with a low rank are likely to have the parts of
+	// the session cached.
+	shortlistPerDataCentre = 8
 )
 
-// ranked is the index of an engine, and its rank for a session among the assessed engines.
-type ranked struct{ index, rank int }
+// candidate is the index of an engine, and its rank for a session among the scored engines.
+type candidate struct{ index, rank int }
 
-// engineIndex selects the engines to assess for a session. It caches the hashes of one list of
+// engineIndex selects the engines to score for a session. It caches the hashes of one list of
 // engines, and is rebuilt for each new list.
 //
-// The time to assess all engines is proportional to their number. For 6,576 engines on a busy
+// The time to score all engines is proportional to their number. For 6,576 engines on a busy
 // machine it is 7.3 ms, so that the member that places the prompts of all nodes could place
 // only about 140 of 313 prompts a second. With the shortlist a prompt takes 0.17 ms, of which
 // the scan of the hashes takes 0.06 ms (BenchmarkPlaceFleet).
 type engineIndex struct {
 	engines []directory.Target
-	// hashes and places hold the hash of the ID and the number of the data centre of each
+	// hashes and dataCentreOf hold the hash of the ID and the number of the data centre of each
 	// engine.
-	hashes []uint64
-	places []int
+	hashes       []uint64
+	dataCentreOf []int
 	// dataCentres is the number of data centres.
 	dataCentres int
 	// byLife maps each engine to its index. It is nil until find is called.
 	byLife map[directory.Life]int
 }
 
-// of returns the index of a list of engines, which is x if it was built from the same list.
-// The list must not be modified.
-func (x *engineIndex) of(engines []directory.Target) *engineIndex {
-	if x != nil && sameList(x.engines, engines) {
+// forEngines returns the index of a list of engines, which is x if it was built from the
+// same list. The list must not be modified.
+func (x *engineIndex) forEngines(engines []directory.Target) *engineIndex {
+	if x != nil && sameSlice(x.engines, engines) {
 		return x
 	}
-	next := &engineIndex{engines: engines, hashes: make([]uint64, len(engines)), places: make([]int, len(engines))}
+	next := &engineIndex{engines: engines, hashes: make([]uint64, len(engines)), dataCentreOf: make([]int, len(engines))}
 	numbers := map[string]int{}
 	for i := range engines {
 		e := &engines[i]
@@ -58,14 +58,14 @@
 			number = len(numbers)
 			numbers[e.DataCentre] = number
 		}
-		next.hashes[i], next.places[i] = xxhash.Sum64String(e.ID), number
+		next.hashes[i], next.dataCentreOf[i] = xxhash.Sum64String(e.ID), number
 	}
 	next.dataCentres = len(numbers)
 	return next
 }
 
-// sameList reports whether two slices share the same memory.
-func sameList(a, b []directory.Target) bool {
+// sameSlice reports whether two slices share the same memory.
+func sameSlice(a, b []directory.Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
@@ -81,20 +81,20 @@
 	return i, listed
 }
 
-// isLong reports whether there are too many engines to assess all of them.
-func (x *engineIndex) isLong() bool { return len(x.engines) > assessAll }
+// needsShortlist reports whether there are too many engines to score all of them.
+func (x *engineIndex) needsShortlist() bool { return len(x.engines) > shortlistThreshold }
 
-// shortlist returns the engines to assess for a session. These are the first engines of each
+// shortlist returns the engines to score for a session. These are the first engines of each
 // data centre by rendezvous hashing, or all engines if there are few.
-func (x *engineIndex) shortlist(key uint64) []ranked {
-	if !x.isLong() {
+func (x *engineIndex) shortlist(key uint64) []candidate {
+	if !x.needsShortlist() {
 		return x.all(key)
 	}
 	tops := make([]topWeights, x.dataCentres)
 	for i, h := range x.hashes {
-		tops[x.places[i]].add(weighted{index: i, weight: mix(key ^ h)})
+		tops[x.dataCentreOf[i]].add(weighted{index: i, weight: mix(key ^ h)})
 	}
-	first := make([]weighted, 0, x.dataCentres*perDataCentre)
+	first := make([]weighted, 0, x.dataCentres*shortlistPerDataCentre)
 	for i := range tops {
 		first = append(first, tops[i].list()...)
 	}
@@ -102,7 +102,7 @@
 }
 
 // all returns all engines.
-func (x *engineIndex) all(key uint64) []ranked {
+func (x *engineIndex) all(key uint64) []candidate {
 	list := make([]weighted, len(x.hashes))
 	for i, h := range x.hashes {
 		list[i] = weighted{index: i, weight: mix(key ^ h)}
@@ -111,15 +111,15 @@
 }
 
 // rank ranks engines by descending weight. The result is sorted by index.
-func rank(list []weighted) []ranked {
+func rank(list []weighted) []candidate {
 	slices.SortFunc(list, func(a, b weighted) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.index, b.index))
 	})
-	out := make([]ranked, len(list))
+	out := make([]candidate, len(list))
 	for i, w := range list {
-		out[i] = ranked{index: w.index, rank: i}
+		out[i] = candidate{index: w.index, rank: i}
 	}
-	slices.SortFunc(out, func(a, b ranked) int { return cmp.Compare(a.index, b.index) })
+	slices.SortFunc(out, func(a, b candidate) int { return cmp.Compare(a.index, b.index) })
 	return out
 }
 
@@ -129,17 +129,18 @@
 	weight uint64
 }
 
-// topWeights holds the perDataCentre highest weights that were added, in descending order.
+// topWeights holds the shortlistPerDataCentre highest weights that were added, in descending
+// order.
 type topWeights struct {
 	n   int
-	top [perDataCentre]weighted
+	top [shortlistPerDataCentre]weighted
 }
 
 func (t *topWeights) add(w weighted) {
-	if t.n == perDataCentre && w.weight <= t.top[t.n-1].weight {
+	if t.n == shortlistPerDataCentre && w.weight <= t.top[t.n-1].weight {
 		return
 	}
-	if t.n < perDataCentre {
+	if t.n < shortlistPerDataCentre {
 		t.n++
 	}
 	at := t.n - 1
--- a/internal/gateway/placement/shortlist_test.go
+++ b/internal/gateway/placement/shortlist_test.go
@@ -28,8 +28,8 @@
 	return list
 }
 
-// fleetPlacing simulates the member that places the prompts of all nodes.
-type fleetPlacing struct {
+// fleetSimulation simulates the member that places the prompts of all nodes.
+type fleetSimulation struct {
 	chooser *placement.EngineChooser
 	engines []directory.Target
 	at      time.Time
@@ -37,15 +37,15 @@
 	n       int
 }
 
-func newFleetPlacing(x int) *fleetPlacing {
-	return &fleetPlacing{
-		chooser: placement.NewEngineChooser(), engines: fleetEnginesOf(fleetEngines * x), at: now, step: time.Second / time.Duration(fleetPrompts*x),
+func newFleetSimulation(scale int) *fleetSimulation {
+	return &fleetSimulation{
+		chooser: placement.NewEngineChooser(), engines: fleetEnginesOf(fleetEngines * scale), at: now, step: time.Second / time.Duration(fleetPrompts*scale),
 	}
 }
 
 // place places the next prompt, whose inputs are in one data centre. Each prompt is prefilled
 // 200 ms after it is placed.
-func (f *fleetPlacing) place() placement.Placement {
+func (f *fleetSimulation) place() placement.Placement {
 	f.at = f.at.Add(f.step)
 	f.n++
 	session := f.n * 7919 % fleetSessions
@@ -60,9 +60,9 @@
 
 // BenchmarkPlaceFleet places prompts on the engines of a fleet, and of one twice as large.
 func BenchmarkPlaceFleet(b *testing.B) {
-	for _, x := range []int{1, 2} {
-		b.Run(fmt.Sprint(fleetEngines*x, " engines"), func(b *testing.B) {
-			f := newFleetPlacing(x)
+	for _, scale := range []int{1, 2} {
+		b.Run(fmt.Sprint(fleetEngines*scale, " engines"), func(b *testing.B) {
+			f := newFleetSimulation(scale)
 			for range 2000 {
 				f.place()
 			}
@@ -74,14 +74,14 @@
 	}
 }
 
-// TestPlacingAmongManyEngines verifies that assessing only a few of thousands of engines for a
+// TestPlaceAmongManyEngines verifies that scoring only a few of thousands of engines for a
 // prompt is sufficient: sessions stay on their engines, prompts go to the data centre of their
 // inputs, and a session with many prompts spreads over engines.
-func TestPlacingAmongManyEngines(t *testing.T) {
+func TestPlaceAmongManyEngines(t *testing.T) {
 	convey.Convey("Given the prompts of a fleet for some seconds", t, func() {
-		f := newFleetPlacing(1)
+		f := newFleetSimulation(1)
 		engineOf := map[int]string{}
-		moved, far := 0, 0
+		moved, remote := 0, 0
 		const prompts = 3 * fleetSessions
 		for range prompts {
 			placed := f.place()
@@ -91,14 +91,14 @@
 			}
 			engineOf[session] = placed.ID
 			if placed.DataCentre != fmt.Sprint("d", session%6) {
-				far++
+				remote++
 			}
 		}
 		convey.Convey("few sessions move to another engine", func() { convey.So(moved, convey.ShouldBeLessThan, prompts/50) })
-		convey.Convey("few prompts go to a data centre other than that of their inputs", func() { convey.So(far, convey.ShouldBeLessThan, prompts/50) })
+		convey.Convey("few prompts go to a data centre other than that of their inputs", func() { convey.So(remote, convey.ShouldBeLessThan, prompts/50) })
 	})
 	convey.Convey("A prompt that would be late on all engines of its shortlist goes to another engine", t, func() {
-		f := newFleetPlacing(1)
+		f := newFleetSimulation(1)
 		hot := placement.Prompt{Tokens: 12_000, Slack: 300 * time.Millisecond, Shared: []placement.SharedPart{{Key: 7, Tokens: 5000}}}
 		used := map[string]int{}
 		// An engine can prefill one prompt in time. A shortlist has 48 engines.
@@ -110,7 +110,7 @@
 		convey.So(len(used), convey.ShouldEqual, 90)
 	})
 	convey.Convey("If no engine of the shortlists can be used, another engine is", t, func() {
-		f := newFleetPlacing(1)
+		f := newFleetSimulation(1)
 		for i := range f.engines {
 			f.engines[i].State = directory.Draining
 		}
@@ -118,8 +118,8 @@
 		placed, ok := f.chooser.Place(now, f.engines, prompt("a", 7))
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(placed.ID, convey.ShouldEqual, "t00077")
-		alone, ok := placement.NewTargetTable().ByPrefix(now, f.engines, placement.Query{Key: 7, SharedTokens: 100, GivesOut: func(string) bool { return true }})
+		byPrefix, ok := placement.NewTargetTable().ByPrefix(now, f.engines, placement.Query{Key: 7, SharedTokens: 100, GivesOut: func(string) bool { return true }})
 		convey.So(ok, convey.ShouldBeTrue)
-		convey.So(alone.ID, convey.ShouldEqual, "t00077")
+		convey.So(byPrefix.ID, convey.ShouldEqual, "t00077")
 	})
 }
--- a/internal/gateway/placement/subset.go
+++ b/internal/gateway/placement/subset.go
@@ -18,14 +18,14 @@
 	Size int
 }
 
-// contains returns for each target whether it is in the subset, or nil if all are.
+// mask returns for each target whether it is in the subset, or nil if all are.
 //
 // Targets in the node's own data centre come first, followed by the others. Within each group
 // targets are ordered by rendezvous hashing with the name of the node, so that nodes spread
 // over the targets without communication, and adding or removing a target changes few
 // subsets. Targets are included regardless of their state: a failing target is avoided by its
 // tier, not by a different subset.
-func (s Subset) contains(targets []directory.Target, dataCentre string) []bool {
+func (s Subset) mask(targets []directory.Target, dataCentre string) []bool {
 	if s.Size <= 0 || s.Size >= len(targets) {
 		return nil
 	}
--- a/internal/gateway/placement/subset_test.go
+++ b/internal/gateway/placement/subset_test.go
@@ -22,11 +22,11 @@
 func TestSubset(t *testing.T) {
 	targets := spreadTargets(6)
 	convey.Convey("A subset without a size, or with a size for all targets, imposes no limit", t, func() {
-		convey.So(Subset{Node: "n"}.contains(targets, "d0"), convey.ShouldBeNil)
-		convey.So(Subset{Node: "n", Size: 6}.contains(targets, "d0"), convey.ShouldBeNil)
+		convey.So(Subset{Node: "n"}.mask(targets, "d0"), convey.ShouldBeNil)
+		convey.So(Subset{Node: "n", Size: 6}.mask(targets, "d0"), convey.ShouldBeNil)
 	})
 	convey.Convey("A subset has the given size, includes the node's data centre, and is stable", t, func() {
-		in := Subset{Node: "n", Size: 3}.contains(targets, "d4")
+		in := Subset{Node: "n", Size: 3}.mask(targets, "d4")
 		count := 0
 		for _, used := range in {
 			if used {
@@ -35,12 +35,12 @@
 		}
 		convey.So(count, convey.ShouldEqual, 3)
 		convey.So(in[4], convey.ShouldBeTrue)
-		convey.So(Subset{Node: "n", Size: 3}.contains(targets, "d4"), convey.ShouldResemble, in)
+		convey.So(Subset{Node: "n", Size: 3}.mask(targets, "d4"), convey.ShouldResemble, in)
 	})
 	convey.Convey("Subsets of many nodes are spread evenly", t, func() {
 		nodes := make([]int, len(targets))
 		for n := range 300 {
-			for i, used := range (Subset{Node: fmt.Sprint("node", n), Size: 3}).contains(targets, fmt.Sprint("d", n%6)) {
+			for i, used := range (Subset{Node: fmt.Sprint("node", n), Size: 3}).mask(targets, fmt.Sprint("d", n%6)) {
 				if used {
 					nodes[i]++
 				}
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -15,11 +15,11 @@
 	// failureWeight is the weight of the newest result in the failure rate. Two consecutive
 	// failures lead to an ejection.
 	failureWeight = 2 * latencyWeight
-	// halfLife is the half-life of a latency or failure rate, so that a target that was slow
+	// statsHalfLife is the half-life of a latency or failure rate, so that a target that was slow
 	// is tried again after a few seconds. The latency decays until each selection. The failure
 	// rate only decays when the next call ends, so that a target that failed keeps its failure
 	// rate while it is not called.
-	halfLife = 3 * time.Second
+	statsHalfLife = 3 * time.Second
 	// maxLoadAge is the maximum age of a load report. After that only this node's own calls
 	// are taken into account. A plain call takes about 20 ms, so that an older report does not
 	// describe the current queue.
@@ -51,12 +51,12 @@
 type stats struct {
 	// inflight is the number of calls in progress from this node.
 	inflight int
-	// latency is the moving average of response times in seconds. 0 means unknown.
-	latency float64
-	// failing is the moving average of failures, from 0 (none) to 1 (all calls fail).
-	failing float64
-	// learntAt is the time of the last update of latency and failing.
-	learntAt time.Time
+	// latencySeconds is the moving average of response times in seconds. 0 means unknown.
+	latencySeconds float64
+	// failureRate is the moving average of failures, from 0 (none) to 1 (all calls fail).
+	failureRate float64
+	// updatedAt is the time of the last update of latencySeconds and failureRate.
+	updatedAt time.Time
 	// load is the last load report, and loadAt its time.
 	load   Load
 	loadAt time.Time
@@ -70,7 +70,7 @@
 	return &TargetTable{targets: map[directory.Life]*stats{}, indexes: map[string]*engineIndex{}}
 }
 
-func (t *TargetTable) of(l directory.Life) *stats {
+func (t *TargetTable) statsOf(l directory.Life) *stats {
 	s := t.targets[l]
 	if s == nil {
 		s = &stats{}
@@ -81,7 +81,7 @@
 
 // Sent records that a call is sent to a target.
 func (t *TargetTable) Sent(l directory.Life) {
-	s := t.of(l)
+	s := t.statsOf(l)
 	s.inflight++
 	s.sentSinceLoad++
 	s.outlier.sent()
@@ -91,25 +91,25 @@
 // is at fault: it did not respond, its response was incomplete or invalid, or its response
 // reports a problem of the target.
 func (t *TargetTable) Ended(now time.Time, l directory.Life, took time.Duration, failed bool) {
-	s := t.of(l)
+	s := t.statsOf(l)
 	s.inflight--
-	s.failing *= remainingWeight(now, s.learntAt)
-	s.learntAt = now
-	if s.latency == 0 {
-		s.latency = took.Seconds()
+	s.failureRate *= decayFactor(now, s.updatedAt)
+	s.updatedAt = now
+	if s.latencySeconds == 0 {
+		s.latencySeconds = took.Seconds()
 	}
-	s.latency += latencyWeight * (took.Seconds() - s.latency)
-	outcome := 0.0
+	s.latencySeconds += latencyWeight * (took.Seconds() - s.latencySeconds)
+	result := 0.0
 	if failed {
-		outcome = 1
+		result = 1
 	}
-	s.failing += failureWeight * (outcome - s.failing)
-	s.outlier.ended(now, failed, s.failing)
+	s.failureRate += failureWeight * (result - s.failureRate)
+	s.outlier.ended(now, failed, s.failureRate)
 }
 
 // Report records the load that a target reported.
 func (t *TargetTable) Report(now time.Time, l directory.Life, load Load) {
-	s := t.of(l)
+	s := t.statsOf(l)
 	s.load = load
 	s.loadAt = now
 	s.sentSinceLoad = 0
@@ -124,13 +124,13 @@
 	}
 }
 
-// remainingWeight returns the factor by which a value has decayed since learntAt, given
-// halfLife. It returns 0 if the value was never set.
-func remainingWeight(now, learntAt time.Time) float64 {
-	if learntAt.IsZero() {
+// decayFactor returns the factor by which a value has decayed since updatedAt, given
+// statsHalfLife. It returns 0 if the value was never set.
+func decayFactor(now, updatedAt time.Time) float64 {
+	if updatedAt.IsZero() {
 		return 0
 	}
-	return math.Exp2(-now.Sub(learntAt).Seconds() / halfLife.Seconds())
+	return math.Exp2(-now.Sub(updatedAt).Seconds() / statsHalfLife.Seconds())
 }
 
 // outstanding estimates the number of running and queued calls of the target. It is at least
