--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -43,7 +43,7 @@
 	// allEvacuated reports whether all targets are in evacuated data centres.
 	allEvacuated bool
 	// limits bounds the calls to cold targets.
-	limits *warmup.Limits
+	limits *warmup.Limiter
 	// gate bounds the calls to targets that asked for fewer.
 	gate      Gate
 	budget    *retrybudget.Budget
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -20,17 +20,17 @@
 	mu    sync.Mutex
 	table *placement.TargetTable
 	// limits are the request rate limits of cold targets, by service.
-	limits map[string]*warmup.Limits
+	limits map[string]*warmup.Limiter
 	// isolated are the targets that a suspected request of this node was sent to.
 	isolated map[string]bool
 }
 
 func newTargetStats(now func() time.Time, margin warmup.Margin) *targetStats {
-	return &targetStats{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
+	return &targetStats{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limiter), isolated: make(map[string]bool)}
 }
 
 // limitsOf returns the limits of a service; the caller must hold the mutex.
-func (t *targetStats) limitsOf(service *catalog.Service) *warmup.Limits {
+func (t *targetStats) limitsOf(service *catalog.Service) *warmup.Limiter {
 	limits := t.limits[service.Name]
 	if limits == nil {
 		limits = warmup.New()
