--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -77,7 +77,7 @@
 	t.running = b
 	c.pool.reclassify(t)
 	t.memory.reserve(items)
-	c.limits.Sent(now, t.Target)
+	c.limits.Take(now, t.Target)
 	c.gate.Take(t.Life())
 	c.stats.Batches++
 	c.stats.Items += int64(n)
