--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -92,8 +92,8 @@
 	buckets map[directory.Life]*rate.Limiter
 }
 
-// New returns Limits that impose no limit until SetBound is called.
-func New() *Limiter { return &Limiter{buckets: make(map[directory.Life]*rate.Limiter)} }
+// NewLimiter returns Limits that impose no limit until SetBound is called.
+func NewLimiter() *Limiter { return &Limiter{buckets: make(map[directory.Life]*rate.Limiter)} }
 
 // SetBound sets the limit. If it differs from the previous one, all buckets are replaced by
 // full ones.
