--- a/internal/gateway/relay/budgets.go
+++ b/internal/gateway/relay/budgets.go
@@ -34,7 +34,7 @@
 func (b *retryBudgets) countRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget(service).First(b.now())
+	b.budget(service).RecordRequest(b.now())
 }
 
 // spend reports whether a retry is allowed, and counts it if so.
