--- a/internal/gateway/relay/budgets.go
+++ b/internal/gateway/relay/budgets.go
@@ -48,5 +48,5 @@
 func (b *retryBudgets) remaining(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.budget(service).Left(b.now())
+	return b.budget(service).Remaining(b.now())
 }
