--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -88,7 +88,7 @@
 func (t *targetStats) sent(l directory.Life) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.table.Sent(l)
+	t.table.RecordStart(l)
 }
 
 // attemptResult is the result of an attempt at a target.
