--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -1,11 +1,11 @@
-// Package catalog holds the configuration of the gateway: which routes lead to which
-// services, which organisations may use them, and which stages come before them. It
-// does no input or output.
+// Package catalog holds the gateway's configuration: the routes and the services they
+// lead to, the organisations that may use them, and the stages that run before a request.
+// It performs no I/O.
 //
-// The package owns the meaning of a configuration, whichever platform it came from:
-// units here are those of Go, sizes are in bytes. It relies on an adapter for the
-// values. A configuration that contradicts itself is refused whole (New), and the one
-// in force stays. A Catalog is immutable, and is read on every request without a lock.
+// The package defines the meaning of a configuration independently of the platform it
+// came from: durations are Go durations and sizes are in bytes. An adapter supplies the
+// values. New rejects an inconsistent configuration as a whole, so the active one stays in
+// place. A Catalog is immutable and is read on every request without a lock.
 package catalog
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/pkg/errors"
 )
 
-// Kind says how often a request of a route may run and how it is answered.
+// Kind determines how often a request of a route may run and how it is answered.
 type Kind int
 
 // Kinds of routes.
 const (
 	// Repeatable requests may run more than once.
 	Repeatable Kind = iota
-	// Once requests run at most once for each attempt of a client.
+	// Once requests run at most once per client attempt.
 	Once
-	// Stream requests are answered by a series of events.
+	// Stream requests are answered with a stream of events.
 	Stream
 )
 
@@ -33,60 +33,60 @@
 type Share struct {
 	// Service is the name of the service.
 	Service string
-	// Weight is the share, in parts of the sum of the route's weights.
+	// Weight is the share, relative to the sum of the route's weights.
 	Weight int
 }
 
-// Stage is work that must be finished before a request of the route can run.
+// Stage is work that must be complete before a request of the route can run.
 type Stage struct {
-	// Service is the name of the service that works on the stage's items.
+	// Service is the name of the service that processes the stage's items.
 	Service string
-	// After is the indexes, in Route.Stages, of the stages whose results this one
-	// reads; all are lower than its own.
+	// After lists the indexes in Route.Stages of the stages whose results this stage
+	// reads. Each is lower than the stage's own index.
 	After []int
-	// ResultBytes is about how many bytes one item's result has.
+	// ResultBytes is the approximate size of one item's result.
 	ResultBytes int64
 }
 
-// Route says how requests below one prefix of one host are served.
+// Route determines how requests for one path prefix of one host are served.
 type Route struct {
 	// Name is the route's name in logs and metrics.
 	Name string
-	// Host is the host that requests are for, without a port, in any case.
+	// Host is the request host, without a port. Its case is ignored.
 	Host string
-	// Prefix is what the path of a request begins with.
+	// Prefix is the path prefix of matching requests.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time from a request's arrival to the end of its answer;
-	// 0 for the caller's own.
+	// Timeout limits the time from a request's arrival to the end of its response. If 0,
+	// the caller's own timeout applies.
 	Timeout time.Duration
-	// Objective is the time from a request's arrival within which an answer is worth
-	// the most; for a stream, the time to its first event.
+	// Objective is the latency objective, counted from the request's arrival: a response
+	// within it has full value. For a stream it is the time to the first event.
 	Objective time.Duration
-	// PauseLimit is the longest pause between two events of a stream that is in time.
+	// PauseLimit is the longest gap between two events of a stream that counts as on time.
 	PauseLimit time.Duration
-	// Priority is lower for requests that are served first.
+	// Priority orders requests; lower values are served first.
 	Priority int
-	// Split is the services that requests are divided among; never empty.
+	// Split lists the services that requests are distributed over. It is never empty.
 	Split []Share
-	// MaxAttempts bounds how often one request is sent to a target; 1 and less for no
-	// retry.
+	// MaxAttempts limits how often one request is sent to a target. With 1 or less,
+	// requests are not retried.
 	MaxAttempts int
-	// Stages is the work to be finished before the request is sent to its service.
+	// Stages lists the work to complete before the request is sent to its service.
 	Stages []Stage
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may be continued at another target.
+	// Resumable streams may be continued on another target.
 	Resumable bool
 }
 
-// MayRepeat says whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Service returns the name of the service that a request with the given hash goes to;
-// empty when no share has a weight.
+// Service returns the name of the service that a request with the given hash is routed
+// to. It is empty if no share has a positive weight.
 func (r *Route) Service(hash uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -105,8 +105,8 @@
 	return ""
 }
 
-// LastStages returns the indexes of the stages whose results no other stage reads:
-// the request itself does.
+// LastStages returns the indexes of the stages whose results are read by the request
+// itself and by no other stage.
 func (r *Route) LastStages() []int {
 	var last []int
 	for i := range r.Stages {
@@ -118,71 +118,71 @@
 	return last
 }
 
-// Batch describes the targets of a service that work on items of stages.
+// Batch describes the targets of a service that process the items of stages in batches.
 type Batch struct {
-	// MaxItems is the most items of one call.
+	// MaxItems is the maximum number of items in one call.
 	MaxItems int
-	// CallLatency is about how long a call takes besides its items, and PerItem how
-	// long each item adds.
+	// CallLatency is the approximate fixed duration of a call, and PerItem the time that
+	// each item adds to it.
 	CallLatency time.Duration
 	PerItem     time.Duration
-	// MemoryBytes is the memory of one target for results, in bytes.
+	// MemoryBytes is the memory that one target has for results.
 	MemoryBytes int64
 	// ResultTTL is how long a result is kept after its call.
 	ResultTTL time.Duration
-	// LinkBytesPerSecond is how fast results are fetched from one target; 0 for
-	// unknown.
+	// LinkBytesPerSecond is the rate at which results can be fetched from one target; 0
+	// if unknown.
 	LinkBytesPerSecond float64
 }
 
-// WarmUp describes targets that start cold, or turn cold later. The zero value is for
-// targets that are never cold.
+// WarmUp describes targets that are cold when they start or become cold later. The zero
+// value describes targets that are never cold.
 type WarmUp struct {
 	// Time is how long a target stays cold after its start.
 	Time time.Duration
-	// PerSecond is how many requests a second a cold target bears, from all nodes
-	// together; 0 for no bound.
+	// PerSecond is the request rate that a cold target can handle, summed over all nodes;
+	// 0 means unlimited.
 	PerSecond float64
 }
 
-// Service is a set of targets that do the same work.
+// Service is a group of interchangeable targets.
 type Service struct {
-	// Name is the service's name, also in logs and metrics.
+	// Name identifies the service in the configuration, in logs and in metrics.
 	Name string
-	// MaxConnections is how many connections one target takes from all nodes
-	// together; 0 for no bound.
+	// MaxConnections limits the connections to one target, summed over all nodes; 0 means
+	// unlimited.
 	MaxConnections int
-	// Engine says that the targets generate from prompts. Batch is set when they work
-	// on items of stages. Plain services have neither.
+	// Engine is set if the targets generate from prompts, and Batch if they process items
+	// of stages. Plain services have neither.
 	Engine bool
 	Batch  *Batch
-	// WarmUp bounds what a target of the service takes while it is cold.
+	// WarmUp limits the load of the service's targets while they are cold.
 	WarmUp WarmUp
-	// CopyTime is the time in which an engine copies a cached token from another in its
-	// data centre; 0 for unknown, or when engines do not copy.
+	// CopyTime is the time in which an engine copies one cached token from another engine
+	// in its data centre; 0 if unknown, or if engines do not copy tokens.
 	CopyTime time.Duration
 }
 
-// Organisation is a holder of keys.
+// Organisation is a customer, whose callers authenticate with its keys.
 type Organisation struct {
-	// Name is the organisation's name, also in logs.
+	// Name identifies the organisation in the configuration and in logs.
 	Name string
-	// Keys are the secrets by which callers show that they belong to it.
+	// Keys are the secrets that authenticate its callers.
 	Keys []string
-	// Priority is that of its requests; it is lower for those that are served first.
+	// Priority is the priority of its requests; lower values are served first.
 	Priority int
 }
 
-// Limits bound what callers may send. The gateway's servers have bounds of their own
-// for heads and idle connections, since they start before any catalog is known.
+// Limits restrict what callers may send. Limits on request headers and idle connections
+// belong to the gateway's servers, which start before any catalog is available.
 type Limits struct {
-	// BodyBytes bounds the body of a request, in bytes; 0 for the gateway's default.
+	// BodyBytes limits the size of a request body; 0 selects the gateway's default.
 	BodyBytes int64
 }
 
 // Catalog is one version of the configuration.
 type Catalog struct {
-	// Version rises with each change of the configuration.
+	// Version increases with each change of the configuration.
 	Version       int64
 	Limits        Limits
 	services      map[string]*Service
@@ -191,8 +191,8 @@
 	routeCount    int
 }
 
-// New returns a catalog of the parts. It returns an error for a route that leads to no
-// service or has a stage that comes after itself or a later one.
+// New returns a catalog of the given parts. It returns an error if a route has no service,
+// or a stage that depends on itself or on a later stage.
 func New(version int64, routes []*Route, services []*Service, organisations []*Organisation, limits Limits) (*Catalog, error) {
 	c := &Catalog{
 		Version: version, Limits: limits, routeCount: len(routes),
@@ -221,12 +221,12 @@
 
 func (c *Catalog) add(r *Route) error {
 	if len(r.Split) == 0 {
-		return errors.Errorf("route %q leads to no service", r.Name)
+		return errors.Errorf("route %q has no service", r.Name)
 	}
 	for i, s := range r.Stages {
 		for _, a := range s.After {
 			if a < 0 || a >= i {
-				return errors.Errorf("route %q: stage %d comes after stage %d", r.Name, i, a)
+				return errors.Errorf("route %q: stage %d depends on stage %d, which does not precede it", r.Name, i, a)
 			}
 		}
 	}
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// Route returns the route of the host, with or without a port, that has the longest
-// prefix of the path; nil for none.
+// Route returns the route with the longest matching path prefix for a host, which may
+// include a port. It returns nil if no route matches.
 func (c *Catalog) Route(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
@@ -249,14 +249,14 @@
 	return nil
 }
 
-// Service returns a service by name; nil for none.
+// Service returns the service with a name, or nil if there is none.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Organisation returns the holder of a key; nil for an unknown key.
+// Organisation returns the organisation that a key belongs to, or nil for an unknown key.
 func (c *Catalog) Organisation(key string) *Organisation { return c.organisations[key] }
 
-// NeedsKeys says whether any organisation is known, so that routes that are not
-// public need a key.
+// NeedsKeys reports whether routes that are not public require a key, which is the case
+// once the configuration has organisations.
 func (c *Catalog) NeedsKeys() bool { return len(c.organisations) > 0 }
 
 // RouteCount returns the number of routes.
--- a/internal/gateway/catalog/catalog_test.go
+++ b/internal/gateway/catalog/catalog_test.go
@@ -21,21 +21,21 @@
 		convey.So(c.Route("host.example", "/c"), convey.ShouldBeNil)
 		convey.So(c.Route("other.example", "/a/b/c"), convey.ShouldBeNil)
 	})
-	convey.Convey("A configuration that cannot be served is refused whole", t, func() {
+	convey.Convey("An inconsistent configuration is rejected as a whole", t, func() {
 		bad := route("r", "/a/")
 		bad.Stages = []catalog.Stage{{Service: "x", After: []int{0}}}
 		_, err := catalog.New(1, []*catalog.Route{bad}, nil, nil, catalog.Limits{})
 		convey.So(err, convey.ShouldNotBeNil)
-		_, err = catalog.New(1, []*catalog.Route{{Name: "nowhere"}}, nil, nil, catalog.Limits{})
+		_, err = catalog.New(1, []*catalog.Route{{Name: "without a service"}}, nil, nil, catalog.Limits{})
 		convey.So(err, convey.ShouldNotBeNil)
 	})
-	convey.Convey("Keys belong to organisations", t, func() {
+	convey.Convey("A key identifies its organisation", t, func() {
 		c, _ := catalog.New(1, nil, nil, []*catalog.Organisation{{Name: "o", Keys: []string{"k"}}}, catalog.Limits{})
 		convey.So(c.NeedsKeys(), convey.ShouldBeTrue)
 		convey.So(c.Organisation("k").Name, convey.ShouldEqual, "o")
 		convey.So(c.Organisation("x"), convey.ShouldBeNil)
 	})
-	convey.Convey("Shares follow the weights", t, func() {
+	convey.Convey("Requests are split in proportion to the weights", t, func() {
 		r := &catalog.Route{Split: []catalog.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 		counts := map[string]int{}
 		for i := range uint64(100) {
@@ -43,13 +43,13 @@
 		}
 		convey.So(counts, convey.ShouldResemble, map[string]int{"a": 90, "b": 10})
 	})
-	convey.Convey("The last stages are those that nothing comes after", t, func() {
+	convey.Convey("The last stages are those that no other stage depends on", t, func() {
 		r := &catalog.Route{Stages: []catalog.Stage{{}, {}, {After: []int{1}}}}
 		convey.So(r.LastStages(), convey.ShouldResemble, []int{0, 2})
 	})
 }
 
-// TestRouteKinds says which requests may be retried.
+// TestRouteKinds checks which kinds of requests may run more than once.
 func TestRouteKinds(t *testing.T) {
 	cases := []struct {
 		why   string
@@ -57,10 +57,10 @@
 		want  bool
 	}{
 		{"repeatable may", catalog.Route{Kind: catalog.Repeatable}, true},
-		{"to run once may not", catalog.Route{Kind: catalog.Once}, false},
+		{"run at most once may not", catalog.Route{Kind: catalog.Once}, false},
 		{"a stream may not", catalog.Route{Kind: catalog.Stream}, false},
 		{"a resumable stream may", catalog.Route{Kind: catalog.Stream, Resumable: true}, true},
-		{"to run once may not even when resumable", catalog.Route{Kind: catalog.Once, Resumable: true}, false},
+		{"run at most once may not even if resumable", catalog.Route{Kind: catalog.Once, Resumable: true}, false},
 	}
 	convey.Convey("A request that is", t, func() {
 		for _, c := range cases {
