--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -1,10 +1,9 @@
-// Package directory holds the targets of all services, as the platform lists them.
-// A Directory is immutable; it does no input or output and reads no clock.
+// Package directory holds the targets of all services, as listed by the platform.
+// A Directory is immutable. It performs no I/O and reads no clock.
 //
-// The package owns the states of a target and the rule which of them takes new work
-// (Target.Usable). It relies on package view, which says what a change of the
-// platform's list means and which data centres are evacuated; without changes the
-// targets stay as they are.
+// The package defines the states of a target and which targets accept new work
+// (Target.Usable). Package view interprets changes of the platform's list and decides
+// which data centres are evacuated. Without changes, targets keep their state.
 package directory
 
 import (
@@ -13,64 +12,65 @@
 	"time"
 )
 
-// State says whether a target takes new work. It is small so that a Target has 128 bytes:
-// maps store larger values by pointer, an allocation each.
+// State determines whether a target accepts new work. It is a uint8 so that a Target fits
+// in 128 bytes: maps store larger values by pointer, with one allocation each.
 type State uint8
 
 // States of a target.
 const (
-	// Ready targets take new work.
+	// Ready targets accept new work.
 	Ready State = iota
-	// Draining targets finish what they have and take nothing new.
+	// Draining targets complete their current work and accept no new work.
 	Draining
-	// Lapsed targets vanished from the list during or soon after an outage of it.
-	// They take new work until StateUntil, by which a target that lives is listed
-	// again.
+	// Lapsed targets disappeared from the list during or shortly after an outage of the
+	// source. They accept new work until StateUntil: a running target is listed again by
+	// then.
 	Lapsed
-	// Returned targets had vanished, and are listed by a source that came back from an
-	// older copy. They take no new work until StateUntil, by which the entry of a target
-	// that does not live has gone.
+	// Returned targets had disappeared and are listed again by a source that was restored
+	// from an older copy. They accept no new work until StateUntil: the entry of a target
+	// that no longer runs has expired by then.
 	Returned
 )
 
-// String gives the text used in logs.
+// String returns the name of the state as it appears in logs.
 func (s State) String() string { return [...]string{"ready", "draining", "lapsed", "returned"}[s] }
 
 // Target is one replica of a service.
 type Target struct {
-	// ID is its identity. Most replicas have another after a restart; some keep it (Life).
+	// ID is the target's identity. Most replicas get a new one when they restart; some keep
+	// it (see Life).
 	ID string
-	// Born is as in Life.
+	// Born is the start of the process, as in Life.
 	Born int64
 	// Service is the name of the target's service.
 	Service string
-	// Address is where calls are sent, as host and port.
+	// Address is the host and port that calls are sent to.
 	Address string
-	// DataCentre is where the target runs.
+	// DataCentre is the data centre that the target runs in.
 	DataCentre string
-	// Slots is how many calls the target works on at a time; 0 for unknown.
+	// Slots is the number of calls that the target processes concurrently; 0 if unknown.
 	Slots int32
-	// State is as listed, or Lapsed, or Returned.
+	// State is the listed state, or Lapsed or Returned.
 	State State
-	// Evacuated says that the target's data centre takes no new work. The directory sets
-	// it (Edit.Evacuate); what a caller puts there does not count.
+	// Evacuated is set if the target's data centre accepts no new work. The directory
+	// maintains it (Edit.Evacuate) and ignores the value that a caller sets.
 	Evacuated bool
-	// StateUntil is until when a target has Lapsed or Returned, by this node's clock; zero
-	// for other states.
+	// StateUntil is the end of the Lapsed or Returned state, by this node's clock. It is
+	// zero in other states.
 	StateUntil time.Time
-	// ColdUntil is until when the target is cold, by this node's clock: until then it
-	// bears a few requests a second and falls over at many (package warmup). Zero for
-	// never.
+	// ColdUntil is the end of the target's warm-up, by this node's clock. A cold target
+	// handles only a few requests per second and fails under more (package warmup). It is
+	// zero for a target that is not known to be cold.
 	ColdUntil time.Time
 }
 
-// Directory is what is known of all targets.
+// Directory is an immutable set of targets, indexed by identity and by service.
 type Directory struct {
-	// targets are all, by identity; services are those of each service, in the order
-	// of their identities.
+	// targets holds all targets by identity, and services the targets of each service in
+	// the order of their identities.
 	targets  map[string]Target
 	services map[string][]Target
-	// evacuated holds the data centres whose targets take no new work.
+	// evacuated holds the data centres whose targets accept no new work.
 	evacuated map[string]bool
 }
 
@@ -83,6 +83,8 @@
 	return d.indexed()
 }
 
+// indexed rebuilds the index by service, marks the evacuated targets and returns d. It may
+// only be called before the directory is shared.
 func (d *Directory) indexed() *Directory {
 	d.services = make(map[string][]Target)
 	for id, t := range d.targets {
@@ -96,22 +98,21 @@
 	return d
 }
 
-// With returns the directory with a target added or changed.
+// With returns the directory with a target added or replaced.
 func (d *Directory) With(t Target) *Directory {
 	e := d.Edit()
 	e.Put(t)
 	return e.Directory()
 }
 
-// WithLapsed returns the directory with a target lapsed until a time, as Edit.Lapse
-// does it.
+// WithLapsed returns the directory after Edit.Lapse of a target.
 func (d *Directory) WithLapsed(id string, until time.Time) *Directory {
 	e := d.Edit()
 	e.Lapse(id, until)
 	return e.Directory()
 }
 
-// WithTime returns the directory at a time, as Edit.Expire does it.
+// WithTime returns the directory after Edit.Expire at the given time.
 func (d *Directory) WithTime(now time.Time) *Directory {
 	e := d.Edit()
 	e.Expire(now)
@@ -119,40 +120,40 @@
 }
 
 // Service returns the targets of a service in any state, in the order of their
-// identities; the caller must not change them.
+// identities. The caller must not modify the slice.
 func (d *Directory) Service(name string) []Target { return d.services[name] }
 
-// Target returns a target in any state by identity; false for unknown.
+// Target returns the target with an identity, in any state, and whether there is one.
 func (d *Directory) Target(id string) (Target, bool) {
 	t, known := d.targets[id]
 	return t, known
 }
 
-// All returns every target by identity; the caller must not change them.
+// All returns all targets by identity. The caller must not modify the map.
 func (d *Directory) All() map[string]Target { return d.targets }
 
-// Usable says whether a target is known and takes new work at the given time.
+// Usable reports whether a target is known and accepts new work at the given time.
 func (d *Directory) Usable(id string, now time.Time) bool {
 	t, known := d.targets[id]
 	return known && t.Usable(now)
 }
 
-// Usable says whether the target takes new work at the given time: when it is Open and,
-// if it has lapsed, its time is not over. Whether this node leaves it unused for failing
-// is another question (placement.TargetTable.Ejected).
+// Usable reports whether the target accepts new work at the given time: it must be Open
+// and, if Lapsed, its StateUntil must not have passed. It does not cover targets that this
+// node avoids because they fail (placement.TargetTable.Ejected).
 func (t Target) Usable(now time.Time) bool {
 	return t.Open() && (t.State != Lapsed || now.Before(t.StateUntil))
 }
 
-// Open says whether the target takes new work for as long as it is listed or lapsed: it
-// neither drains nor has Returned, and its data centre is not evacuated.
+// Open reports whether the target accepts new work while it is listed or lapsed: it is
+// neither Draining nor Returned, and its data centre is not evacuated.
 func (t Target) Open() bool { return t.State != Draining && t.State != Returned && !t.Evacuated }
 
-// Cold says whether the target is cold at the given time.
+// Cold reports whether the target is still warming up at the given time.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// AllEvacuated says whether a service has no open target because of evacuations: one at
-// least would take new work if its data centre were taken back.
+// AllEvacuated reports whether a service has no open target because of evacuations: at
+// least one target would accept new work if its data centre were not evacuated.
 func (d *Directory) AllEvacuated(service string) bool {
 	evacuated := false
 	for _, t := range d.services[service] {
--- a/internal/gateway/directory/directory_test.go
+++ b/internal/gateway/directory/directory_test.go
@@ -14,7 +14,7 @@
 	until = now.Add(2 * time.Second)
 )
 
-// TestUsable goes through which targets take new work.
+// TestUsable checks which targets accept new work.
 func TestUsable(t *testing.T) {
 	cases := []struct {
 		why    string
@@ -22,10 +22,10 @@
 		at     time.Time
 		want   bool
 	}{
-		{"that is ready does", directory.Target{}, now, true},
-		{"that drains does not", directory.Target{State: directory.Draining}, now, false},
-		{"that has lapsed does", directory.Target{State: directory.Lapsed, StateUntil: until}, until.Add(-1), true},
-		{"that has lapsed does not when its time is over", directory.Target{State: directory.Lapsed, StateUntil: until}, until, false},
+		{"that is ready is usable", directory.Target{}, now, true},
+		{"that is draining is not usable", directory.Target{State: directory.Draining}, now, false},
+		{"that has lapsed is usable", directory.Target{State: directory.Lapsed, StateUntil: until}, until.Add(-1), true},
+		{"that has lapsed is not usable from StateUntil on", directory.Target{State: directory.Lapsed, StateUntil: until}, until, false},
 	}
 	convey.Convey("A target", t, func() {
 		for _, c := range cases {
@@ -35,13 +35,13 @@
 				convey.So(directory.New(c.target).Usable("a", c.at), convey.ShouldEqual, c.want)
 			})
 		}
-		convey.Convey("that is unknown does not", func() {
+		convey.Convey("that is unknown is not usable", func() {
 			convey.So(directory.New().Usable("a", now), convey.ShouldBeFalse)
 		})
 	})
 }
 
-// TestLapse goes through what becomes of targets that lapse.
+// TestLapse checks the transitions of targets that lapse.
 func TestLapse(t *testing.T) {
 	states := func(d *directory.Directory) map[string]directory.State {
 		out := map[string]directory.State{}
@@ -50,24 +50,24 @@
 		}
 		return out
 	}
-	convey.Convey("Given a target that is ready and one that drains", t, func() {
+	convey.Convey("Given a ready and a draining target", t, func() {
 		d := directory.New(directory.Target{ID: "r", Service: "s"}, directory.Target{ID: "d", Service: "s", State: directory.Draining})
-		convey.Convey("the ready one lapses and the draining one goes", func() {
+		convey.Convey("the ready one lapses and the draining one is removed", func() {
 			d = d.WithLapsed("r", until).WithLapsed("d", until)
 			convey.So(states(d), convey.ShouldResemble, map[string]directory.State{"r": directory.Lapsed})
-			convey.Convey("to be dropped when its time is over", func() {
+			convey.Convey("the lapsed one is removed at StateUntil", func() {
 				convey.So(d.WithTime(until.Add(-1)), convey.ShouldEqual, d)
 				convey.So(states(d.WithTime(until)), convey.ShouldBeEmpty)
 			})
-			convey.Convey("and keeps its time when it lapses again", func() {
+			convey.Convey("the lapsed one keeps its StateUntil when it lapses again", func() {
 				convey.So(d.WithLapsed("r", until.Add(time.Hour)), convey.ShouldEqual, d)
 			})
-			convey.Convey("and is ready when it is listed again", func() {
+			convey.Convey("the lapsed one is ready when it is listed again", func() {
 				d = d.With(directory.Target{ID: "r", Service: "s"})
 				convey.So(states(d), convey.ShouldResemble, map[string]directory.State{"r": directory.Ready})
 			})
 		})
-		convey.Convey("an unknown one does not lapse", func() {
+		convey.Convey("lapsing an unknown one has no effect", func() {
 			convey.So(d.WithLapsed("x", until), convey.ShouldEqual, d)
 		})
 	})
--- a/internal/gateway/directory/edit.go
+++ b/internal/gateway/directory/edit.go
@@ -5,26 +5,25 @@
 	"time"
 )
 
-// Edit gathers changes of a directory, so that many together cost one copy and one
-// index of it (BenchmarkEdit). The base stays as it is.
+// Edit collects changes to a directory, so that many changes cost one copy and one index
+// rebuild (see BenchmarkEdit). The base directory is not modified.
 type Edit struct {
 	base *Directory
-	// targets are those after the changes so far; nil before the first.
+	// targets holds the targets with the changes so far; nil before the first change.
 	targets map[string]Target
-	// evacuated are the data centres that take no new work after the changes so far.
+	// evacuated holds the data centres that accept no new work, with the changes so far.
 	evacuated map[string]bool
-	// removed are the targets that were dropped, or began another life, as they were then.
+	// removed lists the targets that were removed or restarted, in their last state.
 	removed []Target
 }
 
-// Edit begins changes of the directory.
+// Edit returns an empty set of changes to the directory.
 func (d *Directory) Edit() *Edit { return &Edit{base: d, evacuated: d.evacuated} }
 
-// Put adds or changes a target. In one life, a target that was known to be cold for longer
-// stays so, one that drains does not take new work again, and one that has Returned waits
-// for its time: a source that came back from an older copy lists what it knew then. A start
-// that is not said is the one that is known: members of an earlier version pass targets on
-// without it.
+// Put adds or replaces a target. Within one life, the later ColdUntil wins, a Draining
+// target does not become ready again, and a Returned one stays so until StateUntil, since
+// a source that was restored from an older copy lists outdated states. If t has no start,
+// the known one is kept: members of an earlier version forward targets without it.
 func (e *Edit) Put(t Target) {
 	if known, is := e.target(t.ID); is {
 		if t.Born == 0 {
@@ -43,7 +42,7 @@
 	e.changed()[t.ID] = t
 }
 
-// Remove drops a target.
+// Remove removes a target, if it is known.
 func (e *Edit) Remove(id string) {
 	if t, known := e.target(id); known {
 		delete(e.changed(), id)
@@ -51,11 +50,11 @@
 	}
 }
 
-// Removed returns the targets that were dropped, or began another life, as they were then.
+// Removed returns the targets that were removed or restarted, in their last state.
 func (e *Edit) Removed() []Target { return e.removed }
 
-// Expire ends the states whose time is over: targets that have Lapsed are dropped, those
-// that have Returned are ready.
+// Expire ends the states whose StateUntil has passed: Lapsed targets are removed, Returned
+// ones become ready.
 func (e *Edit) Expire(now time.Time) {
 	for id, t := range e.base.targets {
 		if t.StateUntil.IsZero() || now.Before(t.StateUntil) {
@@ -72,8 +71,9 @@
 	}
 }
 
-// Lapse has a target lapse at a time. One that was draining is dropped: it vanished as
-// announced; so is one that has Returned. One that has lapsed already keeps its time.
+// Lapse marks a target as Lapsed until the given time. A Draining target is removed
+// instead, as its disappearance was announced, and so is a Returned one. A target that has
+// already lapsed keeps its StateUntil.
 func (e *Edit) Lapse(id string, until time.Time) {
 	t, known := e.target(id)
 	switch {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Evacuate sets the data centres whose targets take no new work; the caller must not
-// change the set afterwards.
+// Evacuate sets the data centres whose targets accept no new work. The caller must not
+// modify the map afterwards.
 func (e *Edit) Evacuate(dataCentres map[string]bool) {
 	if !maps.Equal(e.evacuated, dataCentres) {
 		e.evacuated = dataCentres
@@ -96,8 +96,8 @@
 	}
 }
 
-// WarmUp has the targets of a data centre that need so long to warm up count as cold
-// until then; warmsUpIn returns 0 for those that need no time.
+// WarmUp marks the targets of a data centre as cold from now on, each for the time that
+// warmsUpIn returns. Targets for which it returns 0 are not changed.
 func (e *Edit) WarmUp(now time.Time, dataCentre string, warmsUpIn func(Target) time.Duration) {
 	for _, t := range maps.Clone(e.All()) {
 		if t.DataCentre != dataCentre {
@@ -110,7 +110,6 @@
 	}
 }
 
-// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -118,8 +117,8 @@
 	return b
 }
 
-// All returns every target after the changes so far by identity; the caller must not
-// change them.
+// All returns all targets by identity, with the changes so far. The caller must not modify
+// the map.
 func (e *Edit) All() map[string]Target {
 	if e.targets != nil {
 		return e.targets
@@ -127,7 +126,7 @@
 	return e.base.targets
 }
 
-// Directory returns the directory with the changes; the base when there were none.
+// Directory returns the directory with the changes, or the base if there are none.
 func (e *Edit) Directory() *Directory {
 	if e.targets == nil {
 		return e.base
@@ -140,7 +139,7 @@
 	return t, known
 }
 
-// changed returns the targets to change, a copy of the base's before the first change.
+// changed returns the map of targets to modify. The first call copies the base's map.
 func (e *Edit) changed() map[string]Target {
 	if e.targets == nil {
 		e.targets = maps.Clone(e.base.targets)
--- a/internal/gateway/directory/edit_test.go
+++ b/internal/gateway/directory/edit_test.go
@@ -10,7 +10,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// manyTargets are those of a large deployment.
+// manyTargets returns as many targets as a large deployment has.
 func manyTargets() []directory.Target {
 	targets := make([]directory.Target, 365)
 	for i := range targets {
@@ -22,13 +22,13 @@
 func TestEdit(t *testing.T) {
 	convey.Convey("Given a directory with a target", t, func() {
 		d := directory.New(directory.Target{ID: "a", Service: "s"})
-		convey.Convey("an edit without changes gives the same", func() {
+		convey.Convey("an edit without changes returns the base", func() {
 			e := d.Edit()
 			e.Remove("unknown")
 			e.Lapse("unknown", time.Now())
 			convey.So(e.Directory(), convey.ShouldEqual, d)
 		})
-		convey.Convey("changes count together, and the directory stays as it is", func() {
+		convey.Convey("all changes are applied, and the base is not modified", func() {
 			e := d.Edit()
 			e.Put(directory.Target{ID: "b", Service: "s"})
 			e.Remove("a")
@@ -37,7 +37,7 @@
 			convey.So(d.Service("s"), convey.ShouldResemble, []directory.Target{{ID: "a", Service: "s"}})
 			convey.So(d.All(), convey.ShouldResemble, map[string]directory.Target{"a": {ID: "a", Service: "s"}})
 		})
-		convey.Convey("a target that is put and lapses has lapsed", func() {
+		convey.Convey("a target can be added and lapse in one edit", func() {
 			until := time.Now()
 			e := d.Edit()
 			e.Put(directory.Target{ID: "b", Service: "s"})
@@ -47,7 +47,7 @@
 			convey.So(b.StateUntil, convey.ShouldEqual, until)
 		})
 	})
-	convey.Convey("A large list copies and sorts the targets once", t, func() {
+	convey.Convey("A large list is copied and sorted once", t, func() {
 		targets := manyTargets()
 		allocations := testing.AllocsPerRun(10, func() {
 			e := directory.New().Edit()
@@ -60,8 +60,7 @@
 	})
 }
 
-// BenchmarkEdit takes in a list of all targets: together, and one by one as it was
-// done before Edit.
+// BenchmarkEdit compares adding many targets in one Edit with adding each by With.
 func BenchmarkEdit(b *testing.B) {
 	targets := manyTargets()
 	b.Run("together", func(b *testing.B) {
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -5,28 +5,29 @@
 	"strings"
 )
 
-// Life is one life of a target: its identity, and the start of its process. A target may
-// start again under the identity that it had; it then holds and knows nothing of before.
-// What is believed of a target is kept under its Life, so that all of it ends with it.
+// Life identifies one process of a target by the target's identity and the start of the
+// process. A target may restart under the same identity, which loses its state. State kept
+// about a target is keyed by its Life, so that it is discarded after a restart.
 type Life struct {
 	// ID is the target's identity.
 	ID string
-	// Born is when its process started, in Unix milliseconds of its own clock; 0 for
-	// unknown. It distinguishes lives and does not order them: the clock may have been set back.
+	// Born is the start of the process in Unix milliseconds, by the target's clock; 0 if
+	// unknown. It does not order the processes, since that clock may have been set back.
 	Born int64
 }
 
-// bornMark parts identity and start in the text of a Life.
-const bornMark = "@"
-
-// bornBase is decimal, in which the log shows times.
-const bornBase = 10
+const (
+	// bornMark separates the identity from the start in the text form of a Life.
+	bornMark = "@"
+	// bornBase is the number base of the start, decimal like the times in logs.
+	bornBase = 10
+)
 
-// Life returns the target's present life.
+// Life returns the target's current life.
 func (t Target) Life() Life { return Life{ID: t.ID, Born: t.Born} }
 
-// String gives the identity, and behind it the start where that is known or the identity
-// would read as if it were.
+// String returns the identity, followed by the start if that is known or if the identity
+// itself contains the separator.
 func (l Life) String() string {
 	if l.Born == 0 && !strings.Contains(l.ID, bornMark) {
 		return l.ID
@@ -34,7 +35,7 @@
 	return l.ID + bornMark + strconv.FormatInt(l.Born, bornBase)
 }
 
-// ParseLife reads what String gives. A text without a start that reads is an identity.
+// ParseLife parses the result of String. A text without a valid start is an identity.
 func ParseLife(s string) Life {
 	i := strings.LastIndex(s, bornMark)
 	if i < 0 {
@@ -47,7 +48,7 @@
 	return Life{ID: s[:i], Born: born}
 }
 
-// Lives says whether a life is that of a target which is listed or lapsed.
+// Lives reports whether the directory has a target with this identity and start.
 func (d *Directory) Lives(l Life) bool {
 	t, known := d.targets[l.ID]
 	return known && t.Born == l.Born
--- a/internal/gateway/directory/life_test.go
+++ b/internal/gateway/directory/life_test.go
@@ -8,33 +8,33 @@
 )
 
 func TestLife(t *testing.T) {
-	convey.Convey("A life reads as it was written", t, func() {
+	convey.Convey("ParseLife inverts String", t, func() {
 		for _, l := range []Life{{ID: "i-1"}, {ID: "i-1", Born: 1783309352014}, {ID: "i@1"}, {ID: "i@x", Born: 2}, {}} {
 			convey.So(ParseLife(l.String()), convey.ShouldResemble, l)
 		}
 	})
 	now := time.Unix(1000, 0)
 	first := Target{ID: "a", Service: "s", Born: 1, ColdUntil: now.Add(time.Minute)}
-	convey.Convey("Given a target that is cold", t, func() {
+	convey.Convey("Given a cold target", t, func() {
 		d := New(first)
 		convey.So(d.Lives(Life{ID: "a", Born: 1}), convey.ShouldBeTrue)
-		convey.Convey("another start under its identity ends its life, and with it what was known of it", func() {
+		convey.Convey("a different start under the same identity is a new life, which is not cold", func() {
 			d = d.With(Target{ID: "a", Service: "s", Born: 2})
 			got, _ := d.Target("a")
 			convey.So(d.Lives(first.Life()), convey.ShouldBeFalse)
 			convey.So(d.Lives(got.Life()), convey.ShouldBeTrue)
 			convey.So(got.Cold(now), convey.ShouldBeFalse)
 		})
-		convey.Convey("a start that goes back is another life too: the target's clock was set back", func() {
+		convey.Convey("an earlier start is a new life too, since the target's clock may have been set back", func() {
 			convey.So(d.With(Target{ID: "a", Service: "s", Born: 0x7fff}).With(Target{ID: "a", Service: "s", Born: 1}).Lives(first.Life()), convey.ShouldBeTrue)
 		})
-		convey.Convey("a report without a start is of the same life", func() {
+		convey.Convey("a report without a start belongs to the current life", func() {
 			d = d.With(Target{ID: "a", Service: "s", State: Draining})
 			got, _ := d.Target("a")
 			convey.So(got.Born, convey.ShouldEqual, 1)
 			convey.So(got.Cold(now), convey.ShouldBeTrue)
 		})
-		convey.Convey("it has gone with its target", func() {
+		convey.Convey("its life ends when the target is removed", func() {
 			e := d.Edit()
 			e.Remove("a")
 			convey.So(e.Directory().Lives(first.Life()), convey.ShouldBeFalse)
