--- a/internal/gateway/membership/bench_test.go
+++ b/internal/gateway/membership/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// BenchmarkExchange is one member's part of an exchange of gossip among 300: to write
-// what it knows, and to read and merge an answer.
+// BenchmarkExchange measures one member's part of a gossip exchange in a fleet of 300:
+// encoding its message, and decoding and merging the response.
 func BenchmarkExchange(b *testing.B) {
 	f := startedFleet(300, 18)
 	one, two := f.nodes[50], f.nodes[60]
--- a/internal/gateway/membership/doc.go
+++ b/internal/gateway/membership/doc.go
@@ -1,20 +1,20 @@
-// Package membership holds what a gateway knows of the other members by gossip.
-// It does no input or output and reads no clock; the gateway exchanges the
-// messages and guards the roster with a lock.
+// Package membership tracks the members of the gateway fleet, as learned by gossip.
+// It performs no I/O and reads no clock: the gateway exchanges the messages and
+// guards the roster with a lock.
 //
-// One rule a file:
+// Each file implements one rule:
 //
-//   - roster.go: the state, and how what members report is merged.
-//   - liveness.go: who is live, suspected, forgotten, and who serves.
-//   - eligibility.go: who may do work that one member does for all.
-//   - readers.go: who reads the source, and who follows the readers.
-//   - newest.go: which member knows the newest configuration and revision.
+//   - roster.go: the state, and how reports are merged into it.
+//   - liveness.go: which members are live, suspected, serving or dropped.
+//   - eligibility.go: which members may do work that one member does for the fleet.
+//   - readers.go: which members read the source, and which follow the readers.
+//   - newest.go: which member has the newest configuration and revision.
 //   - exchange.go: which members to exchange gossip with, and what to send them.
 //
-// The package owns the roster of one node. It relies on gossip alone: a member that
-// cannot be reached counts as lost after a while, and a node that reaches nobody
-// serves, coordinates and reads the source alone. No rule elects anyone, so members
-// that are cut off from each other may do the same work twice.
+// The roster depends on gossip alone. An unreachable member is considered lost after
+// a timeout, and a node that reaches no other member serves, coordinates and reads
+// the source on its own. There is no leader election, so members on different sides
+// of a partition may do the same work twice.
 //
 // See docs/decisions/0011 and 0012.
 package membership
--- a/internal/gateway/membership/earlierreaders_test.go
+++ b/internal/gateway/membership/earlierreaders_test.go
@@ -10,14 +10,14 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// TestReadersOfAnEarlierVersion guards against members that leave the source to members of
-// an earlier version, which do not notice that it came back from an older copy.
+// TestReadersOfAnEarlierVersion guards against leaving the source to members of an earlier
+// version, which do not detect that it was restored from an older copy.
 func TestReadersOfAnEarlierVersion(t *testing.T) {
 	const (
 		members     = 80
 		wantReaders = 6
 	)
-	convey.Convey("Given members of which the first half is of an earlier version, and all hear the source", t, func() {
+	convey.Convey("Given a fleet whose first half runs an earlier version, and which all reaches the source", t, func() {
 		var all []message.GossipMember
 		for i := range members {
 			m := member(fmt.Sprintf("10.0.0.%d:1", i), 1, 1)
@@ -37,7 +37,7 @@
 		}
 		convey.So(readers, convey.ShouldEqual, wantReaders)
 	})
-	convey.Convey("Given members of which all others are of an earlier version, a member reads", t, func() {
+	convey.Convey("A member reads if all others run an earlier version", t, func() {
 		r := membership.NewRoster("10.0.1.1:1", 1, nil)
 		r.SetStatus(membership.Status{Serving: true})
 		var others []message.GossipMember
@@ -50,7 +50,7 @@
 		convey.So(r.IsReader(rosterStart), convey.ShouldBeTrue)
 		convey.So(r.FollowsReaders(rosterStart), convey.ShouldBeFalse)
 	})
-	convey.Convey("Given that only members of an earlier version hear the source, nobody follows them", t, func() {
+	convey.Convey("Members of an earlier version are not followed, even if only they reach the source", t, func() {
 		var all []message.GossipMember
 		for i := range members {
 			m := member(fmt.Sprintf("10.0.0.%d:1", i), 1, 1)
@@ -65,7 +65,7 @@
 			convey.So(r.FollowsReaders(rosterStart), convey.ShouldBeFalse)
 		}
 	})
-	convey.Convey("A report that a member of an earlier version passes on takes nothing back, within an incarnation", t, func() {
+	convey.Convey("A report forwarded by a member of an earlier version does not reset Epochs within an incarnation", t, func() {
 		r := membership.NewRoster("10.0.1.1:1", 1, nil)
 		heard := func(incarnation, beat int, epochs bool) bool {
 			m := member("10.0.0.1:1", incarnation, beat)
--- a/internal/gateway/membership/eligibility.go
+++ b/internal/gateway/membership/eligibility.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// eligibleShare is the share of the strongest member's capacity from which on a member
-	// is eligible. No other share was measured; without the rule weak members that
-	// coordinate fall behind and are taken for lost, which cost 0.08 and 0.27 of worth in
-	// two fleets of some 80 whose members differ by ten times (docs/decisions/0012).
+	// eligibleShare is the minimum capacity of an eligible member, relative to the
+	// strongest member. Weak members that coordinate fall behind and are taken for
+	// lost, which costs 0.08 and 0.27 of worth in two fleets of about 80 members whose
+	// capacities differ by a factor of ten (docs/decisions/0012).
 	eligibleShare = 0.5
-	// maxEligible bounds the eligible members. Each exchange names all of them
-	// (Gossip), so that hundreds of members agree on them within two or three rounds;
-	// named at random, 300 members agreed at no moment of ten calm seconds
-	// (TestManyMembersAgree). It leaves two fifths of an exchange for the other
-	// members, and gives each of a dozen coordinated services a member of its own.
+	// maxEligible limits the eligible members. Each exchange reports all of them (see
+	// Gossip), so that hundreds of members agree on them within two or three rounds.
+	// Reported at random, 300 members agree at no moment within ten seconds without
+	// faults (TestManyMembersAgree). The limit leaves two fifths of an exchange for the
+	// other members, and suffices to give each of a dozen coordinated services its own
+	// member.
 	maxEligible = 24
-	// eligibleFor is how long the eligible members are remembered while the roster does
-	// not change, since each group of items and each prompt asks for them: among 300
-	// members they take 0.1 ms to find. It is short beside a heartbeat.
+	// eligibleFor is how long the list of eligible members is cached while the roster
+	// does not change. Every group of items and every prompt needs the list, which takes
+	// 0.1 ms to compute among 300 members. It is short compared to a heartbeat.
 	eligibleFor = 50 * time.Millisecond
 )
 
-// eligibleMembers remembers the eligible members as of a time.
+// eligibleMembers caches the eligible members as of a time.
 type eligibleMembers struct {
 	list []string
 	at   time.Time
 }
 
-// Eligible returns the members that may do work which one member does for all, in
-// the order of their addresses: those of Serving with at least eligibleShare of the
-// strongest one's capacity, and of these the first maxEligible by their weight. It
-// is empty when nobody serves.
+// Eligible returns the members that may do work which one member does for the fleet,
+// in the order of their addresses. These are the Serving members with at least
+// eligibleShare of the strongest one's capacity, limited to the maxEligible with the
+// highest weight. The list is empty if no member serves.
 //
-// Inputs are the capacities that members report, in thousandths of a core, as old as
-// gossip. A member that reports none counts as 0, so that of members which all
-// report none everyone is eligible. When the strong members are lost together, the
-// strongest of those that are left take over as soon as they count as silent. While
-// members disagree about who is eligible, two may coordinate one service, and each
-// sends batches to targets that work for the other. See docs/decisions/0012.
+// Capacities are in thousandths of a core and as old as the last gossip. A missing one
+// counts as 0, so all members are eligible if none reports one. If the strong members
+// fail together, the strongest of the others take over once those are no longer live.
+// While members disagree about the list, two of them may coordinate one service, and
+// each sends batches to targets that work for the other. See docs/decisions/0012.
 //
-// The caller must not change the list.
+// The caller must not modify the list.
 func (r *Roster) Eligible(now time.Time) []string {
 	age := now.Sub(r.eligible.at)
 	if r.eligible.list == nil || age < 0 || age >= eligibleFor {
@@ -52,8 +52,9 @@
 	return r.eligible.list
 }
 
-// strongest returns those of several members that have at least eligibleShare of the
-// strongest one's capacity, at most maxEligible, in the order given.
+// strongest returns the given members that have at least eligibleShare of the
+// strongest one's capacity, at most maxEligible of them, in the order given. It reuses
+// the slice.
 func (r *Roster) strongest(members []string) []string {
 	most := 0
 	for _, a := range members {
@@ -64,6 +65,7 @@
 	return r.firstByWeight(members, maxEligible)
 }
 
+// capacity returns the capacity of a member in thousandths of a core; 0 if unknown.
 func (r *Roster) capacity(address string) int {
 	if address == r.self.Address {
 		return r.self.Capacity
@@ -71,7 +73,8 @@
 	return r.known[address].Capacity
 }
 
-// firstByWeight returns the n members with the highest weight, in the order given.
+// firstByWeight returns the n members with the highest weights, in the order given. It
+// reuses the slice.
 func (r *Roster) firstByWeight(members []string, n int) []string {
 	if len(members) <= n {
 		return members
@@ -85,8 +88,7 @@
 	return slices.DeleteFunc(members, func(a string) bool { return r.weight(a) < least })
 }
 
-// weight is the weight of a member among those that might be eligible or read the
-// source.
+// weight returns the weight by which a member is selected as eligible or as a reader.
 func (r *Roster) weight(address string) uint64 {
 	if address == r.self.Address {
 		return r.ownWeight
@@ -94,5 +96,6 @@
 	return r.known[address].weight
 }
 
-// weightOf computes a member's weight; all members compute it alike.
+// weightOf computes a member's weight from its address, with the same result at every
+// member.
 func weightOf(address string) uint64 { return xxhash.Sum64String("reader/" + address) }
--- a/internal/gateway/membership/exchange.go
+++ b/internal/gateway/membership/exchange.go
@@ -8,20 +8,18 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// maxGossip bounds the other members reported in one exchange, so that its bytes do
-// not grow with the fleet: 40 members are about 5 KB. It is above maxEligible, which
-// each exchange names.
+// maxGossip limits the other members reported in one exchange, so that the message does
+// not grow with the fleet: 40 members take about 5 KB. It exceeds maxEligible because
+// each exchange reports all eligible members.
 const maxGossip = 40
 
-// Gossip returns what to send another member: this member and up to maxGossip
-// others, of those that are live or stop. Those come first whose state everybody has
-// to know soon, as work for all is theirs or was until now (strongest); the others
-// are drawn at random.
+// Gossip returns the message for an exchange with another member: this member and up
+// to maxGossip others that are live or leaving. The strongest members, which do or just
+// did work for the fleet, are always included; the rest are chosen at random.
 //
-// Inputs are capacities and signs of life. With the eligible ones drawn at random
-// too, a heartbeat needs nine rounds, 4.3 s, to reach 300 members (worked out), longer
-// than liveFor, so that members that lived counted as lost at many others at any
-// moment (TestManyMembersAgree).
+// If the eligible members were chosen at random too, a heartbeat would need nine rounds
+// (4.3 s) to reach 300 members. That exceeds liveFor, so that at any moment many members
+// would consider running ones lost (TestManyMembersAgree).
 func (r *Roster) Gossip(now time.Time) message.Gossip {
 	reported := make([]string, 0, len(r.known))
 	for a, e := range r.known {
@@ -40,8 +38,7 @@
 	return g
 }
 
-// strongestFirst moves the strongest of several members to the front and keeps the
-// order otherwise.
+// strongestFirst moves the strongest members to the front and otherwise keeps the order.
 func (r *Roster) strongestFirst(members []string) []string {
 	strongest := r.strongest(slices.Clone(members))
 	isStrongest := make(map[string]bool, len(strongest))
@@ -52,10 +49,10 @@
 	return slices.Concat(strongest, others)
 }
 
-// Partners returns the members to exchange gossip with: up to n live ones, the first
-// of them eligible and the others at random, and one seed that is not live, so that
-// parts of the fleet that lost each other meet again. What all members have to know
-// gathers at the eligible ones, one round from everybody.
+// Partners returns the members to exchange gossip with: up to n live members, of which
+// the first is eligible and the others are chosen at random, and one seed that is not
+// live, so that a partitioned fleet joins again. Information that all members need
+// collects at the eligible ones, which are one round away from every member.
 func (r *Roster) Partners(now time.Time, n int) []string {
 	var alive, missing []string
 	for a, e := range r.known {
@@ -81,8 +78,8 @@
 	return partners
 }
 
-// eligiblePartner returns one of the other eligible members at random; none when
-// there is no other.
+// eligiblePartner returns one of the other eligible members at random, or nil if there
+// is none.
 func (r *Roster) eligiblePartner(now time.Time) []string {
 	others := slices.DeleteFunc(slices.Clone(r.Eligible(now)), func(a string) bool { return a == r.self.Address })
 	if len(others) == 0 {
--- a/internal/gateway/membership/fleet_test.go
+++ b/internal/gateway/membership/fleet_test.go
@@ -18,13 +18,14 @@
 	fleetPartners = 2
 	// fleetStep is the resolution of the simulated time.
 	fleetStep = 100 * time.Millisecond
-	// agreeSample has one in so many members asked whether it agrees, for speed.
+	// agreeSample is the fraction of members that agree compares, one in agreeSample, to
+	// save time.
 	agreeSample = 7
 	// strongCapacity and weakCapacity are in thousandths of a core.
 	strongCapacity, weakCapacity = 800, 80
 )
 
-// fleet is many members that gossip with each other in simulated time.
+// fleet simulates many members that gossip with each other.
 type fleet struct {
 	rnd   *rand.Rand
 	now   time.Time
@@ -37,12 +38,12 @@
 	*membership.Roster
 	address string
 	next    time.Time
-	// down members neither call nor answer; cut ones run without reaching anybody.
+	// down members neither call nor answer; cut ones run but reach no other member.
 	down, cut bool
 }
 
-// newFleet returns members that know three seeds and nobody else. The first strong
-// ones have ten times the capacity of the others.
+// newFleet returns a fleet whose members know only three seeds. The first strong members
+// have ten times the capacity of the others.
 func newFleet(seed uint64, size, strong int) *fleet {
 	f := &fleet{rnd: rand.New(rand.NewPCG(seed, seed)), now: rosterStart, at: map[string]*fleetNode{}}
 	for i := range size {
@@ -61,7 +62,7 @@
 	return weakCapacity
 }
 
-// start gives a member an empty roster, as its process has after a start.
+// start gives a member a new roster, as after a start of its process.
 func (f *fleet) start(n *fleetNode, capacity int) {
 	last := len(f.nodes) - 1
 	seeds := []string{f.nodes[0].address, f.nodes[last/2].address, f.nodes[last].address}
@@ -72,14 +73,14 @@
 	n.down = false
 }
 
-// restart ends all members at once and starts them again.
+// restart restarts all members at once.
 func (f *fleet) restart(strong int) {
 	for i, n := range f.nodes {
 		f.start(n, capacityOfFleetNode(i, strong))
 	}
 }
 
-// run lets time pass, and calls check after each step.
+// run advances the time, and calls check, if not nil, after each step.
 func (f *fleet) run(d time.Duration, check func()) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(fleetStep)
@@ -94,7 +95,7 @@
 	}
 }
 
-// round is one member's round of gossip.
+// round runs one member's round of gossip.
 func (f *fleet) round(n *fleetNode) {
 	n.next = f.now.Add(fleetRound)
 	n.Heartbeat()
@@ -110,7 +111,8 @@
 	}
 }
 
-// agree says whether members that run and are not cut off know the same eligible ones.
+// agree reports whether the running, connected members that it samples have the same list
+// of eligible members.
 func (f *fleet) agree() bool {
 	var first []string
 	for i, n := range f.nodes {
@@ -128,8 +130,8 @@
 	return true
 }
 
-// untilAgreed returns how long it takes until all agree and go on doing so for
-// settled, within at most limit.
+// untilAgreed returns how long it takes until all members agree permanently. It simulates
+// limit and two more seconds.
 func (f *fleet) untilAgreed(limit time.Duration) time.Duration {
 	const settled = 2 * time.Second
 	begun, since := f.now, f.now
@@ -141,14 +143,14 @@
 	return since.Sub(begun)
 }
 
-// startedFleet returns a fleet whose members have had time to learn of each other.
+// startedFleet returns a fleet whose members have discovered each other.
 func startedFleet(size, strong int) *fleet {
 	f := newFleet(1, size, strong)
 	f.run(6*time.Second, nil)
 	return f
 }
 
-// shouldAgreeThroughout asserts that all members agree at all times of a while.
+// shouldAgreeThroughout asserts that all members agree at every step of a duration.
 func shouldAgreeThroughout(f *fleet, d time.Duration) {
 	disagreed := 0
 	f.run(d, func() {
@@ -159,49 +161,50 @@
 	convey.So(disagreed, convey.ShouldEqual, 0)
 }
 
-// shouldAgreeWithin asserts that all members agree soon, and go on doing so.
+// shouldAgreeWithin asserts that all members agree from limit on.
 func shouldAgreeWithin(f *fleet, limit time.Duration) {
 	convey.So(f.untilAgreed(limit+time.Second), convey.ShouldBeLessThanOrEqualTo, limit)
 }
 
-// TestManyMembersAgree holds that hundreds of members agree on who is eligible: calm,
-// and soon after any one fault. Members that disagree coordinate one service twice.
+// TestManyMembersAgree checks that hundreds of members agree on the eligible ones without
+// faults, and soon after any single fault. Members that disagree coordinate one service
+// twice.
 func TestManyMembersAgree(t *testing.T) {
 	const size, strong = 300, 18
-	convey.Convey("Of 300 members, of whom 18 are strong", t, func() {
+	convey.Convey("In a fleet of 300 members, 18 of them strong", t, func() {
 		f := startedFleet(size, strong)
 		eligible := f.nodes[0].Eligible(f.now)
 		convey.So(eligible, convey.ShouldHaveLength, strong)
-		convey.Convey("all agree while nothing happens, and know of 98 in 100 how many there are", func() {
+		convey.Convey("all agree without faults, and count at least 98% of the members", func() {
 			shouldAgreeThroughout(f, 10*time.Second)
 			for _, n := range f.nodes {
 				convey.So(n.Size(f.now), convey.ShouldBeBetweenOrEqual, size*98/100, size)
 			}
 		})
-		convey.Convey("all agree within 5 s of the death of half of the eligible ones", func() {
+		convey.Convey("all agree within 5 s of the failure of half of the eligible members", func() {
 			for i, address := range eligible {
 				f.at[address].down = i%2 == 0
 			}
 			shouldAgreeWithin(f, 5*time.Second)
 		})
-		convey.Convey("all agree within 5 s of the death of all of the eligible ones", func() {
+		convey.Convey("all agree within 5 s of the failure of all eligible members", func() {
 			for _, address := range eligible {
 				f.at[address].down = true
 			}
 			shouldAgreeWithin(f, 5*time.Second)
 		})
-		convey.Convey("all agree within 3 s of the return of an eligible one that was cut off", func() {
+		convey.Convey("all agree within 3 s of the return of an eligible member that was cut off", func() {
 			f.at[eligible[0]].cut = true
 			f.run(6*time.Second, nil)
 			f.at[eligible[0]].cut = false
 			shouldAgreeWithin(f, 3*time.Second)
 		})
-		convey.Convey("all agree within 3 s of a start of all", func() {
+		convey.Convey("all agree within 3 s of a simultaneous restart", func() {
 			f.restart(strong)
 			shouldAgreeWithin(f, 3*time.Second)
 		})
 	})
-	convey.Convey("Of 300 members that are alike, all agree on the same few", t, func() {
+	convey.Convey("A fleet of 300 equal members agrees on the same few eligible ones", t, func() {
 		f := startedFleet(size, size)
 		convey.So(len(f.nodes[0].Eligible(f.now)), convey.ShouldBeLessThan, size/10)
 		shouldAgreeThroughout(f, 4*time.Second)
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// How long a member's silence counts. The figures hang together with the gateway's
-// heartbeat (gossipInterval, 500 ms), and timeouts_test.go holds their relations:
+// Timeouts for silent members. They are multiples of the gateway's heartbeat interval
+// (gossipInterval, 500 ms), and timeouts_test.go checks how they relate:
 //
 //	heartbeat 500 ms < suspectFor 1.5 s < liveFor 2.5 s < forgetAfter 30 s
 //
-// A report may take some exchanges to reach every member, so liveFor allows five
-// heartbeats. A suspicion lasts three, in which a member that lives is expected to
-// be reported again; whether it has died is left to liveFor. Members go on reporting
-// a silent one until it is not live to them either, so forgetAfter must be many
-// times liveFor: a member that is forgotten earlier would count as live again by
-// such a report.
+// A report may need several exchanges to reach every member, so liveFor allows five
+// heartbeats. A suspicion lasts three, in which a running member is expected to be
+// reported again; only liveFor decides whether it has failed. Members keep reporting a
+// silent member until they no longer consider it live, so forgetAfter must be many times
+// liveFor: such a report would make a member that is dropped earlier live again.
 const (
-	// liveFor is how long after its last sign of life a member counts as live. Twice
-	// as long would have the death of a coordinator noticed twice as late, half as long
-	// would have members count as dead that missed two rounds.
+	// liveFor is how long a member is considered live after its last sign of life.
+	// Doubling it doubles the time to detect a failed coordinator; halving it would take
+	// members for failed that missed two rounds.
 	liveFor = 2500 * time.Millisecond
-	// suspectFor is how long a member that failed a call is passed over, unless it
-	// gives a new sign of life by gossip: three heartbeats.
+	// suspectFor is how long a member that failed a call is avoided, unless gossip
+	// reports a newer heartbeat: three heartbeats.
 	suspectFor = 1500 * time.Millisecond
-	// forgetAfter is how long a silent member stays known: twelve times liveFor.
+	// forgetAfter is how long a silent member stays in the roster: twelve times liveFor.
 	forgetAfter = 30 * time.Second
-	// countedFor is how long after its last sign of life a member counts in Size where
-	// one exchange does not name all members. Drawn at random, the report of one of 300
-	// took longer than 10 s to reach one in 25 of them; a count that is too low has each
-	// node open more connections to a target than its share.
+	// countedFor replaces liveFor in Size if one exchange cannot report all members. A
+	// randomly selected report about one of 300 members takes longer than 10 s to reach
+	// one in 25 of them. If the count is too low, each node opens more connections to a
+	// target than its share.
 	countedFor = 15 * time.Second
-	// settleFor is how long after its first contact with another member a member takes
-	// its roster for what others know too: 300 members agree on who is eligible within 3 s
-	// of a start of all (TestManyMembersAgree).
+	// settleFor is the time from a member's first contact with another until its roster is
+	// expected to match those of the others: 300 members agree on the eligible ones within
+	// 3 s of a simultaneous start (TestManyMembersAgree).
 	settleFor = 3 * time.Second
-	// settledShare is the part of the members that it ever knew which a settled member
-	// sees at least. Of 300 members that are calm one sees 0.47 of them at any moment, as an
-	// exchange does not name all; with a half those would count as cut off.
+	// settledShare is the minimum share of the peak number of members that a settled
+	// member sees. Without faults, a member of a fleet of 300 sees 0.47 of it at any
+	// moment, as an exchange does not report all members. A share of one half would
+	// therefore take it for partitioned.
 	settledShare = 1.0 / 3
 )
 
-// live says whether a member gave a sign of life within liveFor, by this node's
-// clock. A wrong yes costs calls to a member that has died, each a timeout; a wrong
-// no moves what the member coordinates to another, and makes two of them do it.
+// live reports whether a member gave a sign of life within liveFor, by this node's clock.
+// A false positive costs calls to a failed member, each of which times out. A false
+// negative hands the member's coordination to another one, so that two do the same work.
 func live(now time.Time, e rosterEntry) bool {
 	return now.Sub(e.advanced) <= liveFor
 }
 
-// Suspect passes over a member that failed a call, for suspectFor.
+// Suspect excludes a member that failed a call from Serving for suspectFor.
 func (r *Roster) Suspect(now time.Time, address string) {
 	r.changed()
 	if e, known := r.known[address]; known {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Contacted notes that a member answered this node. It does not end a suspicion.
+// Contacted records that a member answered this node. It does not end a suspicion.
 func (r *Roster) Contacted(now time.Time, address string) {
 	r.changed()
 	if e, known := r.known[address]; known {
@@ -67,18 +67,18 @@
 	}
 }
 
-// LastContact returns when a member last gave a sign of life; zero for never.
+// LastContact returns the time of a member's last sign of life; zero if there was none.
 func (r *Roster) LastContact(address string) time.Time { return r.known[address].advanced }
 
-// Forget drops members that have been silent for longer than forgetAfter.
+// Forget drops the members that have been silent for longer than forgetAfter.
 func (r *Roster) Forget(now time.Time) {
 	r.changed()
 	maps.DeleteFunc(r.known, func(_ string, e rosterEntry) bool { return now.Sub(e.advanced) > forgetAfter })
 }
 
-// Serving returns the members that take work, this one included when it does, in
-// the order of their addresses: those that know a configuration, do not stop, are
-// live and not suspected. It is empty when there are none.
+// Serving returns the members that accept work, possibly including this one, in the
+// order of their addresses. These are the members that have a configuration, are not
+// leaving, are live and not suspected.
 func (r *Roster) Serving(now time.Time) []string {
 	var list []string
 	if r.self.Serving && !r.self.Leaving {
@@ -93,11 +93,11 @@
 	return list
 }
 
-// Settled says whether this member knows the others well enough to give out what is
-// scarce, such as the requests of a cold target: it has known other members for settleFor
-// and sees settledShare of them, or knows that there are none. A wrong yes lets two sides
-// of a fleet that was cut apart give out the same thing; a wrong no leaves it unused for
-// some seconds.
+// Settled reports whether this member's view of the fleet is complete enough to allocate
+// a scarce resource, such as the requests that a cold target can handle. The member must
+// have known others for settleFor and see settledShare of them, or know no others and have
+// no seeds. A false positive lets both sides of a partition allocate the same resource; a
+// false negative leaves the resource unused for a few seconds.
 func (r *Roster) Settled(now time.Time) bool {
 	if r.firstContact.IsZero() {
 		return len(r.seeds) == 0
@@ -108,8 +108,8 @@
 	return float64(len(r.Serving(now))) >= settledShare*float64(r.PeakSize())
 }
 
-// Size returns how many members run, this one included: those that are live, and of
-// more than one exchange names those that gave a sign of life within countedFor.
+// Size returns the number of running members, including this one: those that are live or,
+// if one exchange cannot report all members, gave a sign of life within countedFor.
 func (r *Roster) Size(now time.Time) int {
 	counted := liveFor
 	if len(r.known) > maxGossip {
@@ -124,7 +124,7 @@
 	return n
 }
 
-// PeakSize returns the most members that Size ever counted at once, this
-// one included. It never falls, so that a node that loses sight of others does not
-// take their shares of what all members share (package retrybudget).
+// PeakSize returns the highest Size after any Merge, at least 1. It never decreases, so
+// that a node which loses contact with others does not claim their shares of a common
+// budget (package retrybudget).
 func (r *Roster) PeakSize() int { return max(r.peak, 1) }
--- a/internal/gateway/membership/newest.go
+++ b/internal/gateway/membership/newest.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Newest returns the live member that reports the newest catalog, and of those the
-// newest revision, when that is more than the version and revision given; empty for
-// none. Members that are suspected or stop count too: what they know may still be
-// asked for. A wrong answer costs one call.
+// Newest returns the live member with the newest catalog and, among equals, the newest
+// revision, if that is newer than the given version and revision; otherwise it returns
+// "". Suspected and leaving members are included, since they can still be queried. A
+// wrong result costs one call.
 func (r *Roster) Newest(now time.Time, version, revision int64) string {
 	newest := ""
 	bestVersion, bestRevision := int(version), int(revision)
--- a/internal/gateway/membership/readers.go
+++ b/internal/gateway/membership/readers.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// How many members read the source.
+// Number of members that read the source.
 const (
-	// allRead is how many serving members all read: of so few the loss of some readers
-	// would make changes late.
+	// allRead is the largest number of serving members of which all read. In so small a
+	// fleet, the loss of a few readers would delay changes.
 	allRead = 9
-	// minReaders is how many of more members read at least, so that the loss of two
-	// or three delays no change.
+	// minReaders is the minimum number of readers in a larger fleet, so that the loss of
+	// two or three delays no change.
 	minReaders = 4
-	// membersPerReader is how many serving members there are for each further
-	// reader, so that calls to the source hardly grow with the fleet.
+	// membersPerReader is the number of serving members per additional reader. It keeps
+	// the calls to the source nearly independent of the size of the fleet.
 	membersPerReader = 40
 )
 
-// IsReader says whether this member reads the source itself. Readers watch it; the
-// others get what changed from members.
+// IsReader reports whether this member reads the source itself. Readers watch the
+// source; the others get changes from other members.
 //
-// All read while no more than allRead members serve. Of more members a few read:
-// the eligible ones first, then the others, each by the hash of their address, which
-// all members compute alike. Members that do not tell the source's epochs apart are
-// passed over: they notice a restored source too late. Inputs are Serving and Eligible,
-// as old as gossip. A member that knows nobody else reads. Too many readers cost calls
-// to the source; too few make changes late, such as that a target drains. See
+// All members read as long as no more than allRead serve. In a larger fleet only some do:
+// the eligible members come first, then the others, each ordered by a hash of the address
+// that every member computes alike. Members that do not distinguish the source's epochs are
+// skipped, because they detect a restored source too late. A member that knows no others
+// reads. The result is as old as the last gossip. Too many readers increase the calls to
+// the source; too few delay changes, such as that a target is draining. See
 // docs/decisions/0011.
 func (r *Roster) IsReader(now time.Time) bool {
 	serving := r.Serving(now)
@@ -43,15 +43,15 @@
 	return r.isAmongFirst(others, readers-len(eligible))
 }
 
-// tellingEpochs returns those of several members that tell the source's epochs apart.
+// tellingEpochs returns the given members that distinguish the source's epochs.
 func (r *Roster) tellingEpochs(members []string) []string {
 	return slices.DeleteFunc(slices.Clone(members), func(a string) bool {
 		return a != r.self.Address && !r.known[a].Epochs
 	})
 }
 
-// isAmongFirst says whether fewer than n of several members have a higher weight than
-// this one.
+// isAmongFirst reports whether fewer than n of the given members have a higher weight
+// than this one.
 func (r *Roster) isAmongFirst(members []string, n int) bool {
 	higher := 0
 	for _, a := range members {
@@ -62,13 +62,12 @@
 	return higher < n
 }
 
-// FollowsReaders says whether this member leaves the source to others: it is no
-// reader, and some live member that tells the source's epochs apart reports that the
-// source answered it lately.
+// FollowsReaders reports whether this member leaves the source to others: it is not a
+// reader, and a live member that distinguishes the source's epochs reports recent
+// contact with the source.
 //
-// Inputs are the reports of others, as old as gossip. A member that follows nobody
-// reads itself, so that the loss of all readers costs calls to the source and no
-// change. See docs/decisions/0011.
+// A member that follows no reader reads the source itself, so the loss of all readers
+// costs calls to the source but loses no changes. See docs/decisions/0011.
 func (r *Roster) FollowsReaders(now time.Time) bool {
 	if r.IsReader(now) {
 		return false
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -9,41 +9,41 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// Roster is the list of members that a gateway node keeps by gossip. Every
-// member's heartbeat counter rises while it runs. What is reported of a member is
-// ordered by its incarnation and then its counter, so that any order, loss or
-// repetition of exchanges ends with the same roster.
+// Roster is a gateway node's list of members, maintained by gossip. Each running member
+// increments its heartbeat counter. Reports about a member are ordered by its incarnation
+// and then its counter, so the result does not depend on the order, loss or repetition of
+// exchanges.
 //
 // A Roster is not safe for concurrent use.
 type Roster struct {
 	self  message.GossipMember
 	known map[string]rosterEntry
 	seeds []string
-	// ownWeight is this member's weight.
+	// ownWeight caches weightOf this member's address.
 	ownWeight uint64
-	// eligible is forgotten when the roster changes.
+	// eligible is invalidated when the roster changes.
 	eligible eligibleMembers
-	// peak is the most members that Size ever counted at once.
+	// peak is the highest Size after any Merge.
 	peak int
-	// firstContact is when this member first heard from another; zero for never.
+	// firstContact is the time of the first gossip from another member; zero for none.
 	firstContact time.Time
 }
 
-// rosterEntry is what is known of one other member.
+// rosterEntry is the state of one other member.
 type rosterEntry struct {
 	message.GossipMember
-	// advanced is when the member last gave a sign of life, by this node's clock:
-	// its counter rose, or it answered this node.
+	// advanced is the time of the member's last sign of life, by this node's clock: its
+	// counter increased, or it answered this node.
 	advanced time.Time
-	// suspectUntil is until when the member is suspected; zero for never.
+	// suspectUntil is the end of the member's suspicion; zero if it was never suspected.
 	suspectUntil time.Time
-	// weight is the member's weight.
+	// weight caches weightOf the member's address.
 	weight uint64
 }
 
-// NewRoster returns the roster of a member that knows only itself and its seeds,
-// the addresses of members to begin with. The incarnation rises with each start of
-// the member.
+// NewRoster returns the roster of a member that knows only itself and its seeds, the
+// addresses of the members to contact first. The incarnation must increase with each
+// start of the member.
 func NewRoster(self string, incarnation int64, seeds []string) *Roster {
 	r := &Roster{
 		self:  message.GossipMember{Address: self, Incarnation: int(incarnation), Compact: true, Epochs: true},
@@ -53,24 +53,25 @@
 	return r
 }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces the seeds. This member's own address is ignored.
 func (r *Roster) SetSeeds(seeds []string) {
 	r.seeds = slices.DeleteFunc(slices.Clone(seeds), func(s string) bool { return s == r.self.Address })
 }
 
-// Seeds returns the seeds; the caller must not change them.
+// Seeds returns the seeds. The caller must not modify the slice.
 func (r *Roster) Seeds() []string { return r.seeds }
 
-// Status is what a member reports of itself.
+// Status is the state that a member reports about itself.
 type Status struct {
-	// Serving says that it knows a configuration, Leaving that it stops, and
-	// ReachesSource that the source answered it lately.
+	// Serving is set if the member has a configuration, Leaving if it is shutting down,
+	// and ReachesSource if the source answered it recently.
 	Serving, Leaving, ReachesSource bool
-	// Version is that of its catalog, Revision that of its directory; 0 for none.
+	// Version is the version of its catalog, and Revision that of its directory; 0 for
+	// none.
 	Version, Revision int64
 }
 
-// SetStatus sets what this member reports of itself.
+// SetStatus sets the state that this member reports about itself.
 func (r *Roster) SetStatus(s Status) {
 	r.changed()
 	r.self.Serving = s.Serving
@@ -80,21 +81,21 @@
 	r.self.Revision = int(s.Revision)
 }
 
-// SetCapacity sets what this member can carry of the work that one member does for
-// all, in thousandths of a core; 0 for unknown.
+// SetCapacity sets this member's capacity for work that one member does for the fleet,
+// in thousandths of a core; 0 if unknown.
 func (r *Roster) SetCapacity(capacity int) {
 	r.changed()
 	r.self.Capacity = capacity
 }
 
-// changed forgets what was derived from the roster.
+// changed invalidates what was derived from the roster.
 func (r *Roster) changed() { r.eligible = eligibleMembers{} }
 
-// Heartbeat raises this member's heartbeat counter.
+// Heartbeat increments this member's heartbeat counter.
 func (r *Roster) Heartbeat() { r.self.Beat++ }
 
-// Merge takes in the gossip of another member. A report that is newer than what is
-// known is a sign of life, and ends a suspicion.
+// Merge merges the gossip of another member. A report that is newer than the known one
+// is a sign of life and ends a suspicion.
 func (r *Roster) Merge(now time.Time, g message.Gossip) {
 	r.changed()
 	if r.firstContact.IsZero() {
@@ -109,7 +110,8 @@
 		if known && compareMembers(m, old.GossipMember) <= 0 {
 			continue
 		}
-		// A member of an earlier version passes reports on without what it does not know.
+		// Members of an earlier version forward reports without the fields that they do not
+		// know.
 		m.Epochs = m.Epochs || old.Epochs && old.Incarnation == m.Incarnation
 		e := rosterEntry{GossipMember: m, advanced: now, weight: old.weight}
 		if !known {
@@ -120,26 +122,27 @@
 	r.peak = max(r.peak, r.Size(now))
 }
 
-// refute raises this member's incarnation above one that is reported of an earlier
-// start at the same address.
+// refute raises this member's incarnation above that of a report from an earlier start at
+// the same address.
 func (r *Roster) refute(m message.GossipMember) {
 	if m.Incarnation > r.self.Incarnation {
 		r.self.Incarnation = m.Incarnation + 1
 	}
 }
 
-// compareMembers orders two reports of one member by age, the older first.
+// compareMembers orders two reports about one member by age, the older one first.
 func compareMembers(a, b message.GossipMember) int {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Beat, b.Beat))
 }
 
-// VersionOf returns the version of the catalog that a member knows; 0 for unknown.
+// VersionOf returns the version of a member's catalog; 0 if unknown.
 func (r *Roster) VersionOf(address string) int { return r.known[address].Version }
 
-// ReadsCompact says whether a member reads the compact form of gossip.
+// ReadsCompact reports whether a member supports the compact encoding of gossip.
 func (r *Roster) ReadsCompact(address string) bool { return r.known[address].Compact }
 
-// Members returns all that is known, this member first, for the state dump.
+// Members returns all known members, this one first and the others in the order of their
+// addresses, for the state dump.
 func (r *Roster) Members() []message.GossipMember {
 	list := []message.GossipMember{r.self}
 	for _, a := range slices.Sorted(maps.Keys(r.known)) {
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -26,13 +26,13 @@
 		r := membership.NewRoster("self", 1, []string{"self", "seed"})
 		r.SetStatus(membership.Status{Serving: true, Version: 3, Revision: 10})
 		r.Merge(rosterStart, gossip(member("a", 5, 1)))
-		convey.Convey("both take work", func() {
+		convey.Convey("both accept work", func() {
 			convey.So(r.Serving(rosterStart), convey.ShouldResemble, []string{"a", "self"})
 		})
 		convey.Convey("a silent member is not live", func() {
 			convey.So(r.Serving(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
 		})
-		convey.Convey("though it is remembered how many there were", func() {
+		convey.Convey("and the peak size includes a member that is no longer live", func() {
 			r.Merge(rosterStart.Add(3*time.Second), gossip())
 			convey.So(r.Size(rosterStart.Add(3*time.Second)), convey.ShouldEqual, 1)
 			convey.So(r.PeakSize(), convey.ShouldEqual, 2)
@@ -41,25 +41,25 @@
 			r.Merge(rosterStart.Add(3*time.Second), gossip(member("a", 4, 99), member("a", 5, 1)))
 			convey.So(r.Serving(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
 		})
-		convey.Convey("a member that failed a call is passed over for a while", func() {
+		convey.Convey("a member that failed a call is suspected temporarily", func() {
 			r.Suspect(rosterStart, "a")
 			convey.So(r.Serving(rosterStart), convey.ShouldResemble, []string{"self"})
 			convey.So(r.Serving(rosterStart.Add(2*time.Second)), convey.ShouldResemble, []string{"a", "self"})
 		})
-		convey.Convey("a member that stops gets no work", func() {
+		convey.Convey("a leaving member gets no work", func() {
 			m := member("a", 5, 2)
 			m.Leaving = true
 			r.Merge(rosterStart, gossip(m))
 			convey.So(r.Serving(rosterStart), convey.ShouldResemble, []string{"self"})
 		})
-		convey.Convey("gossip still goes to a seed that is not known", func() {
+		convey.Convey("gossip is still sent to a seed that is not in the roster", func() {
 			convey.So(r.Partners(rosterStart, 2), convey.ShouldContain, "seed")
 		})
 		convey.Convey("a report of an earlier start is refuted", func() {
 			r.Merge(rosterStart, gossip(member("self", 9, 4)))
 			convey.So(r.Gossip(rosterStart).Members[0].Incarnation, convey.ShouldBeGreaterThan, 9)
 		})
-		convey.Convey("the member that knows most is found", func() {
+		convey.Convey("Newest returns the member with the newest state", func() {
 			m := member("a", 5, 2)
 			m.Version, m.Revision = 3, 11
 			r.Merge(rosterStart, gossip(m))
@@ -71,7 +71,7 @@
 }
 
 func TestRosterReaders(t *testing.T) {
-	convey.Convey("All of a few members read the source, and a small part of many", t, func() {
+	convey.Convey("All members of a small fleet read the source, and a small part of a large one", t, func() {
 		addresses := make([]string, 80)
 		for i := range addresses {
 			addresses[i] = fmt.Sprint("m", i)
@@ -93,15 +93,15 @@
 		convey.So(readers(7), convey.ShouldEqual, 7)
 		convey.So(readers(80), convey.ShouldEqual, 6)
 	})
-	convey.Convey("A member that knows nobody reads the source itself", t, func() {
+	convey.Convey("A member that knows no others reads the source itself", t, func() {
 		r := membership.NewRoster("self", 1, nil)
 		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		convey.So(r.IsReader(rosterStart), convey.ShouldBeTrue)
 	})
 }
 
-// TestRosterOrder shows that any order, loss of duplicates or repetition of
-// exchanges ends the same.
+// TestRosterOrder checks that the roster does not depend on the order or repetition of
+// reports.
 func TestRosterOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []message.GossipMember
@@ -131,23 +131,23 @@
 		m.Capacity = capacity
 		return m
 	}
-	convey.Convey("Work for all goes to the strong members", t, func() {
+	convey.Convey("The strong members are eligible", t, func() {
 		r := membership.NewRoster("self", 1, nil)
 		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		r.SetCapacity(40)
 		r.Merge(rosterStart, gossip(strong("a", 800), strong("b", 500), strong("c", 40)))
 		convey.So(r.Eligible(rosterStart), convey.ShouldResemble, []string{"a", "b"})
-		convey.Convey("to the others only when no strong one is left", func() {
+		convey.Convey("the others only if no strong one is left", func() {
 			convey.So(r.Eligible(rosterStart.Add(3*time.Second)), convey.ShouldResemble, []string{"self"})
 		})
 	})
-	convey.Convey("Members that report no capacity are all alike", t, func() {
+	convey.Convey("All members are eligible if none reports a capacity", t, func() {
 		r := membership.NewRoster("self", 1, nil)
 		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		r.Merge(rosterStart, gossip(strong("a", 0)))
 		convey.So(r.Eligible(rosterStart), convey.ShouldResemble, []string{"a", "self"})
 	})
-	convey.Convey("Of many members the eligible ones read the source, and others only where those are too few", t, func() {
+	convey.Convey("In a large fleet the eligible members read the source, and others only if those are too few", t, func() {
 		readers := func(strongOnes int) (strongReaders, all int) {
 			for self := range 80 {
 				r := membership.NewRoster("", 1, nil)
@@ -200,14 +200,14 @@
 		}
 		return r
 	}
-	convey.Convey("One of many leaves the source to members that the source answers", t, func() {
+	convey.Convey("A member of a large fleet follows readers that reach the source", t, func() {
 		convey.So(roster(true).FollowsReaders(rosterStart), convey.ShouldBeTrue)
 	})
-	convey.Convey("and reads it itself", t, func() {
-		convey.Convey("when it answers none of them", func() {
+	convey.Convey("It reads the source itself", t, func() {
+		convey.Convey("if none of them reaches the source", func() {
 			convey.So(roster(false).FollowsReaders(rosterStart), convey.ShouldBeFalse)
 		})
-		convey.Convey("when they have fallen silent", func() {
+		convey.Convey("if they are no longer live", func() {
 			convey.So(roster(true).FollowsReaders(rosterStart.Add(3*time.Second)), convey.ShouldBeFalse)
 		})
 	})
--- a/internal/gateway/membership/rules_test.go
+++ b/internal/gateway/membership/rules_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// roster returns the roster of a member that serves and knows others.
+// roster returns the roster of a serving member that knows the given others.
 func roster(others ...message.GossipMember) *membership.Roster {
 	r := membership.NewRoster("self", 1, nil)
 	r.SetStatus(membership.Status{Serving: true, Version: 3, Revision: 10})
@@ -19,13 +19,13 @@
 	return r
 }
 
-// with returns a member with a change.
+// with returns a modified copy of a member.
 func with(m message.GossipMember, change func(*message.GossipMember)) message.GossipMember {
 	change(&m)
 	return m
 }
 
-// TestServingTable goes through what makes a member serve or not.
+// TestServingTable checks the conditions under which a member counts as serving.
 func TestServingTable(t *testing.T) {
 	a := member("a", 1, 1)
 	heard := func(*membership.Roster) {}
@@ -36,11 +36,11 @@
 		after  time.Duration
 		want   bool
 	}{
-		{"heard 2.5 s ago serves", a, heard, 2500 * time.Millisecond, true},
-		{"heard longer ago does not", a, heard, 2501 * time.Millisecond, false},
-		{"that answered since serves", a, func(r *membership.Roster) { r.Contacted(rosterStart.Add(time.Second), "a") }, 3 * time.Second, true},
+		{"last seen 2.5 s ago serves", a, heard, 2500 * time.Millisecond, true},
+		{"last seen longer ago does not", a, heard, 2501 * time.Millisecond, false},
+		{"that has answered since serves", a, func(r *membership.Roster) { r.Contacted(rosterStart.Add(time.Second), "a") }, 3 * time.Second, true},
 		{"without a configuration does not", with(a, func(m *message.GossipMember) { m.Serving = false }), heard, 0, false},
-		{"that stops does not", with(a, func(m *message.GossipMember) { m.Leaving = true }), heard, 0, false},
+		{"that is leaving does not", with(a, func(m *message.GossipMember) { m.Leaving = true }), heard, 0, false},
 		{"that failed a call does not", a, func(r *membership.Roster) { r.Suspect(rosterStart, "a") }, 1499 * time.Millisecond, false},
 		{"that failed a call 1.5 s ago serves", a, func(r *membership.Roster) { r.Suspect(rosterStart, "a") }, 1500 * time.Millisecond, true},
 		{"that failed a call and is reported again serves", a, func(r *membership.Roster) {
@@ -65,7 +65,7 @@
 			})
 		}
 	})
-	convey.Convey("A member that has been silent for 30 s is forgotten after that", t, func() {
+	convey.Convey("A member is dropped after more than 30 s of silence", t, func() {
 		r := roster(a)
 		r.Forget(rosterStart.Add(30 * time.Second))
 		convey.So(r.Members(), convey.ShouldHaveLength, 2)
@@ -74,7 +74,8 @@
 	})
 }
 
-// TestEligibleTable goes through capacities, in thousandths of a core.
+// TestEligibleTable checks eligibility for combinations of capacities, in thousandths of a
+// core.
 func TestEligibleTable(t *testing.T) {
 	cases := []struct {
 		why             string
@@ -82,11 +83,11 @@
 		want            []string
 		suspectedMember string
 	}{
-		{"half of the strongest one's capacity is enough", 400, 800, 500, []string{"a", "b", "self"}, ""},
-		{"less than half is not", 399, 800, 500, []string{"a", "b"}, ""},
-		{"an unknown capacity is none", 0, 800, 0, []string{"a"}, ""},
-		{"without any capacity known all are eligible", 0, 0, 0, []string{"a", "b", "self"}, ""},
-		{"without the strongest one the others are", 40, 800, 50, []string{"b", "self"}, "a"},
+		{"half of the strongest member's capacity suffices", 400, 800, 500, []string{"a", "b", "self"}, ""},
+		{"less than half does not", 399, 800, 500, []string{"a", "b"}, ""},
+		{"an unknown capacity counts as 0", 0, 800, 0, []string{"a"}, ""},
+		{"all are eligible if no capacity is known", 0, 0, 0, []string{"a", "b", "self"}, ""},
+		{"the others are eligible without the strongest one", 40, 800, 50, []string{"b", "self"}, "a"},
 	}
 	convey.Convey("Of three members", t, func() {
 		for _, c := range cases {
@@ -103,9 +104,9 @@
 	})
 }
 
-// TestReaderCounts counts the readers of fleets whose members are alike.
+// TestReaderCounts checks the number of readers in fleets of equal members.
 func TestReaderCounts(t *testing.T) {
-	convey.Convey("Of members that are alike there read", t, func() {
+	convey.Convey("In fleets of equal members the readers are", t, func() {
 		for members, want := range map[int]int{1: 1, 9: 9, 10: 4, 39: 4, 40: 5, 79: 5, 80: 6} {
 			convey.Convey(fmt.Sprintf("%d of %d", want, members), func() {
 				var all []message.GossipMember
@@ -127,24 +128,24 @@
 	})
 }
 
-// TestNewestTable goes through which member is asked for what is newer.
+// TestNewestTable checks which member is asked for newer state.
 func TestNewestTable(t *testing.T) {
 	knows := func(address string, version, revision int) message.GossipMember {
 		return with(member(address, 1, 1), func(m *message.GossipMember) { m.Version, m.Revision = version, revision })
 	}
-	convey.Convey("Of members that know more", t, func() {
+	convey.Convey("Among members with newer state", t, func() {
 		r := roster(knows("a", 4, 5), knows("b", 3, 90), knows("c", 4, 6))
-		convey.Convey("the newest catalog counts first, then the revision", func() {
+		convey.Convey("the newest catalog wins, then the newest revision", func() {
 			convey.So(r.Newest(rosterStart, 3, 10), convey.ShouldEqual, "c")
 		})
-		convey.Convey("a revision does not make up for an older catalog", func() {
+		convey.Convey("a newer revision does not outweigh an older catalog", func() {
 			convey.So(r.Newest(rosterStart, 4, 6), convey.ShouldBeEmpty)
 		})
-		convey.Convey("one that is suspected counts", func() {
+		convey.Convey("a suspected one is included", func() {
 			r.Suspect(rosterStart, "c")
 			convey.So(r.Newest(rosterStart, 3, 10), convey.ShouldEqual, "c")
 		})
-		convey.Convey("one that is silent does not", func() {
+		convey.Convey("one that is not live is not", func() {
 			convey.So(r.Newest(rosterStart.Add(3*time.Second), 3, 10), convey.ShouldBeEmpty)
 		})
 	})
--- a/internal/gateway/membership/settled_test.go
+++ b/internal/gateway/membership/settled_test.go
@@ -9,7 +9,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/membership"
 )
 
-// settled counts the members of a fleet that are settled.
+// settled returns the number of settled members of a fleet.
 func settled(f *fleet) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -22,19 +22,19 @@
 
 func TestSettled(t *testing.T) {
 	const size = 60
-	convey.Convey("Of 60 members", t, func() {
+	convey.Convey("In a fleet of 60 members", t, func() {
 		f := startedFleet(size, 8)
-		convey.Convey("all are settled some seconds after a start", func() {
+		convey.Convey("all are settled some seconds after the start", func() {
 			convey.So(settled(f), convey.ShouldEqual, size)
 		})
-		convey.Convey("none is just after a start of all, and all are later", func() {
+		convey.Convey("none is settled 2 s after a simultaneous restart, and all are after 5 s", func() {
 			f.restart(8)
 			f.run(2*time.Second, nil)
 			convey.So(settled(f), convey.ShouldEqual, 0)
 			f.run(3*time.Second, nil)
 			convey.So(settled(f), convey.ShouldEqual, size)
 		})
-		convey.Convey("one that is cut off is not, and is again once it is back", func() {
+		convey.Convey("one that is cut off is not settled until its return", func() {
 			alone := f.nodes[5]
 			alone.cut = true
 			f.run(3*time.Second, nil)
@@ -43,7 +43,7 @@
 			f.run(3*time.Second, nil)
 			convey.So(alone.Settled(f.now), convey.ShouldBeTrue)
 		})
-		convey.Convey("all that are left are settled after the death of half", func() {
+		convey.Convey("all remaining members are settled after the failure of half", func() {
 			for i, n := range f.nodes {
 				n.down = i%2 == 0
 			}
@@ -55,7 +55,7 @@
 			}
 		})
 	})
-	convey.Convey("A member without seeds is settled, one that has reached none of its seeds is not", t, func() {
+	convey.Convey("A member without seeds is settled, and one that has reached none of its seeds is not", t, func() {
 		convey.So(membership.NewRoster("10.0.0.1:80", 1, []string{"10.0.0.1:80"}).Settled(rosterStart), convey.ShouldBeTrue)
 		convey.So(membership.NewRoster("10.0.0.1:80", 1, []string{"10.0.0.2:80"}).Settled(rosterStart), convey.ShouldBeFalse)
 	})
