--- a/internal/gateway/quarantine/digest.go
+++ b/internal/gateway/quarantine/digest.go
@@ -7,32 +7,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest identifies what a request asks of a service, whichever node it comes to and
-// whatever identity, connection and time its caller gives this try. It is no proof against
-// a caller who looks for two texts with one hash: such a caller only has both of its own
-// requests taken for one.
+// Digest identifies what a request asks of a service. It does not depend on the node that
+// receives the request or on the identity, connection and time of the attempt. It is not
+// collision resistant: a caller that constructs two requests with the same digest only
+// causes its own two requests to be treated as one.
 type Digest uint64
 
-// digestBase is hexadecimal, as other hashes are logged.
-const digestBase = 16
+const (
+	// digestBase is the number base of a digest's text, hexadecimal like other hashes in
+	// the log.
+	digestBase = 16
+	// digestBits is the size of a digest in bits.
+	digestBits = 64
+)
 
-// DigestOf returns the digest of a request of an organisation at a service; the name is
-// empty for requests without a key. content is the hash of method, path, query and body.
-// Services run different software: what ends the targets of one may do others no harm, and
-// an answer of one says nothing of another.
+// DigestOf returns the digest of a request from an organisation to a service. The
+// organisation is empty for requests without a key. content is the hash of method, path,
+// query and body. The service is part of the digest because services run different
+// software: a request that crashes the targets of one may be harmless to another, and an
+// answer of one is no evidence about another.
 func DigestOf(organisation, service string, content uint64) Digest {
 	return digest(organisation, service, binary.BigEndian.AppendUint64(nil, content))
 }
 
 // StageDigestOf returns the digest of one stage of a request, which runs at the stage's
-// service. Its items have digests of their own (Item).
+// service. Items of the stage have their own digests (Item).
 func StageDigestOf(organisation, service string, stage int, content uint64) Digest {
 	text := binary.BigEndian.AppendUint64(nil, content)
 	return digest(organisation, service, binary.BigEndian.AppendUint64(text, uint64(stage)))
 }
 
-// Item returns the digest of one item of a stage, by its number; 0 of an unknown stage.
-// One item may end its targets while the others of its stage are computed.
+// Item returns the digest of the i-th item of a stage, or 0 if the digest of the stage is
+// unknown. Items are distinguished because one may crash its targets while the others of
+// the stage are processed.
 func (d Digest) Item(i int) Digest {
 	if d == 0 {
 		return 0
@@ -40,7 +47,7 @@
 	return digest("", "", binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, uint64(d)), uint64(i)))
 }
 
-// digest hashes texts of which the first two have their lengths before them.
+// digest hashes its arguments, with length prefixes that separate the strings.
 func digest(organisation, service string, content []byte) Digest {
 	var text []byte
 	for _, s := range []string{organisation, service} {
@@ -49,14 +56,11 @@
 	return Digest(xxhash.Sum64(append(text, content...)))
 }
 
-// ParseDigest reads what String gives; false for any other text.
+// ParseDigest parses the result of String, and reports whether the text is a digest.
 func ParseDigest(s string) (Digest, bool) {
 	n, err := strconv.ParseUint(s, digestBase, digestBits)
 	return Digest(n), err == nil
 }
 
-// digestBits is the size of a digest in bits.
-const digestBits = 64
-
-// String gives the digest as the log shows it.
+// String returns the digest in hexadecimal, as it appears in logs.
 func (d Digest) String() string { return strconv.FormatUint(uint64(d), digestBase) }
--- a/internal/gateway/quarantine/doc.go
+++ b/internal/gateway/quarantine/doc.go
@@ -1,22 +1,23 @@
-// Package quarantine holds back requests that end the targets that run them. A caller
-// who gets no answer asks again, with the same words under a new identity, at any node;
-// without a memory of what was asked each try ends one more target.
+// Package quarantine holds back poison requests: requests that crash the targets that run
+// them. A caller that gets no answer sends the same request again, with a new identity and
+// to any node. Unless its crashes are remembered, each attempt crashes another target.
 //
-// It owns what is known of such requests, in a Table for each node: which targets ended
-// while they had the request, and whether a target has answered it since. Tables are
-// merged by members' gossip in any order, however often, and end the same. It does no
-// input or output and reads no clock.
+// Each node has a Table of suspected requests, which records the targets that crashed while
+// they had the request, and whether a target has answered it since. Members merge their
+// tables by gossip. The result does not depend on the order or repetition of merges. The
+// package performs no I/O and reads no clock.
 //
-// What counts as evidence: a target whose process provably ended (its instance refuses
-// connections) after the connection that carried the request broke. All requests that the
-// target had at that moment are suspected, one of them rightly. What counts as evidence to
-// the contrary: any answer of a target to the same request, also a failure of the target's
-// own, since a target that answers has outlived it. One such answer clears the request.
+// A request becomes suspected if the connection that carried it broke and the target's
+// process then proves to have ended, as its instance refuses connections. That affects all
+// requests that the target had at that moment, of which usually one is the cause. Any
+// answer of a target to the same request clears it, even an error of the target's own,
+// since the target survived the request.
 //
-// rule.go decides from when on and for how long a request is held back.
+// rule.go decides when a request is held and for how long.
 //
-// It relies on its shell to report ends and answers, to pass entries between members, and
-// to say which member may try a held request again. When a node starts it knows
-// nothing and learns it from the first member that it hears; when all nodes end at once,
-// what was known is lost, and the request ends two more targets before it is held again.
+// The gateway reports crashes and answers, exchanges entries with other members, and
+// decides which member may try a held request again. A node that starts has an empty table
+// and gets the entries from the first member that it exchanges with. If all nodes restart
+// together the entries are lost, and a poison request crashes two more targets before it is
+// held again.
 package quarantine
--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -7,38 +7,41 @@
 	"time"
 )
 
-// Crash is the end of a target while it had a request. Times are by this node's clock.
+// Crash records that a target crashed while it had a request. Times are by this node's
+// clock.
 type Crash struct {
-	// Target names the target, and with it one life of its process.
+	// Target identifies the process of the target, not just the target.
 	Target string
-	// Began is when the request was sent there, At when the connection broke.
+	// Began is when the request was sent to the target, and At when the connection broke.
 	Began, At time.Time
-	// Silent says that no part of an answer had come.
+	// Silent is set if no part of an answer had arrived.
 	Silent bool
 }
 
-// maxCrashes bounds the ends that are kept of one request: more than a request can bring
-// about before all members hold it.
+// maxCrashes limits the crashes that are kept per request. It exceeds the number that a
+// request can cause before all members hold it.
 const maxCrashes = 16
 
-// Entry is what is known of one request. It is immutable.
+// Entry is the state of one suspected request. It is immutable.
 type Entry struct {
 	Digest Digest
-	// Held says that a member found the ends sufficient to hold the request. It is passed
-	// on as such: members round times differently.
+	// Held is set if a member found the crashes sufficient to hold the request. Members
+	// adopt it from each other, because they round times differently and might decide
+	// differently.
 	Held bool
-	// Cleared counts how often an answer has cleared the request. What is known under a
-	// lower count no longer counts.
+	// Cleared counts the answers that have cleared the request. An entry with a higher
+	// count supersedes one with a lower count.
 	Cleared int
-	// ClearedAt is when that was last, by this node's clock; zero for never.
+	// ClearedAt is when the request was last cleared, by this node's clock; zero if it
+	// never was.
 	ClearedAt time.Time
-	// Crashes are the ends of targets since then, one a target, in the order of their
-	// names.
+	// Crashes lists the crashes since the request was last cleared, one for each target,
+	// ordered by target.
 	Crashes []Crash
 }
 
-// joined returns what two reports say of one target's end. It may have had the request
-// more than once: the whole time counts, and that it was silent when either says so.
+// joined merges two reports of one target's crash. The target may have had the request more
+// than once: the result covers the time of both, and is silent if either is.
 func (c Crash) joined(other Crash) Crash {
 	if other.Began.Before(c.Began) {
 		c.Began = other.Began
@@ -50,7 +53,7 @@
 	return c
 }
 
-// withCrash returns the entry with one more end, and decides whether it is held.
+// withCrash returns the entry with a crash added, and updates Held.
 func (e Entry) withCrash(c Crash) Entry {
 	i, known := slices.BinarySearchFunc(e.Crashes, c.Target, func(c Crash, target string) int { return strings.Compare(c.Target, target) })
 	crashes := slices.Clone(e.Crashes)
@@ -64,8 +67,8 @@
 	return e
 }
 
-// newest drops the oldest of too many ends: the later ones say until when the request is
-// held.
+// newest drops the oldest crash if there are more than maxCrashes: the later ones determine
+// the end of the hold.
 func newest(crashes []Crash) []Crash {
 	if len(crashes) <= maxCrashes {
 		return crashes
@@ -74,13 +77,13 @@
 	return slices.DeleteFunc(crashes, func(c Crash) bool { return c.Target == oldest.Target })
 }
 
-// withAnswer returns the entry without the ends that came before an answer.
+// withAnswer returns the entry cleared by an answer, without its crashes.
 func (e Entry) withAnswer(now time.Time) Entry {
 	return Entry{Digest: e.Digest, Cleared: e.Cleared + 1, ClearedAt: now}
 }
 
-// merged returns what two members know together: what was cleared more often wins, and
-// between equals all ends count.
+// merged merges the entries of two members. The one that was cleared more often wins; if
+// both were cleared equally often, the result has the crashes of both.
 func (e Entry) merged(other Entry) Entry {
 	switch {
 	case other.Cleared > e.Cleared:
@@ -98,7 +101,7 @@
 	return e
 }
 
-// last is when something last happened to the request.
+// last returns the time of the last crash or clearing answer.
 func (e Entry) last() time.Time {
 	last := e.ClearedAt
 	for _, c := range e.Crashes {
@@ -109,8 +112,8 @@
 	return last
 }
 
-// forgetAt is from when on the entry is of no use. One that is held is kept for maxHold,
-// so that a trial which fails still counts as one.
+// forgetAt returns when the entry expires. A held entry is kept for maxHold, so that the
+// crash of a failed trial still lengthens the hold.
 func (e Entry) forgetAt() time.Time {
 	if e.Held {
 		return e.last().Add(maxHold)
@@ -118,7 +121,7 @@
 	return e.last().Add(suspectFor)
 }
 
-// same says whether two entries of one request say the same, whatever their times.
+// same reports whether two entries of one request are equal except for their times.
 func (e Entry) same(other Entry) bool {
 	return e.Held == other.Held && e.Cleared == other.Cleared && slices.EqualFunc(e.Crashes, other.Crashes, func(a, b Crash) bool {
 		return a.Target == b.Target && a.Silent == b.Silent
--- a/internal/gateway/quarantine/fleet_test.go
+++ b/internal/gateway/quarantine/fleet_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	fleetSeeds = flag.Int("fleet.seeds", 3, "how many seeds TestFleetOverSeeds plays of each fleet")
-	fleetApart = flag.Bool("fleet.apart", true, "keep suspected requests on different targets")
+	fleetSeeds = flag.Int("fleet.seeds", 3, "number of seeds that TestFleetOverSeeds simulates for each fleet")
+	fleetApart = flag.Bool("fleet.apart", true, "send suspected requests to different targets")
 )
 
-// fleet is a simulation of members with tables of their own, of targets, and of callers.
-// Time is simulated; messages take time and are lost.
+// fleet simulates members with their own tables, targets and callers. Time is simulated;
+// messages are delayed and may be lost.
 type fleet struct {
 	fleetConfig
 	rng    *rand.Rand
@@ -32,39 +32,43 @@
 	bad     map[Digest]*badRequest
 	next    Digest
 
-	// innocent counts tries of innocent requests, refused those that were held, and lost
-	// those whose target ended.
+	// innocent counts the attempts of innocent requests, refused those that were held, and
+	// lost those whose target crashed.
 	innocent, refused, lost int
 }
 
-// fleetConfig is what is simulated.
+// fleetConfig configures a simulation.
 type fleetConfig struct {
 	members, targets int
-	// perSecond is how many innocent requests come a second, and popular the share of them
-	// that are one of popularCount.
+	// perSecond is the rate of innocent requests, and popular the share of them that are
+	// one of popularCount.
 	perSecond float64
 	popular   float64
-	// bad is how many requests end their targets, each sent again so many times at once.
+	// bad is the number of poison requests, and copies how many attempts of each are sent
+	// at once.
 	bad, copies int
-	// crashes are the seconds between ends of single targets for other reasons, rack those
-	// between ends of a quarter of all; 0 for none.
+	// crashes is the mean time between crashes of single targets for other reasons, and
+	// rack that between crashes of a quarter of all targets; 0 for none.
 	crashes, rack time.Duration
-	// lost is the share of exchanges that are lost.
+	// lossOfNews is the share of exchanges that are lost.
 	lossOfNews float64
-	// restarts is the time between restarts of single members; 0 for none.
+	// restarts is the mean time between restarts of single members; 0 for none.
 	restarts time.Duration
-	lasts    time.Duration
+	// lasts is the simulated time.
+	lasts time.Duration
 }
 
+// popularCount is the number of different popular requests.
 const popularCount = 20
 
 type fleetMember struct {
 	*Table
 	address string
-	// triggered says that a round of gossip follows soon.
+	// triggered is set if an extra round of gossip is scheduled.
 	triggered bool
-	compared  time.Time
-	// started is when it last began to know nothing; zero for the start of all.
+	// compared is when the member last requested all entries that another one holds.
+	compared time.Time
+	// started is when the member last restarted; zero if it never did.
 	started time.Time
 }
 
@@ -75,7 +79,7 @@
 	attempts map[*fleetAttempt]bool
 }
 
-// fleetAttempt is a request at a target.
+// fleetAttempt is an attempt of a request.
 type fleetAttempt struct {
 	member  *fleetMember
 	digest  Digest
@@ -85,20 +89,23 @@
 	suspect bool
 }
 
-// badRequest is what the simulation knows of a request that ends its targets.
+// badRequest is the state of a poison request.
 type badRequest struct {
+	// ends counts the targets that the request crashed, and third is the time of the third
+	// crash.
 	ends  int
 	third time.Time
-	// late counts its arrivals at targets later than lateAfter after its third end, sent
-	// by members that started longer ago than that.
+	// late counts the attempts that reached a target more than lateAfter after the third
+	// crash, sent by members that had been running for longer than that.
 	late int
 }
 
-// Bounds of users: later than lateAfter after its third end a request may reach targets
-// maxLate more times, sent by members that have been well for as long.
 const (
+	// lateAfter is the time after the third crash of a poison request by which the members
+	// must hold it.
 	lateAfter = 3 * time.Second
-	maxLate   = 3
+	// maxLate is the maximum number of attempts that may reach targets after that time.
+	maxLate = 3
 )
 
 type simEvent struct {
@@ -147,18 +154,20 @@
 	return f
 }
 
+// upTo returns a random duration below d.
 func (f *fleet) upTo(d time.Duration) time.Duration {
 	return time.Duration(f.rng.Float64() * float64(d))
 }
 
 func (f *fleet) between(a, b time.Duration) time.Duration { return a + f.upTo(b-a) }
 
+// after schedules an event.
 func (f *fleet) after(d time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.events, simEvent{at: f.now.Add(d), seq: f.seq, do: do})
 }
 
-// every does something again and again.
+// every calls do repeatedly, each time after the duration that pause returns.
 func (f *fleet) every(pause func() time.Duration, do func()) {
 	f.after(pause(), func() {
 		do()
@@ -166,13 +175,14 @@
 	})
 }
 
-// everyOnce does something at times drawn about a mean; never for 0.
+// everyOnce calls do at random intervals with the given mean, or never if that is 0.
 func (f *fleet) everyOnce(mean time.Duration, do func()) {
 	if mean > 0 {
 		f.every(func() time.Duration { return f.between(mean/2, mean*3/2) }, do)
 	}
 }
 
+// run processes events until the simulated time is over.
 func (f *fleet) run() {
 	for end := start.Add(f.lasts); len(f.events) > 0; {
 		e := heap.Pop(&f.events).(simEvent)
@@ -184,12 +194,13 @@
 	}
 }
 
-// gossipLoop exchanges with two other members twice a second.
+// gossipLoop runs a member's regular rounds of gossip, two per second.
 func (f *fleet) gossipLoop(m *fleetMember) {
 	f.round(m)
 	f.after(500*time.Millisecond, func() { f.gossipLoop(m) })
 }
 
+// round exchanges with up to two random members.
 func (f *fleet) round(m *fleetMember) {
 	m.Prune(f.now)
 	for range 2 {
@@ -199,7 +210,8 @@
 	}
 }
 
-// exchange has two members tell each other, each with a way.
+// exchange sends a member's recent entries to another one and merges the response, with a
+// delay in each direction.
 func (f *fleet) exchange(m, other *fleetMember) {
 	news := m.Recent(f.now)
 	f.after(f.between(time.Millisecond, 10*time.Millisecond), func() {
@@ -215,6 +227,7 @@
 	})
 }
 
+// merge merges entries at a member, which triggers a round if a held request changed.
 func (f *fleet) merge(m *fleetMember, entries []Entry) {
 	if m.Merge(f.now, entries) && slices.ContainsFunc(entries, func(e Entry) bool { return m.holds(e.Digest) }) {
 		f.trigger(m)
@@ -226,7 +239,7 @@
 	return held
 }
 
-// trigger has a member begin a round soon.
+// trigger schedules an extra round of gossip.
 func (f *fleet) trigger(m *fleetMember) {
 	if m.triggered {
 		return
@@ -238,7 +251,7 @@
 	})
 }
 
-// innocentRequest is a new request that does no harm.
+// innocentRequest sends a harmless request.
 func (f *fleet) innocentRequest() {
 	d := f.next
 	f.next++
@@ -248,7 +261,8 @@
 	f.try(&fleetAttempt{digest: d, retries: 1})
 }
 
-// badCopies sends a bad request some times at once, and again when a caller has waited.
+// badCopies sends several attempts of a poison request at once, and repeats that after the
+// delay of a retrying caller.
 func (f *fleet) badCopies(d Digest) {
 	for range f.copies {
 		f.after(f.upTo(50*time.Millisecond), func() { f.try(&fleetAttempt{digest: d, bad: true}) })
@@ -256,7 +270,7 @@
 	f.after(f.between(400*time.Millisecond, 1500*time.Millisecond), func() { f.badCopies(d) })
 }
 
-// try sends a request to a target, unless the member that it came to holds it.
+// try sends a request to a target through a random member, unless the member holds it.
 func (f *fleet) try(a *fleetAttempt) {
 	a.member = f.members[f.rng.IntN(len(f.members))]
 	if !a.bad {
@@ -293,12 +307,13 @@
 	})
 }
 
-// tries says whether a held request is sent as its trial, which one member lets through.
+// tries reports whether a held request is sent as a trial, which only one member admits.
 func (f *fleet) tries(a *fleetAttempt) bool {
 	return a.member.Try(f.now, a.digest, func() bool { return a.member == f.members[int(a.digest)%len(f.members)] })
 }
 
-// choose draws a target, for a suspected request one without another where there is one.
+// choose returns a random target. A suspected request gets one without another suspected
+// request, if there is one.
 func (f *fleet) choose(a *fleetAttempt) *fleetTarget {
 	var free, apart []*fleetTarget
 	for _, t := range f.targets {
@@ -328,6 +343,7 @@
 	return false
 }
 
+// noteArrival counts late arrivals of poison requests.
 func (f *fleet) noteArrival(a *fleetAttempt) {
 	if !a.bad {
 		return
@@ -338,7 +354,7 @@
 	}
 }
 
-// end ends a target with what it has; it is back after some seconds.
+// end crashes a target with all its attempts. It restarts after some seconds.
 func (f *fleet) end(t *fleetTarget) {
 	if !t.up {
 		return
@@ -346,7 +362,7 @@
 	t.up = false
 	ended := fmt.Sprint(t.id, "/", t.life)
 	seen := map[Digest]bool{}
-	// The order of a map differs between runs.
+	// The iteration order of the map varies, so attempts are processed in the order of members.
 	for _, m := range f.members {
 		for a := range t.attempts {
 			if a.member == m {
@@ -358,7 +374,8 @@
 	f.after(f.between(4*time.Second, 8*time.Second), func() { t.life, t.up = t.life+1, true })
 }
 
-// broke has the member of an attempt note the end of its target, and the caller repeat.
+// broke records the crash of an attempt's target at the member, and schedules the caller's
+// retry.
 func (f *fleet) broke(target string, a *fleetAttempt, seen map[Digest]bool) {
 	c := Crash{Target: target, Began: a.began, At: f.now, Silent: f.now.Sub(a.began) < 600*time.Millisecond}
 	f.after(2*time.Millisecond, func() {
@@ -382,7 +399,7 @@
 	}
 }
 
-// endRack ends a quarter of the targets within some milliseconds.
+// endRack crashes a quarter of the targets within some milliseconds.
 func (f *fleet) endRack() {
 	first := f.rng.IntN(len(f.targets))
 	for i := range len(f.targets) / 4 {
@@ -391,7 +408,7 @@
 	}
 }
 
-// holdEverywhere says whether all members hold the bad requests.
+// holdEverywhere reports whether all members hold all poison requests.
 func (f *fleet) holdEverywhere() bool {
 	for d := range f.bad {
 		for _, m := range f.members {
@@ -403,12 +420,12 @@
 	return true
 }
 
-// drawFleet draws what is simulated.
+// drawFleet draws the configuration of a fleet.
 func drawFleet(t *rapid.T) fleetConfig {
 	members := rapid.IntRange(1, 12).Draw(t, "members")
 	restarts := time.Duration(0)
 	if members >= 3 {
-		// What all members forget at once nobody knows any more; these have others to ask.
+		// In smaller fleets, restarts might erase an entry from all members.
 		restarts = time.Duration(rapid.SampledFrom([]int{0, 5}).Draw(t, "restarts")) * time.Second
 	}
 	return fleetConfig{
@@ -422,26 +439,27 @@
 	}
 }
 
-// TestFleet holds, over fleets of all kinds, that a request which ended three targets
-// reaches at most three more later than three seconds after, and that what no target ended
-// with is not held.
+// TestFleet checks for random fleets that a request which crashed three targets reaches at
+// most maxLate more after lateAfter, and that no innocent request is refused unless a
+// target crashed with one.
 func TestFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(drawFleet(t), rapid.Uint64().Draw(t, "seed"))
 		f.run()
 		for d, b := range f.bad {
 			if b.late > maxLate {
-				t.Errorf("request %v reached %d targets more than %v after its third end, %d in all", d, b.late, lateAfter, b.ends)
+				t.Errorf("request %v reached %d targets more than %v after its third crash; it crashed %d in total", d, b.late, lateAfter, b.ends)
 			}
 		}
 		if f.lost == 0 && f.refused > 0 {
-			t.Errorf("%d innocent requests were refused, and no target ended with one", f.refused)
+			t.Errorf("%d innocent requests were refused, although no target crashed with one", f.refused)
 		}
 	})
 }
 
-// TestFleetOverSeeds prints what requests that end their targets cost fleets of several
-// kinds: targets that ended with them, and innocent requests refused.
+// TestFleetOverSeeds logs the costs of poison requests for several kinds of fleets: the
+// targets that they crash, and the innocent requests that are refused or lost. It fails if
+// too many attempts arrive late.
 //
 //	go test ./internal/gateway/quarantine -run TestFleetOverSeeds -v -fleet.seeds 200
 func TestFleetOverSeeds(t *testing.T) {
@@ -450,13 +468,13 @@
 		what   string
 		change func(*fleetConfig)
 	}{
-		{"one bad request", func(c *fleetConfig) { c.bad, c.copies = 1, 1 }},
-		{"one, four times at once", func(c *fleetConfig) { c.bad, c.copies = 1, 4 }},
-		{"three bad requests", func(c *fleetConfig) { c.bad, c.copies = 3, 1 }},
-		{"none; a target ends every 2 s", func(c *fleetConfig) { c.crashes = 2 * time.Second }},
+		{"one poison request", func(c *fleetConfig) { c.bad, c.copies = 1, 1 }},
+		{"one, four attempts at once", func(c *fleetConfig) { c.bad, c.copies = 1, 4 }},
+		{"three poison requests", func(c *fleetConfig) { c.bad, c.copies = 3, 1 }},
+		{"none; a target crashes every 2 s", func(c *fleetConfig) { c.crashes = 2 * time.Second }},
 		{"none; every half second", func(c *fleetConfig) { c.crashes = 500 * time.Millisecond }},
-		{"none; a quarter of all every 6 s", func(c *fleetConfig) { c.rack = 6 * time.Second }},
-		{"one, and a target ends every 2 s", func(c *fleetConfig) { c.bad, c.copies, c.crashes = 1, 1, 2*time.Second }},
+		{"none; a quarter crashes every 6 s", func(c *fleetConfig) { c.rack = 6 * time.Second }},
+		{"one; a target crashes every 2 s", func(c *fleetConfig) { c.bad, c.copies, c.crashes = 1, 1, 2*time.Second }},
 		{"one; half of all requests popular", func(c *fleetConfig) { c.bad, c.copies, c.popular = 1, 1, 0.5 }},
 		{"one; four targets", func(c *fleetConfig) { c.bad, c.copies, c.targets = 1, 1, 4 }},
 	} {
@@ -475,13 +493,13 @@
 				t.Errorf("%s, seed %d: %d late arrivals", c.what, seed, late)
 			}
 		}
-		t.Logf("%-36s targets ended with a bad request %.2f, late arrivals at most %d, innocent tries refused %d and lost %d of %d",
+		t.Logf("%-36s crashes per poison request %.2f, maximum late arrivals %d, innocent attempts refused %d and lost %d of %d",
 			c.what, float64(ends)/float64(max(1, cfg.bad**fleetSeeds)), late, refused, lost, innocent)
 	}
 }
 
-// TestNewsOfHundreds holds how soon all members of a large fleet hold a request: the time
-// from its second end, with a tenth of the exchanges lost.
+// TestNewsOfHundreds checks how soon all members of a large fleet hold a request after its
+// second crash, if a tenth of the exchanges is lost.
 func TestNewsOfHundreds(t *testing.T) {
 	for _, members := range []int{7, 59, 295} {
 		f := newFleet(fleetConfig{members: members, targets: 60, perSecond: 1, lossOfNews: 0.1, lasts: time.Minute}, 1)
@@ -494,8 +512,8 @@
 			f.now = e.at
 			e.do()
 		}
-		t.Logf("%d members: all hold it after %v", members, f.now.Sub(start).Round(time.Millisecond))
-		convey.Convey(fmt.Sprint(members, " members hold a request within the bound"), t, func() {
+		t.Logf("%d members: all hold the request after %v", members, f.now.Sub(start).Round(time.Millisecond))
+		convey.Convey(fmt.Sprint(members, " members hold a request within lateAfter"), t, func() {
 			convey.So(f.now.Sub(start), convey.ShouldBeLessThan, lateAfter)
 		})
 	}
--- a/internal/gateway/quarantine/fuzz_test.go
+++ b/internal/gateway/quarantine/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// FuzzMerge holds that whatever a member reports, a keeper bounds what it remembers and can
-// report it again.
+// FuzzMerge checks that a keeper's limits hold for any reports of a member, and that the
+// result can be reported again.
 func FuzzMerge(f *testing.F) {
 	f.Add([]byte(`[{"digest":"1","held":true,"cleared":1,"clearedAgoMs":5,"ends":[{"target":"a","agoMs":-5,"tookMs":9223372036854775807}]}]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -23,7 +23,7 @@
 		}
 		for _, e := range k.table.AllHeld() {
 			if len(e.Crashes) > maxCrashes {
-				t.Errorf("%d ends", len(e.Crashes))
+				t.Errorf("%d crashes", len(e.Crashes))
 			}
 			k.Admit(e.Digest)
 		}
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -10,65 +10,64 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// compareInterval is the least time between two comparisons of all held requests with
-// members: two rounds of gossip. A node that missed something is
-// right again within it.
+// compareInterval is the minimum time between two requests for all entries that a member
+// holds: two rounds of gossip. A node that missed an entry gets it within this time.
 const compareInterval = time.Second
 
-// tryRole begins the name under which the member is chosen that tries a held request.
+// tryRole is the prefix of the role of the member that may try a held request. The
+// request's digest follows.
 const tryRole = "try/"
 
-// Config is what a Keeper is made of.
+// Config configures a Keeper.
 type Config struct {
 	Now func() time.Time
 	Log zerolog.Logger
-	// Changed is called when something is known that members should hear at once, and gets
-	// the number of requests that are held. It must not call the keeper.
+	// Changed is called after a change that members should receive at once, with the number
+	// of held requests. It must not call the keeper.
 	Changed func(held int)
-	// GivesOut says whether this node is the member for what one member does for all,
-	// by the name of it.
+	// GivesOut reports whether this node has a role that one member has for the whole
+	// fleet.
 	GivesOut func(role string) bool
 }
 
-// Keeper is a Table that is safe for concurrent use, says who may send what, speaks to
-// members in messages, and logs what it decides.
+// Keeper adds to a Table a lock, the admission of requests, the conversion of entries to
+// and from messages, and logging. It is safe for concurrent use.
 type Keeper struct {
 	cfg Config
 
 	mu    sync.Mutex
 	table *Table
-	// compared is when this node last asked a member for all that it holds.
+	// compared is when this node last asked a member for all entries that it holds.
 	compared time.Time
 }
 
-// NewKeeper returns a keeper that knows nothing.
+// NewKeeper returns a keeper with an empty table.
 func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, table: NewTable()} }
 
-// Admission is Free, Trial or Refused.
+// Admission is the result of Keeper.Admit: Free, Trial or Refused.
 type Admission interface{ isAdmission() }
 
-// Free is a request that may be sent.
+// Free admits a request that is not held.
 type Free struct{}
 
-// Trial is a held request that is to be sent to one target, to see whether that outlives
-// it.
+// Trial admits a held request once, to test whether a target survives it.
 type Trial struct{}
 
-// Refused is a request that is held back.
+// Refused rejects a held request.
 type Refused struct{ Hold Hold }
 
 func (Free) isAdmission()    {}
 func (Trial) isAdmission()   {}
 func (Refused) isAdmission() {}
 
-// Idle says that no request is suspected.
+// Idle reports whether the table is empty, so that no request needs to be checked.
 func (k *Keeper) Idle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Len() == 0
 }
 
-// Admit decides about a request before any work for it begins.
+// Admit decides whether a request may run, before any work for it starts.
 func (k *Keeper) Admit(d Digest) Admission {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -78,38 +77,39 @@
 	}
 	mayTry := func() bool { return k.cfg.GivesOut(tryRole + d.String()) }
 	if k.table.Try(k.cfg.Now(), d, mayTry) {
-		k.cfg.Log.Info().Str("digest", d.String()).Int("ends", len(hold.Crashes)).Msg("quarantine: request tried once more")
+		k.cfg.Log.Info().Str("digest", d.String()).Int("ends", len(hold.Crashes)).Msg("quarantine: sending held request as a trial")
 		return Trial{}
 	}
 	return Refused{Hold: hold}
 }
 
-// Suspected says whether targets ended while they had a request, and none has answered it
-// since. Such a request gets a target without others of the kind.
+// Suspected reports whether targets crashed while they had a request and none has answered
+// it since. Suspected requests are sent to different targets.
 func (k *Keeper) Suspected(d Digest) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Suspected(d)
 }
 
-// Held says whether a request may not be sent, and why, just before it is.
+// Held returns the hold on a request, and whether there is one. It is called just before
+// the request is sent.
 func (k *Keeper) Held(d Digest) (Hold, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Held(d)
 }
 
-// TargetEnded notes that a target ended while this node had a request there.
+// TargetEnded records that a target crashed while it had a request from this node.
 func (k *Keeper) TargetEnded(d Digest, c Crash) {
 	k.change("", []Digest{d}, func(t *Table, now time.Time) bool { return t.Crashed(now, d, c) })
 }
 
-// Answered notes that a target answered a request, be it with a failure of its own.
+// Answered records that a target answered a request, even with an error of its own.
 func (k *Keeper) Answered(d Digest) {
 	k.change("", []Digest{d}, func(t *Table, now time.Time) bool { return t.Answered(now, d) })
 }
 
-// Merge takes in what a member reported of requests.
+// Merge merges the entries that a member reported.
 func (k *Keeper) Merge(member string, list []message.SuspectRequest) {
 	if len(list) == 0 {
 		return
@@ -122,11 +122,11 @@
 	k.change(member, digests, func(t *Table, now time.Time) bool { return t.Merge(now, entries) })
 }
 
-// change applies a change that concerns some requests and logs those that are held or
-// released by it. Members hear of these at once; of requests that are only suspected with
-// the next rounds of gossip. A target that ends leaves dozens of suspects, nearly all of
-// them innocent: on 59 nodes rounds for each of them took a quarter more processor time and
-// bytes on days with many such ends.
+// change applies a change to some requests and logs those that it holds or releases. Only
+// these are reported to members at once. Requests that are merely suspected are reported in
+// the next regular rounds of gossip: a crash leaves dozens of suspects, nearly all of them
+// innocent, and extra rounds for them would raise processor time and traffic of 59 nodes by
+// a quarter on days with many crashes.
 func (k *Keeper) change(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -148,7 +148,8 @@
 	}
 }
 
-// logChange logs a request that is held or released now; the caller holds the lock.
+// logChange logs that a request is now held or released. before is whether it was held
+// before the change. The caller must hold the lock.
 func (k *Keeper) logChange(d Digest, from string, before bool) {
 	hold, held := k.table.Held(d)
 	switch {
@@ -158,14 +159,14 @@
 			targets[i] = c.Target
 		}
 		k.cfg.Log.Warn().Str("digest", d.String()).Strs("targets", targets).Dur("held", hold.Until.Sub(k.cfg.Now())).Str("from", from).
-			Msg("quarantine: request held, targets ended with it")
+			Msg("quarantine: request held after target crashes")
 	case before && !held:
-		k.cfg.Log.Info().Str("digest", d.String()).Str("from", from).Msg("quarantine: request released, a target answered it")
+		k.cfg.Log.Info().Str("digest", d.String()).Str("from", from).Msg("quarantine: request released after an answer")
 	}
 }
 
-// Recent returns what members should hear: what this node learnt lately, and the hash of
-// all that it holds, empty for nothing.
+// Recent returns what to report to members: the entries that changed recently, and the hash
+// of the held requests, which is empty if none is held.
 func (k *Keeper) Recent() (list []message.SuspectRequest, heldSum string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -174,7 +175,8 @@
 	return messagesOf(now, k.table.Recent(now)), sumText(k.table.HeldSum())
 }
 
-// Compare says whether a member with such a hash should be asked for all that it holds.
+// Compare reports whether to request all held entries from a member that reports the given
+// hash. It records the request.
 func (k *Keeper) Compare(heldSum string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -186,7 +188,7 @@
 	return true
 }
 
-// All returns all requests that this node holds, with how long they are held.
+// All returns the requests that this node holds, with the remaining time of each hold.
 func (k *Keeper) All() message.SuspectList {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -199,6 +201,7 @@
 	return message.SuspectList{Requests: list}
 }
 
+// sumText formats a hash of held requests; 0, for none, is the empty text.
 func sumText(sum uint64) string {
 	if sum == 0 {
 		return ""
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// testKeeper is a keeper whose time stands still until it is moved.
+// testKeeper is a keeper with a manual clock, which records calls of Changed.
 type testKeeper struct {
 	*Keeper
 	now     time.Time
@@ -31,7 +31,7 @@
 	return k
 }
 
-// hold has the keeper hold a request.
+// hold records two crashes, for which the keeper holds the request.
 func (k *testKeeper) hold(d Digest) {
 	k.now = at(200)
 	k.TargetEnded(d, crash("a", 0, 100))
@@ -39,7 +39,7 @@
 }
 
 func TestKeeper(t *testing.T) {
-	convey.Convey("A request is free until it is held, which members hear of at once", t, func() {
+	convey.Convey("A request is admitted until it is held, which is reported at once", t, func() {
 		k := newTestKeeper()
 		convey.So(k.Admit(1), convey.ShouldResemble, Free{})
 		k.TargetEnded(1, crash("a", 0, 100))
@@ -55,7 +55,7 @@
 		convey.So(refused.Hold.Until, convey.ShouldEqual, at(200).Add(holdFor))
 		convey.So(k.log.String(), convey.ShouldContainSubstring, "quarantine: request held")
 	})
-	convey.Convey("The member that tries it lets one trial through, others none", t, func() {
+	convey.Convey("Only the member with the role admits a trial, and only one", t, func() {
 		k := newTestKeeper()
 		k.hold(1)
 		k.now = k.now.Add(holdFor)
@@ -68,7 +68,7 @@
 		convey.So(k.held, convey.ShouldEqual, 0)
 		convey.So(k.log.String(), convey.ShouldContainSubstring, "quarantine: request released")
 	})
-	convey.Convey("What one keeper tells has another hold the same, whatever its clock", t, func() {
+	convey.Convey("A keeper that merges the entries of another holds the same requests, even if their clocks differ", t, func() {
 		one, other := newTestKeeper(), newTestKeeper()
 		one.hold(1)
 		other.now = at(5_000_000)
@@ -83,7 +83,7 @@
 		convey.So(mine, convey.ShouldEqual, sum)
 		convey.So(one.All().Requests[0].HeldMs, convey.ShouldEqual, holdFor.Milliseconds())
 	})
-	convey.Convey("A member that holds something else is asked at most once a second, one that holds nothing never", t, func() {
+	convey.Convey("Members that hold other requests are asked at most once per second, members that hold none never", t, func() {
 		k := newTestKeeper()
 		convey.So(k.Compare(""), convey.ShouldBeFalse)
 		convey.So(k.Compare("1"), convey.ShouldBeTrue)
@@ -91,10 +91,10 @@
 		k.now = k.now.Add(compareInterval)
 		convey.So(k.Compare("1"), convey.ShouldBeTrue)
 	})
-	convey.Convey("What a member tells that does not read is left out", t, func() {
+	convey.Convey("Invalid reports are skipped", t, func() {
 		k := newTestKeeper()
 		k.Merge("m", []message.SuspectRequest{
-			{Digest: "no number", Ends: []message.SuspectEnd{{Target: "a"}}},
+			{Digest: "not a number", Ends: []message.SuspectEnd{{Target: "a"}}},
 			{Digest: "1", Cleared: -1, Ends: []message.SuspectEnd{{Target: "a"}}},
 			{Digest: "2", Ends: []message.SuspectEnd{{Target: "a", AgoMs: -5000, TookMs: -1}}},
 		})
@@ -104,7 +104,7 @@
 }
 
 func TestDigestOf(t *testing.T) {
-	convey.Convey("A digest differs with the content and with the organisation", t, func() {
+	convey.Convey("Digests differ by content and organisation", t, func() {
 		convey.So(DigestOf("a", "s", 1), convey.ShouldEqual, DigestOf("a", "s", 1))
 		convey.So(DigestOf("a", "s", 1), convey.ShouldNotEqual, DigestOf("b", "s", 1))
 		convey.So(DigestOf("a", "s", 1), convey.ShouldNotEqual, DigestOf("a", "s", 2))
--- a/internal/gateway/quarantine/message.go
+++ b/internal/gateway/quarantine/message.go
@@ -6,8 +6,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// messagesOf describes entries to a member. Times are given as how long ago they were,
-// since members' clocks may differ.
+// messagesOf converts entries to messages. Times are converted to ages, since the clocks of
+// members may differ.
 func messagesOf(now time.Time, entries []Entry) []message.SuspectRequest {
 	list := make([]message.SuspectRequest, len(entries))
 	for i, e := range entries {
@@ -24,8 +24,8 @@
 	return list
 }
 
-// entriesFrom reads what a member described. What does not read is left out: a member of
-// another version may write it in another way, and one request less is known.
+// entriesFrom converts messages to entries. It skips invalid ones: a member of another
+// version may use a different format, and losing one entry is acceptable.
 func entriesFrom(now time.Time, list []message.SuspectRequest) []Entry {
 	var entries []Entry
 	for _, m := range list {
@@ -46,9 +46,10 @@
 	return entries
 }
 
+// millisSince returns the time from t to now in milliseconds.
 func millisSince(now, t time.Time) int { return int(now.Sub(t).Milliseconds()) }
 
-// timeAgo is a time that lies so far back; one that a member puts ahead is now.
+// timeAgo returns the time that is ms milliseconds before now, or now if ms is negative.
 func timeAgo(now time.Time, ms int) time.Time {
 	return now.Add(-time.Duration(max(ms, 0)) * time.Millisecond)
 }
--- a/internal/gateway/quarantine/rule.go
+++ b/internal/gateway/quarantine/rule.go
@@ -6,64 +6,64 @@
 )
 
 const (
-	// silentWeight is what an occasion counts at which a target ended before it gave any
-	// part of an answer, which is what a request does that ends its target at once.
+	// silentWeight is the weight of an incident in which a target crashed before any part
+	// of an answer, as a request that crashes its target at once does.
 	silentWeight = 2
-	// partWeight is what an occasion counts at which some of the answer had come: half, as
-	// a request that ran for a while is less likely the cause.
+	// partWeight is the weight of an incident in which all targets had begun to answer. A
+	// request that ran for a while is less likely to be the cause.
 	partWeight = 1
-	// holdWeight is the weight from which on a request is held: two occasions that were
-	// silent, or four that were not. With three silent ones a bad request ended 3.1 targets
-	// instead of 2.1, and 1,392 innocent tries were lost with them instead of 802 of
-	// 140,000, while no innocent one was refused either way; of four targets alone 9,615
-	// were lost instead of 4,433, and 5 refused instead of 126 (TestFleetOverSeeds,
-	// 200 seeds).
+	// holdWeight is the weight at which a request is held: two silent incidents, or four
+	// others. If three silent ones were required, a poison request would crash 3.1 targets
+	// instead of 2.1, and 1,392 instead of 802 of 140,000 attempts of innocent requests
+	// would be lost in the crashes, while none is refused in either case. With only four
+	// targets, 9,615 instead of 4,433 would be lost, and 5 instead of 126 refused
+	// (TestFleetOverSeeds with 200 seeds).
 	holdWeight = 4
-	// togetherCount is how many targets that ended silently hold a request even if all
-	// ended on one occasion. A bad request that comes at many nodes at once would else end
-	// as many again when its callers repeat it.
+	// togetherCount is the number of silent crashes at which a request is held even if all
+	// belong to one incident. Otherwise a poison request that arrives at many nodes at once
+	// would crash as many targets again when its callers retry.
 	togetherCount = 3
-	// clockError is how far apart the reports of one moment by two members may lie: their
-	// way, and the rounding to milliseconds.
+	// clockError is the maximum difference between the times that two members report for
+	// one event, due to transmission time and rounding to milliseconds.
 	clockError = 5 * time.Millisecond
-	// holdFor is how long a request is held before it is tried again: long against the
-	// seconds in which targets come back and callers repeat, short for a caller whose
-	// request was held wrongly.
+	// holdFor is how long a request is held before it is tried again. It is long compared
+	// to the seconds in which targets restart and callers retry, and short for a caller
+	// whose request is held wrongly.
 	holdFor = time.Minute
-	// togetherHold is the same for a request that is held for one occasion alone: a popular
-	// one may have been at all targets of a rack. It is the time in which targets are back
-	// or others have answered it.
+	// togetherHold replaces holdFor for a request that is held for a single incident, since
+	// a popular request may have been at all targets of a failed rack. Within this time
+	// targets have restarted, or others have answered the request.
 	togetherHold = 5 * time.Second
-	// holdGrowth lengthens the hold after each trial that ended its target too, so that a
-	// request which comes all day ends three more targets in its first two hours.
+	// holdGrowth multiplies the hold after each trial that crashed its target, so that a
+	// request that is sent all day crashes three more targets in its first two hours.
 	holdGrowth = 10
-	// maxHold bounds it: from then on such a request ends one target a day.
+	// maxHold is the maximum hold, at which such a request crashes one target per day.
 	maxHold = 24 * time.Hour
-	// suspectFor is how long ends of targets count that do not suffice to hold a request:
-	// many times as long as callers go on asking for one thing.
+	// suspectFor is how long crashes that do not suffice to hold a request are remembered.
+	// It is many times as long as callers keep retrying.
 	suspectFor = 10 * time.Minute
 )
 
-// suffices decides whether a request is held for the ends of targets that had it, since an
-// answer last cleared it.
+// suffices reports whether a request is held for crashes since it was last cleared.
 //
-// Ends count by occasions: those of attempts that overlap in time count once, with the
-// heaviest. A rack or a data centre that fails ends targets with whatever they run, and a
-// popular request may be at many of them; a request that ends its targets does so again
-// when it is sent after the first has ended. Counted each by itself, ends of a quarter of
-// all targets had 40 of 146,000 innocent tries refused, by occasions none. Order, number
-// and repetition of reports do not matter.
+// Crashes are grouped into incidents: those of attempts that overlap in time count once,
+// with the highest weight. The failure of a rack or data centre crashes targets whatever
+// they run, and a popular request may be at many of them. A poison request, in contrast,
+// crashes further targets when it is sent again after the first crash. If each crash
+// counted by itself, crashes of a quarter of all targets would cause 40 of 146,000 attempts
+// of innocent requests to be refused; with incidents there are none. The result does not
+// depend on the order, number or repetition of reports.
 //
-// A wrong yes refuses a request that did nothing, as not run and for seconds to a minute;
-// a wrong no costs one more target.
+// A false positive refuses a harmless request as not run, for seconds up to a minute. A
+// false negative costs one more target.
 func suffices(crashes []Crash) bool {
 	return occasionsWeight(crashes) >= holdWeight || silentCount(crashes) >= togetherCount
 }
 
-// holdUntil decides until when a request is held that is: for togetherHold after the last
-// end where all were on one occasion, else for holdFor, and longer by holdGrowth for each
-// end that came after a hold was over, as that was a trial that failed. The two ends that
-// it took to hold the request may lie apart.
+// holdUntil returns the end of a held request's hold: togetherHold after the last crash if
+// all belong to one incident, holdFor otherwise. Each crash after the end of a hold is that
+// of a failed trial, and multiplies the duration by holdGrowth. This excludes the first two
+// crashes, which may be far apart.
 func holdUntil(crashes []Crash) time.Time {
 	ordered := inOrder(crashes)
 	duration := holdFor
@@ -80,7 +80,7 @@
 	return until
 }
 
-// occasionsWeight adds up what the occasions count at which targets ended.
+// occasionsWeight returns the sum of the weights of all incidents.
 func occasionsWeight(crashes []Crash) int {
 	weight := 0
 	for rest := inOrder(crashes); len(rest) > 0; {
@@ -91,7 +91,7 @@
 	return weight
 }
 
-// silentCount counts the targets that ended before they gave any part of an answer.
+// silentCount returns the number of silent crashes.
 func silentCount(crashes []Crash) int {
 	n := 0
 	for _, c := range crashes {
@@ -102,12 +102,13 @@
 	return n
 }
 
+// inOrder returns the crashes sorted by the time at which their connections broke.
 func inOrder(crashes []Crash) []Crash {
 	return slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return a.At.Compare(b.At) })
 }
 
-// cutOccasion cuts the first occasion off ends that are ordered by their times: those of
-// attempts that had begun before the first of them ended.
+// cutOccasion splits off the first incident from crashes in the order of their times: the
+// crashes of attempts that had begun before the first connection broke.
 func cutOccasion(ordered []Crash) (occasion, rest []Crash) {
 	over := ordered[0].At.Add(-clockError)
 	n := 1
@@ -117,7 +118,7 @@
 	return ordered[:n], ordered[n:]
 }
 
-// weightOf returns what an occasion counts.
+// weightOf returns the weight of an incident.
 func weightOf(occasion []Crash) int {
 	if slices.ContainsFunc(occasion, func(c Crash) bool { return c.Silent }) {
 		return silentWeight
--- a/internal/gateway/quarantine/rule_test.go
+++ b/internal/gateway/quarantine/rule_test.go
@@ -12,19 +12,19 @@
 	_ "github.com/honeydyke/honeydyke/internal/fixedseed"
 )
 
-// start is the time from which tests count.
+// start is the origin of the times in tests.
 var start = time.Unix(1000, 0)
 
-// at is so many milliseconds after the start.
+// at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// crash is a silent end of a target that had the request from one time to another, in
-// milliseconds after the start.
+// crash returns a silent crash of a target that had the request from began to ended, in
+// milliseconds after start.
 func crash(target string, began, ended int) Crash {
 	return Crash{Target: target, Began: at(began), At: at(ended), Silent: true}
 }
 
-// partial is an end after a part of the answer had come.
+// partial returns a crash after a part of the answer had arrived.
 func partial(target string, began, ended int) Crash {
 	c := crash(target, began, ended)
 	c.Silent = false
@@ -32,21 +32,21 @@
 }
 
 func TestSuffices(t *testing.T) {
-	convey.Convey("A request is held for two targets that ended one after the other, or four that had begun to answer", t, func() {
+	convey.Convey("A request is held after two consecutive silent crashes, or four of targets that had begun to answer", t, func() {
 		for _, c := range []struct {
 			what    string
 			crashes []Crash
 			want    bool
 		}{
-			{"nothing", nil, false},
-			{"one end", []Crash{crash("a", 0, 100)}, false},
-			{"a second one, sent after the first had ended", []Crash{crash("a", 0, 100), crash("b", 100, 200)}, true},
+			{"no crash", nil, false},
+			{"one crash", []Crash{crash("a", 0, 100)}, false},
+			{"a second one, sent after the first crash", []Crash{crash("a", 0, 100), crash("b", 100, 200)}, true},
 			{"the same, hours later", []Crash{crash("a", 0, 100), crash("b", 8_000_000, 8_000_100)}, true},
-			{"two at one moment", []Crash{crash("a", 0, 100), crash("b", 20, 100)}, false},
-			{"three at one moment", []Crash{crash("a", 0, 100), crash("b", 20, 100), crash("c", 90, 101)}, true},
-			{"many at one moment that had begun to answer", []Crash{partial("a", 0, 100), partial("b", 20, 100), partial("c", 90, 101), partial("d", 50, 110)}, false},
-			{"one after the other, of attempts that were under way together", []Crash{crash("a", 0, 100), crash("b", 50, 900)}, false},
-			{"a second one that overlaps by less than clocks tell", []Crash{crash("a", 0, 100), crash("b", 96, 200)}, true},
+			{"two at once", []Crash{crash("a", 0, 100), crash("b", 20, 100)}, false},
+			{"three at once", []Crash{crash("a", 0, 100), crash("b", 20, 100), crash("c", 90, 101)}, true},
+			{"many at once that had begun to answer", []Crash{partial("a", 0, 100), partial("b", 20, 100), partial("c", 90, 101), partial("d", 50, 110)}, false},
+			{"two in sequence, of overlapping attempts", []Crash{crash("a", 0, 100), crash("b", 50, 900)}, false},
+			{"a second one that overlaps by less than clockError", []Crash{crash("a", 0, 100), crash("b", 96, 200)}, true},
 			{"a silent one and one that had begun to answer", []Crash{crash("a", 0, 100), partial("b", 200, 300)}, false},
 			{"three that had begun to answer", []Crash{partial("a", 0, 1), partial("b", 10, 11), partial("c", 20, 21)}, false},
 			{"four that had begun to answer", []Crash{partial("a", 0, 1), partial("b", 10, 11), partial("c", 20, 21), partial("d", 30, 31)}, true},
@@ -62,19 +62,19 @@
 
 func TestHoldUntil(t *testing.T) {
 	minute := int(time.Minute.Milliseconds())
-	convey.Convey("A hold lasts a minute from the last end", t, func() {
+	convey.Convey("A hold lasts a minute from the last crash", t, func() {
 		convey.So(holdUntil([]Crash{crash("a", 0, 100), crash("b", 100, 200)}), convey.ShouldEqual, at(200+minute))
 		convey.So(holdUntil([]Crash{crash("a", 0, 100), crash("b", 100, 200), crash("c", 100, 500)}), convey.ShouldEqual, at(500+minute))
 	})
-	convey.Convey("One for ends on one occasion lasts five seconds, and a minute from the trial on that fails", t, func() {
+	convey.Convey("A hold for a single incident lasts five seconds, and a minute after a failed trial", t, func() {
 		together := []Crash{crash("a", 0, 100), crash("b", 20, 100), crash("c", 90, 101)}
 		convey.So(holdUntil(together), convey.ShouldEqual, at(5101))
 		convey.So(holdUntil(append(together, crash("d", 5200, 5300))), convey.ShouldEqual, at(5300+minute))
 	})
-	convey.Convey("Two ends that lie far apart make it no longer", t, func() {
+	convey.Convey("Two crashes that are far apart do not lengthen it", t, func() {
 		convey.So(holdUntil([]Crash{crash("a", 0, 100), crash("b", 5*minute, 5*minute)}), convey.ShouldEqual, at(6*minute))
 	})
-	convey.Convey("Each trial that fails makes the next hold ten times as long, up to a day", t, func() {
+	convey.Convey("Each failed trial makes the hold ten times as long, up to a day", t, func() {
 		crashes := []Crash{crash("a", 0, 0), crash("b", 10, 10)}
 		for i, want := range []time.Duration{10 * time.Minute, 100 * time.Minute, 1000 * time.Minute, 24 * time.Hour, 24 * time.Hour} {
 			tried := holdUntil(crashes).Add(time.Second)
@@ -84,7 +84,7 @@
 	})
 }
 
-// drawCrash draws an end of one of six targets within two seconds.
+// drawCrash draws a crash of one of six targets.
 func drawCrash(t *rapid.T) Crash {
 	began := rapid.IntRange(0, 2000).Draw(t, "began")
 	return Crash{
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestMergeInAnyOrder holds that what members know in the end does not depend on the order,
-// the number or the repetition of reports.
+// TestMergeInAnyOrder checks that the result of merges does not depend on the order, number
+// or repetition of reports.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
@@ -120,10 +120,10 @@
 				t.Fatalf("%+v is not held", e)
 			}
 		}
-		// A member may have decided by a part of it.
+		// Held may differ: a member may have decided by a part of the crashes.
 		a.Held, b.Held = true, true
 		if !a.same(b) || !a.last().Equal(b.last()) || !holdUntil(a.Crashes).Equal(holdUntil(b.Crashes)) {
-			t.Fatalf("%+v is not %+v", a, b)
+			t.Fatalf("%+v differs from %+v", a, b)
 		}
 	})
 }
--- a/internal/gateway/quarantine/table.go
+++ b/internal/gateway/quarantine/table.go
@@ -11,61 +11,62 @@
 )
 
 const (
-	// maxEntries bounds the requests that a node remembers, each of some 0.3 KB with one
-	// end of a target and 1.5 KB with the most (worked out from the types): as many
-	// as thirty targets have when they end together. Beyond, those whose last event is
-	// oldest are forgotten, the ones that are held last.
+	// maxEntries limits the requests in a table, of about 0.3 KB each with one crash and
+	// 1.5 KB with maxCrashes. It suffices for the requests of thirty targets that crash
+	// together. Beyond it, entries are evicted in the order in which they would expire, so
+	// that held ones go last.
 	maxEntries = 1024
-	// shrinkBy is how many are forgotten at once, so that many new ones do not have the
-	// table sorted for each.
+	// shrinkBy is the number of entries that are evicted at once, so that the table is not
+	// sorted for every new entry.
 	shrinkBy = maxEntries / 8
-	// maxNews bounds the entries in one exchange, the newest first, so that the end of a
-	// rack does not swell gossip: 64 with one end each are 3.7 KB in the compact form.
+	// maxNews limits the entries in one exchange to the most recent ones, so that the
+	// failure of a rack does not inflate gossip: 64 entries with one crash each take 3.7 KB
+	// in the compact encoding.
 	maxNews = 64
-	// newsFor is how long something is passed on after a node learnt of it: six rounds
-	// of gossip, in each of which a node exchanges with two others or more, so that even
-	// of hundreds nearly all have heard it. The rest learn it by comparing HeldSum.
+	// newsFor is how long a change is included in gossip: six rounds, in each of which a
+	// node exchanges with at least two others, so that nearly all of hundreds of members
+	// receive it. The others get it by comparing HeldSum.
 	newsFor = 3 * time.Second
-	// trialPause is the time between two trials of one request, in which a target that
-	// ends with the first has long ended.
+	// trialPause is the minimum time between two trials of a request. A crash caused by the
+	// first trial is known by then.
 	trialPause = 10 * time.Second
 )
 
-// Hold is why and until when a request is held back.
+// Hold describes why and for how long a request is held.
 type Hold struct {
-	// Until is when it is tried again at the earliest, by this node's clock.
+	// Until is the earliest time of a trial, by this node's clock.
 	Until time.Time
-	// Crashes are the ends of targets that it is held for.
+	// Crashes lists the crashes that the request is held for.
 	Crashes []Crash
 }
 
-// known is an entry with what concerns this node alone.
+// known is an entry with state that is local to this node.
 type known struct {
 	Entry
-	// learnt is when this node last learnt something new of it.
+	// learnt is when this node's entry last changed.
 	learnt time.Time
-	// tried is when this node last let a trial through.
+	// tried is when this node last admitted a trial.
 	tried time.Time
 }
 
-// Table is what one node knows of suspected requests. It is not safe for concurrent
-// use.
+// Table holds one node's entries of suspected requests. It is not safe for concurrent use.
 type Table struct {
 	entries map[Digest]known
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[Digest]known{}} }
 
-// Crashed notes that a target ended while it had a request. It says whether that is new.
+// Crashed records that a target crashed while it had a request, and reports whether that
+// is new.
 func (t *Table) Crashed(now time.Time, d Digest, c Crash) bool {
 	old := t.entries[d]
 	old.Digest = d
 	return t.put(now, old.withCrash(c))
 }
 
-// Answered notes that a target answered a request. It says whether that cleared one that
-// was suspected.
+// Answered records that a target answered a request, and reports whether that cleared a
+// suspected one.
 func (t *Table) Answered(now time.Time, d Digest) bool {
 	old, suspected := t.entries[d]
 	if !suspected || len(old.Crashes) == 0 {
@@ -74,7 +75,7 @@
 	return t.put(now, old.withAnswer(now))
 }
 
-// Merge takes in what another member knows, and says whether any of it is new.
+// Merge merges another member's entries, and reports whether any of them is new.
 func (t *Table) Merge(now time.Time, entries []Entry) bool {
 	news := false
 	for _, e := range entries {
@@ -89,7 +90,8 @@
 	return news
 }
 
-// put keeps an entry, and says whether it says something new. Times alone are not new.
+// put stores an entry, and reports whether it differs from the known one in more than its
+// times. Expired entries are ignored.
 func (t *Table) put(now time.Time, e Entry) bool {
 	old, has := t.entries[e.Digest]
 	if !now.Before(e.forgetAt()) {
@@ -105,7 +107,7 @@
 	return true
 }
 
-// shrink makes room when there are too many entries.
+// shrink evicts entries if there are more than maxEntries.
 func (t *Table) shrink() {
 	if len(t.entries) <= maxEntries {
 		return
@@ -118,17 +120,17 @@
 	}
 }
 
-// Prune forgets what is of no use any more.
+// Prune removes expired entries.
 func (t *Table) Prune(now time.Time) {
 	maps.DeleteFunc(t.entries, func(_ Digest, k known) bool { return !now.Before(k.forgetAt()) })
 }
 
-// Suspected says whether targets ended while they had a request, and none has answered it
-// since.
+// Suspected reports whether targets crashed while they had a request and none has answered
+// it since.
 func (t *Table) Suspected(d Digest) bool { return len(t.entries[d].Crashes) > 0 }
 
-// Held says whether a request may not be sent, and why. It is not sent either when its
-// hold is over, until a trial has shown that targets outlive it (Try).
+// Held returns the hold on a request, and whether there is one. A request stays held after
+// the end of its hold, until a trial has shown that targets survive it (Try).
 func (t *Table) Held(d Digest) (Hold, bool) {
 	e := t.entries[d].Entry
 	if !e.Held {
@@ -137,9 +139,9 @@
 	return Hold{Until: holdUntil(e.Crashes), Crashes: e.Crashes}, true
 }
 
-// Try says whether this node may try a held request now, and counts the trial. mayTry
-// says whether this node is the one that tries requests; it is asked only when the hold is
-// over.
+// Try reports whether this node may try a held request now, and if so records the trial.
+// mayTry reports whether this node is the one that tries the request. It is called only
+// after the end of the hold.
 func (t *Table) Try(now time.Time, d Digest, mayTry func() bool) bool {
 	k := t.entries[d]
 	if !k.Held || now.Before(holdUntil(k.Crashes)) || now.Sub(k.tried) < trialPause || !mayTry() {
@@ -150,7 +152,7 @@
 	return true
 }
 
-// Recent returns what this node has learnt lately, the newest first.
+// Recent returns the entries that changed recently, the newest first and at most maxNews.
 func (t *Table) Recent(now time.Time) []Entry {
 	var recent []known
 	for _, k := range t.entries {
@@ -163,8 +165,7 @@
 	return entriesOf(recent)
 }
 
-// AllHeld returns the entries of all requests that are held, in the order of their
-// digests.
+// AllHeld returns the entries of all held requests, in the order of their digests.
 func (t *Table) AllHeld() []Entry {
 	var list []known
 	for _, k := range t.entries {
@@ -176,6 +177,7 @@
 	return entriesOf(list)
 }
 
+// entriesOf returns the entries without their local state.
 func entriesOf(list []known) []Entry {
 	entries := make([]Entry, len(list))
 	for i, k := range list {
@@ -184,8 +186,8 @@
 	return entries
 }
 
-// HeldSum is a hash of which requests are held: two members with the same one need not
-// compare further. It is 0 when none is.
+// HeldSum returns a hash of the set of held requests, or 0 if none is held. Members with
+// equal hashes hold the same requests.
 func (t *Table) HeldSum() uint64 {
 	list := t.AllHeld()
 	if len(list) == 0 {
@@ -198,5 +200,5 @@
 	return xxhash.Sum64(text)
 }
 
-// Len returns how many requests are remembered.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
--- a/internal/gateway/quarantine/table_test.go
+++ b/internal/gateway/quarantine/table_test.go
@@ -8,7 +8,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// held returns a table that holds a request since the given time.
+// held returns a table that holds a request for two crashes.
 func held(d Digest) *Table {
 	t := NewTable()
 	t.Crashed(at(100), d, crash("a", 0, 100))
@@ -29,7 +29,7 @@
 }
 
 func TestHeldAndReleased(t *testing.T) {
-	convey.Convey("A request is suspected after one end and held after the second, with its ends", t, func() {
+	convey.Convey("A request is suspected after one crash and held after the second, with both crashes", t, func() {
 		table := NewTable()
 		convey.So(table.Suspected(1), convey.ShouldBeFalse)
 		convey.So(table.Crashed(at(100), 1, crash("a", 0, 100)), convey.ShouldBeTrue)
@@ -42,14 +42,14 @@
 		convey.So(hold.Crashes, convey.ShouldHaveLength, 2)
 		convey.So(hold.Until, convey.ShouldEqual, at(200).Add(holdFor))
 	})
-	convey.Convey("Another request is not", t, func() {
+	convey.Convey("Another request is not affected", t, func() {
 		table := held(1)
 		convey.So(table.Suspected(2), convey.ShouldBeFalse)
 		shouldNotHold(table, 2)
 		convey.So(table.Answered(at(300), 2), convey.ShouldBeFalse)
 		convey.So(table.Len(), convey.ShouldEqual, 1)
 	})
-	convey.Convey("An answer releases it, and what a member still tells of the ends before changes nothing", t, func() {
+	convey.Convey("An answer releases it, and reports of earlier crashes have no effect", t, func() {
 		table := held(1)
 		old := table.Recent(at(300))
 		convey.So(table.Answered(at(300), 1), convey.ShouldBeTrue)
@@ -57,19 +57,19 @@
 		convey.So(table.Suspected(1), convey.ShouldBeFalse)
 		convey.So(table.Merge(at(400), old), convey.ShouldBeFalse)
 		shouldNotHold(table, 1)
-		convey.Convey("and the member is released by what it is told", func() {
+		convey.Convey("and merging the entry releases it at a member", func() {
 			member := held(1)
 			convey.So(member.Merge(at(400), table.Recent(at(400))), convey.ShouldBeTrue)
 			shouldNotHold(member, 1)
 		})
-		convey.Convey("and it takes two more ends to hold it again", func() {
+		convey.Convey("and it is held again only after two more crashes", func() {
 			table.Crashed(at(500), 1, crash("c", 450, 500))
 			shouldNotHold(table, 1)
 			table.Crashed(at(600), 1, crash("d", 550, 600))
 			shouldHold(table, 1)
 		})
 	})
-	convey.Convey("Of ends that members saw apart all count", t, func() {
+	convey.Convey("Crashes that different members saw are added up", t, func() {
 		one, other := NewTable(), NewTable()
 		one.Crashed(at(100), 1, crash("a", 0, 100))
 		other.Crashed(at(200), 1, crash("b", 150, 200))
@@ -83,7 +83,7 @@
 
 func TestTry(t *testing.T) {
 	over := at(200).Add(holdFor)
-	convey.Convey("A held request is tried once its hold is over, by the member that tries it, one trial at a time", t, func() {
+	convey.Convey("A held request is tried after the end of its hold, by one member and with a pause between trials", t, func() {
 		table := held(1)
 		convey.So(table.Try(over.Add(-1), 1, yes), convey.ShouldBeFalse)
 		convey.So(table.Try(over, 1, func() bool { return false }), convey.ShouldBeFalse)
@@ -91,7 +91,7 @@
 		convey.So(table.Try(over.Add(time.Second), 1, yes), convey.ShouldBeFalse)
 		convey.So(table.Try(over.Add(trialPause), 1, yes), convey.ShouldBeTrue)
 	})
-	convey.Convey("It stays held meanwhile, and a trial that fails holds it for longer", t, func() {
+	convey.Convey("It stays held during a trial, and a failed trial lengthens the hold", t, func() {
 		table := held(1)
 		table.Try(over, 1, yes)
 		shouldHold(table, 1)
@@ -108,7 +108,7 @@
 }
 
 func TestForgotten(t *testing.T) {
-	convey.Convey("Ends that did not suffice are forgotten after ten minutes, a held request a day after its last end", t, func() {
+	convey.Convey("A suspected request is removed ten minutes after its last crash, a held one after a day", t, func() {
 		table := held(1)
 		table.Crashed(at(200), 2, crash("c", 100, 200))
 		table.Prune(at(200).Add(suspectFor - 1))
@@ -119,12 +119,12 @@
 		table.Prune(at(200).Add(maxHold))
 		convey.So(table.Len(), convey.ShouldEqual, 0)
 	})
-	convey.Convey("What is too old is not taken from a member", t, func() {
+	convey.Convey("Expired entries are not merged", t, func() {
 		table := NewTable()
 		convey.So(table.Merge(at(200).Add(suspectFor), []Entry{{Digest: 2, Crashes: []Crash{crash("c", 100, 200)}}}), convey.ShouldBeFalse)
 		convey.So(table.Len(), convey.ShouldEqual, 0)
 	})
-	convey.Convey("A table that is full forgets suspects before what it holds, the oldest first", t, func() {
+	convey.Convey("A full table evicts suspected requests before held ones, and the oldest first", t, func() {
 		table := held(1)
 		for i := range 2 * maxEntries {
 			table.Crashed(at(1000+i), Digest(10+i), crash(fmt.Sprint("t", i), 999+i, 1000+i))
@@ -134,7 +134,7 @@
 		convey.So(table.Suspected(Digest(10+2*maxEntries-1)), convey.ShouldBeTrue)
 		convey.So(table.Suspected(10), convey.ShouldBeFalse)
 	})
-	convey.Convey("Of one request no more than a bounded number of ends is kept", t, func() {
+	convey.Convey("The number of crashes per request is limited", t, func() {
 		table := NewTable()
 		for i := range 4 * maxCrashes {
 			table.Crashed(at(1000*i), 1, crash(fmt.Sprint("t", i), 1000*i, 1000*i))
@@ -143,7 +143,7 @@
 		convey.So(is, convey.ShouldBeTrue)
 		convey.So(hold.Crashes, convey.ShouldHaveLength, maxCrashes)
 	})
-	convey.Convey("A trial that fails after so many ends still lengthens the hold", t, func() {
+	convey.Convey("A failed trial after the maximum number of crashes still lengthens the hold", t, func() {
 		table := NewTable()
 		for i := range maxCrashes {
 			table.Crashed(at(i), 1, crash(fmt.Sprint("t", i), 0, 100+i))
@@ -158,7 +158,7 @@
 }
 
 func TestRecent(t *testing.T) {
-	convey.Convey("What was learnt lately is passed on, the newest first, and a bounded number", t, func() {
+	convey.Convey("Recent returns a limited number of entries, the newest first", t, func() {
 		table := NewTable()
 		for i := range 2 * maxNews {
 			table.Crashed(at(i), Digest(1+i), crash("t", 0, i))
@@ -168,7 +168,7 @@
 		convey.So(news[0].Digest, convey.ShouldEqual, Digest(2*maxNews))
 		convey.So(table.Recent(at(2*maxNews).Add(newsFor)), convey.ShouldBeEmpty)
 	})
-	convey.Convey("The hash of what is held differs with it, and is 0 for nothing", t, func() {
+	convey.Convey("HeldSum depends on the held requests only, and is 0 if there are none", t, func() {
 		convey.So(NewTable().HeldSum(), convey.ShouldEqual, 0)
 		one := held(1)
 		sum := one.HeldSum()
@@ -181,8 +181,7 @@
 	})
 }
 
-// BenchmarkHeld times what each send costs: with nothing known, and with a table that is
-// full.
+// BenchmarkHeld measures the check before each send, with an empty and a full table.
 func BenchmarkHeld(b *testing.B) {
 	full := held(1)
 	for i := range maxEntries - 1 {
@@ -197,7 +196,7 @@
 	}
 }
 
-// BenchmarkRecent times what each exchange of gossip costs.
+// BenchmarkRecent measures the cost of a gossip exchange, with an empty and a full table.
 func BenchmarkRecent(b *testing.B) {
 	full := NewTable()
 	for i := range maxEntries {
