--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -40,9 +40,9 @@
 	Crashes []Crash
 }
 
-// joined merges two reports of one target's crash. The target may have had the request more
+// merge merges two reports of one target's crash. The target may have had the request more
 // than once: the result covers the time of both, and is silent if either is.
-func (c Crash) joined(other Crash) Crash {
+func (c Crash) merge(other Crash) Crash {
 	if other.Began.Before(c.Began) {
 		c.Began = other.Began
 	}
@@ -58,18 +58,18 @@
 	i, known := slices.BinarySearchFunc(e.Crashes, c.Target, func(c Crash, target string) int { return strings.Compare(c.Target, target) })
 	crashes := slices.Clone(e.Crashes)
 	if known {
-		crashes[i] = crashes[i].joined(c)
+		crashes[i] = crashes[i].merge(c)
 	} else {
-		crashes = newest(slices.Insert(crashes, i, c))
+		crashes = dropOldest(slices.Insert(crashes, i, c))
 	}
 	e.Crashes = crashes
-	e.Held = e.Held || suffices(crashes)
+	e.Held = e.Held || warrantsHold(crashes)
 	return e
 }
 
-// newest drops the oldest crash if there are more than maxCrashes: the later ones determine
-// the end of the hold.
-func newest(crashes []Crash) []Crash {
+// dropOldest drops the oldest crash if there are more than maxCrashes: the later ones
+// determine the end of the hold.
+func dropOldest(crashes []Crash) []Crash {
 	if len(crashes) <= maxCrashes {
 		return crashes
 	}
@@ -82,9 +82,9 @@
 	return Entry{Digest: e.Digest, Cleared: e.Cleared + 1, ClearedAt: now}
 }
 
-// merged merges the entries of two members. The one that was cleared more often wins; if
+// merge merges the entries of two members. The one that was cleared more often wins; if
 // both were cleared equally often, the result has the crashes of both.
-func (e Entry) merged(other Entry) Entry {
+func (e Entry) merge(other Entry) Entry {
 	switch {
 	case other.Cleared > e.Cleared:
 		return other
@@ -101,8 +101,8 @@
 	return e
 }
 
-// last returns the time of the last crash or clearing answer.
-func (e Entry) last() time.Time {
+// lastEvent returns the time of the last crash or clearing answer.
+func (e Entry) lastEvent() time.Time {
 	last := e.ClearedAt
 	for _, c := range e.Crashes {
 		if c.At.After(last) {
@@ -112,17 +112,18 @@
 	return last
 }
 
-// forgetAt returns when the entry expires. A held entry is kept for maxHold, so that the
+// expiresAt returns when the entry expires. A held entry is kept for maxHold, so that the
 // crash of a failed trial still lengthens the hold.
-func (e Entry) forgetAt() time.Time {
+func (e Entry) expiresAt() time.Time {
 	if e.Held {
-		return e.last().Add(maxHold)
+		return e.lastEvent().Add(maxHold)
 	}
-	return e.last().Add(suspectFor)
+	return e.lastEvent().Add(suspicionTTL)
 }
 
-// same reports whether two entries of one request are equal except for their times.
-func (e Entry) same(other Entry) bool {
+// equalExceptTimes reports whether two entries of one request are equal except for their
+// times.
+func (e Entry) equalExceptTimes(other Entry) bool {
 	return e.Held == other.Held && e.Cleared == other.Cleared && slices.EqualFunc(e.Crashes, other.Crashes, func(a, b Crash) bool {
 		return a.Target == b.Target && a.Silent == b.Silent
 	})
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -10,13 +10,13 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// compareInterval is the minimum time between two requests for all entries that a member
+// syncInterval is the minimum time between two requests for all entries that a member
 // holds: two rounds of gossip. A node that missed an entry gets it within this time.
-const compareInterval = time.Second
+const syncInterval = time.Second
 
-// tryRole is the prefix of the role of the member that may try a held request. The
+// trialRolePrefix is the prefix of the role of the member that may try a held request. The
 // request's digest follows.
-const tryRole = "try/"
+const trialRolePrefix = "try/"
 
 // Config configures a Keeper.
 type Config struct {
@@ -37,8 +37,8 @@
 
 	mu    sync.Mutex
 	table *Table
-	// compared is when this node last asked a member for all entries that it holds.
-	compared time.Time
+	// lastSync is when this node last asked a member for all entries that it holds.
+	lastSync time.Time
 }
 
 // NewKeeper returns a keeper with an empty table.
@@ -75,8 +75,8 @@
 	if !held {
 		return Free{}
 	}
-	mayTry := func() bool { return k.cfg.GivesOut(tryRole + d.String()) }
-	if k.table.Try(k.cfg.Now(), d, mayTry) {
+	mayTry := func() bool { return k.cfg.GivesOut(trialRolePrefix + d.String()) }
+	if k.table.StartTrial(k.cfg.Now(), d, mayTry) {
 		k.cfg.Log.Info().Str("digest", d.String()).Int("ends", len(hold.Crashes)).Msg("quarantine: sending held request as a trial")
 		return Trial{}
 	}
@@ -101,12 +101,12 @@
 
 // TargetEnded records that a target crashed while it had a request from this node.
 func (k *Keeper) TargetEnded(d Digest, c Crash) {
-	k.change("", []Digest{d}, func(t *Table, now time.Time) bool { return t.Crashed(now, d, c) })
+	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordCrash(now, d, c) })
 }
 
 // Answered records that a target answered a request, even with an error of its own.
 func (k *Keeper) Answered(d Digest) {
-	k.change("", []Digest{d}, func(t *Table, now time.Time) bool { return t.Answered(now, d) })
+	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordAnswer(now, d) })
 }
 
 // Merge merges the entries that a member reported.
@@ -114,20 +114,20 @@
 	if len(list) == 0 {
 		return
 	}
-	entries := entriesFrom(k.cfg.Now(), list)
+	entries := fromMessages(k.cfg.Now(), list)
 	digests := make([]Digest, len(entries))
 	for i, e := range entries {
 		digests[i] = e.Digest
 	}
-	k.change(member, digests, func(t *Table, now time.Time) bool { return t.Merge(now, entries) })
+	k.update(member, digests, func(t *Table, now time.Time) bool { return t.Merge(now, entries) })
 }
 
-// change applies a change to some requests and logs those that it holds or releases. Only
+// update applies a change to some requests and logs those that it holds or releases. Only
 // these are reported to members at once. Requests that are merely suspected are reported in
 // the next regular rounds of gossip: a crash leaves dozens of suspects, nearly all of them
 // innocent, and extra rounds for them would raise processor time and traffic of 59 nodes by
 // a quarter on days with many crashes.
-func (k *Keeper) change(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
+func (k *Keeper) update(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := make([]bool, len(digests))
@@ -172,7 +172,7 @@
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
 	k.table.Prune(now)
-	return messagesOf(now, k.table.Recent(now)), sumText(k.table.HeldSum())
+	return toMessages(now, k.table.Recent(now)), formatSum(k.table.HeldSum())
 }
 
 // Compare reports whether to request all held entries from a member that reports the given
@@ -181,10 +181,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	if heldSum == "" || heldSum == sumText(k.table.HeldSum()) || now.Sub(k.compared) < compareInterval {
+	if heldSum == "" || heldSum == formatSum(k.table.HeldSum()) || now.Sub(k.lastSync) < syncInterval {
 		return false
 	}
-	k.compared = now
+	k.lastSync = now
 	return true
 }
 
@@ -193,7 +193,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	list := messagesOf(now, k.table.AllHeld())
+	list := toMessages(now, k.table.AllHeld())
 	for i, e := range k.table.AllHeld() {
 		hold, _ := k.table.Held(e.Digest)
 		list[i].HeldMs = max(int(hold.Until.Sub(now).Milliseconds()), 0)
@@ -201,8 +201,8 @@
 	return message.SuspectList{Requests: list}
 }
 
-// sumText formats a hash of held requests; 0, for none, is the empty text.
-func sumText(sum uint64) string {
+// formatSum formats a hash of held requests; 0, for none, is the empty text.
+func formatSum(sum uint64) string {
 	if sum == 0 {
 		return ""
 	}
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -14,11 +14,11 @@
 // testKeeper is a keeper with a manual clock, which records calls of Changed.
 type testKeeper struct {
 	*Keeper
-	now     time.Time
-	log     bytes.Buffer
-	changes int
-	held    int
-	tries   bool
+	now      time.Time
+	log      bytes.Buffer
+	changes  int
+	held     int
+	ownsRole bool
 }
 
 func newTestKeeper() *testKeeper {
@@ -26,7 +26,7 @@
 	k.Keeper = NewKeeper(Config{
 		Now: func() time.Time { return k.now }, Log: zerolog.New(&k.log),
 		Changed:  func(held int) { k.changes, k.held = k.changes+1, held },
-		GivesOut: func(string) bool { return k.tries },
+		GivesOut: func(string) bool { return k.ownsRole },
 	})
 	return k
 }
@@ -52,15 +52,15 @@
 		convey.So(k.held, convey.ShouldEqual, 1)
 		refused, is := k.Admit(1).(Refused)
 		convey.So(is, convey.ShouldBeTrue)
-		convey.So(refused.Hold.Until, convey.ShouldEqual, at(200).Add(holdFor))
+		convey.So(refused.Hold.Until, convey.ShouldEqual, at(200).Add(initialHold))
 		convey.So(k.log.String(), convey.ShouldContainSubstring, "quarantine: request held")
 	})
 	convey.Convey("Only the member with the role admits a trial, and only one", t, func() {
 		k := newTestKeeper()
 		k.hold(1)
-		k.now = k.now.Add(holdFor)
+		k.now = k.now.Add(initialHold)
 		convey.So(k.Admit(1), convey.ShouldHaveSameTypeAs, Refused{})
-		k.tries = true
+		k.ownsRole = true
 		convey.So(k.Admit(1), convey.ShouldResemble, Trial{})
 		convey.So(k.Admit(1), convey.ShouldHaveSameTypeAs, Refused{})
 		k.Answered(1)
@@ -72,23 +72,23 @@
 		one, other := newTestKeeper(), newTestKeeper()
 		one.hold(1)
 		other.now = at(5_000_000)
-		news, sum := one.Recent()
+		recent, sum := one.Recent()
 		convey.So(other.Compare(sum), convey.ShouldBeTrue)
-		other.Merge("10.0.0.1:80", news)
+		other.Merge("10.0.0.1:80", recent)
 		refused, is := other.Admit(1).(Refused)
 		convey.So(is, convey.ShouldBeTrue)
-		convey.So(refused.Hold.Until, convey.ShouldEqual, other.now.Add(holdFor))
+		convey.So(refused.Hold.Until, convey.ShouldEqual, other.now.Add(initialHold))
 		convey.So(other.log.String(), convey.ShouldContainSubstring, `"from":"10.0.0.1:80"`)
 		_, mine := other.Recent()
 		convey.So(mine, convey.ShouldEqual, sum)
-		convey.So(one.All().Requests[0].HeldMs, convey.ShouldEqual, holdFor.Milliseconds())
+		convey.So(one.All().Requests[0].HeldMs, convey.ShouldEqual, initialHold.Milliseconds())
 	})
 	convey.Convey("Members that hold other requests are asked at most once per second, members that hold none never", t, func() {
 		k := newTestKeeper()
 		convey.So(k.Compare(""), convey.ShouldBeFalse)
 		convey.So(k.Compare("1"), convey.ShouldBeTrue)
 		convey.So(k.Compare("1"), convey.ShouldBeFalse)
-		k.now = k.now.Add(compareInterval)
+		k.now = k.now.Add(syncInterval)
 		convey.So(k.Compare("1"), convey.ShouldBeTrue)
 	})
 	convey.Convey("Invalid reports are skipped", t, func() {
--- a/internal/gateway/quarantine/message.go
+++ b/internal/gateway/quarantine/message.go
@@ -6,9 +6,9 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// messagesOf converts entries to messages. Times are converted to ages, since the clocks of
+// toMessages converts entries to messages. Times are converted to ages, since the clocks of
 // members may differ.
-func messagesOf(now time.Time, entries []Entry) []message.SuspectRequest {
+func toMessages(now time.Time, entries []Entry) []message.SuspectRequest {
 	list := make([]message.SuspectRequest, len(entries))
 	for i, e := range entries {
 		list[i] = message.SuspectRequest{Digest: e.Digest.String(), Cleared: e.Cleared, Held: e.Held}
@@ -24,13 +24,13 @@
 	return list
 }
 
-// entriesFrom converts messages to entries. It skips invalid ones: a member of another
+// fromMessages converts messages to entries. It skips invalid ones: a member of another
 // version may use a different format, and losing one entry is acceptable.
-func entriesFrom(now time.Time, list []message.SuspectRequest) []Entry {
+func fromMessages(now time.Time, list []message.SuspectRequest) []Entry {
 	var entries []Entry
 	for _, m := range list {
-		digest, reads := ParseDigest(m.Digest)
-		if !reads || m.Cleared < 0 {
+		digest, ok := ParseDigest(m.Digest)
+		if !ok || m.Cleared < 0 {
 			continue
 		}
 		e := Entry{Digest: digest, Cleared: m.Cleared, Held: m.Held}
--- a/internal/gateway/quarantine/rule.go
+++ b/internal/gateway/quarantine/rule.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	// silentWeight is the weight of an incident in which a target crashed before any part
-	// of an answer, as a request that crashes its target at once does.
-	silentWeight = 2
-	// partWeight is the weight of an incident in which all targets had begun to answer. A
-	// request that ran for a while is less likely to be the cause.
-	partWeight = 1
-	// holdWeight is the weight at which a request is held: two silent incidents, or four
+	// silentIncidentWeight is the weight of an incident in which a target crashed before
+	// any part of an answer, as a request that crashes its target at once does.
+	silentIncidentWeight = 2
+	// partialIncidentWeight is the weight of an incident in which all targets had begun to
+	// answer. A request that ran for a while is less likely to be the cause.
+	partialIncidentWeight = 1
+	// holdThreshold is the weight at which a request is held: two silent incidents, or four
 	// others. If three silent ones were required, a poison request would crash 3.1 targets
 	// instead of 2.1, and 1,392 instead of 802 of 140,000 attempts of innocent requests
 	// would be lost in the crashes, while none is refused in either case. With only four
 	// targets, 9,615 instead of 4,433 would be lost, and 5 instead of 126 refused
 	// (TestFleetOverSeeds with 200 seeds).
-	holdWeight = 4
-	// togetherCount is the number of silent crashes at which a request is held even if all
-	// belong to one incident. Otherwise a poison request that arrives at many nodes at once
-	// would crash as many targets again when its callers retry.
-	togetherCount = 3
-	// clockError is the maximum difference between the times that two members report for
+	holdThreshold = 4
+	// silentCrashThreshold is the number of silent crashes at which a request is held even
+	// if all belong to one incident. Otherwise a poison request that arrives at many nodes
+	// at once would crash as many targets again when its callers retry.
+	silentCrashThreshold = 3
+	// maxReportSkew is the maximum difference between the times that two members report for
 	// one event, due to transmission time and rounding to milliseconds.
-	clockError = 5 * time.Millisecond
-	// holdFor is how long a request is held before it is tried again. It is long compared
-	// to the seconds in which targets restart and callers retry, and short for a caller
-	// whose request is held wrongly.
-	holdFor = time.Minute
-	// togetherHold replaces holdFor for a request that is held for a single incident, since
-	// a popular request may have been at all targets of a failed rack. Within this time
-	// targets have restarted, or others have answered the request.
-	togetherHold = 5 * time.Second
-	// holdGrowth multiplies the hold after each trial that crashed its target, so that a
-	// request that is sent all day crashes three more targets in its first two hours.
-	holdGrowth = 10
+	maxReportSkew = 5 * time.Millisecond
+	// initialHold is how long a request is held before it is tried again. It is long
+	// compared to the seconds in which targets restart and callers retry, and short for a
+	// caller whose request is held wrongly.
+	initialHold = time.Minute
+	// singleIncidentHold replaces initialHold for a request that is held for a single
+	// incident, since a popular request may have been at all targets of a failed rack.
+	// Within this time targets have restarted, or others have answered the request.
+	singleIncidentHold = 5 * time.Second
+	// holdBackoffFactor multiplies the hold after each trial that crashed its target, so
+	// that a request that is sent all day crashes three more targets in its first two
+	// hours.
+	holdBackoffFactor = 10
 	// maxHold is the maximum hold, at which such a request crashes one target per day.
 	maxHold = 24 * time.Hour
-	// suspectFor is how long crashes that do not suffice to hold a request are remembered.
-	// It is many times as long as callers keep retrying.
-	suspectFor = 10 * time.Minute
+	// suspicionTTL is how long crashes that do not suffice to hold a request are
+	// remembered. It is many times as long as callers keep retrying.
+	suspicionTTL = 10 * time.Minute
 )
 
-// suffices reports whether a request is held for crashes since it was last cleared.
+// warrantsHold reports whether a request is held for crashes since it was last cleared.
 //
 // Crashes are grouped into incidents: those of attempts that overlap in time count once,
 // with the highest weight. The failure of a rack or data centre crashes targets whatever
@@ -56,43 +57,43 @@
 //
 // A false positive refuses a harmless request as not run, for seconds up to a minute. A
 // false negative costs one more target.
-func suffices(crashes []Crash) bool {
-	return occasionsWeight(crashes) >= holdWeight || silentCount(crashes) >= togetherCount
+func warrantsHold(crashes []Crash) bool {
+	return totalWeight(crashes) >= holdThreshold || countSilent(crashes) >= silentCrashThreshold
 }
 
-// holdUntil returns the end of a held request's hold: togetherHold after the last crash if
-// all belong to one incident, holdFor otherwise. Each crash after the end of a hold is that
-// of a failed trial, and multiplies the duration by holdGrowth. This excludes the first two
-// crashes, which may be far apart.
+// holdUntil returns the end of a held request's hold: singleIncidentHold after the last
+// crash if all belong to one incident, initialHold otherwise. Each crash after the end of a
+// hold is that of a failed trial, and multiplies the duration by holdBackoffFactor. This
+// excludes the first two crashes, which may be far apart.
 func holdUntil(crashes []Crash) time.Time {
-	ordered := inOrder(crashes)
-	duration := holdFor
-	if occasionsWeight(crashes) < holdWeight {
-		duration = togetherHold
+	ordered := sortByTime(crashes)
+	duration := initialHold
+	if totalWeight(crashes) < holdThreshold {
+		duration = singleIncidentHold
 	}
 	var until time.Time
 	for i, c := range ordered {
 		if i >= 2 && c.At.After(until) {
-			duration = min(duration*holdGrowth, maxHold)
+			duration = min(duration*holdBackoffFactor, maxHold)
 		}
 		until = c.At.Add(duration)
 	}
 	return until
 }
 
-// occasionsWeight returns the sum of the weights of all incidents.
-func occasionsWeight(crashes []Crash) int {
+// totalWeight returns the sum of the weights of all incidents.
+func totalWeight(crashes []Crash) int {
 	weight := 0
-	for rest := inOrder(crashes); len(rest) > 0; {
-		var o []Crash
-		o, rest = cutOccasion(rest)
-		weight += weightOf(o)
+	for rest := sortByTime(crashes); len(rest) > 0; {
+		var incident []Crash
+		incident, rest = splitIncident(rest)
+		weight += incidentWeight(incident)
 	}
 	return weight
 }
 
-// silentCount returns the number of silent crashes.
-func silentCount(crashes []Crash) int {
+// countSilent returns the number of silent crashes.
+func countSilent(crashes []Crash) int {
 	n := 0
 	for _, c := range crashes {
 		if c.Silent {
@@ -102,26 +103,26 @@
 	return n
 }
 
-// inOrder returns the crashes sorted by the time at which their connections broke.
-func inOrder(crashes []Crash) []Crash {
+// sortByTime returns the crashes sorted by the time at which their connections broke.
+func sortByTime(crashes []Crash) []Crash {
 	return slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return a.At.Compare(b.At) })
 }
 
-// cutOccasion splits off the first incident from crashes in the order of their times: the
+// splitIncident splits off the first incident from crashes in the order of their times: the
 // crashes of attempts that had begun before the first connection broke.
-func cutOccasion(ordered []Crash) (occasion, rest []Crash) {
-	over := ordered[0].At.Add(-clockError)
+func splitIncident(ordered []Crash) (incident, rest []Crash) {
+	firstBreak := ordered[0].At.Add(-maxReportSkew)
 	n := 1
-	for n < len(ordered) && ordered[n].Began.Before(over) {
+	for n < len(ordered) && ordered[n].Began.Before(firstBreak) {
 		n++
 	}
 	return ordered[:n], ordered[n:]
 }
 
-// weightOf returns the weight of an incident.
-func weightOf(occasion []Crash) int {
-	if slices.ContainsFunc(occasion, func(c Crash) bool { return c.Silent }) {
-		return silentWeight
+// incidentWeight returns the weight of an incident.
+func incidentWeight(incident []Crash) int {
+	if slices.ContainsFunc(incident, func(c Crash) bool { return c.Silent }) {
+		return silentIncidentWeight
 	}
-	return partWeight
+	return partialIncidentWeight
 }
--- a/internal/gateway/quarantine/rule_test.go
+++ b/internal/gateway/quarantine/rule_test.go
@@ -24,14 +24,14 @@
 	return Crash{Target: target, Began: at(began), At: at(ended), Silent: true}
 }
 
-// partial returns a crash after a part of the answer had arrived.
-func partial(target string, began, ended int) Crash {
+// partialCrash returns a crash after a part of the answer had arrived.
+func partialCrash(target string, began, ended int) Crash {
 	c := crash(target, began, ended)
 	c.Silent = false
 	return c
 }
 
-func TestSuffices(t *testing.T) {
+func TestWarrantsHold(t *testing.T) {
 	convey.Convey("A request is held after two consecutive silent crashes, or four of targets that had begun to answer", t, func() {
 		for _, c := range []struct {
 			what    string
@@ -44,17 +44,17 @@
 			{"the same, hours later", []Crash{crash("a", 0, 100), crash("b", 8_000_000, 8_000_100)}, true},
 			{"two at once", []Crash{crash("a", 0, 100), crash("b", 20, 100)}, false},
 			{"three at once", []Crash{crash("a", 0, 100), crash("b", 20, 100), crash("c", 90, 101)}, true},
-			{"many at once that had begun to answer", []Crash{partial("a", 0, 100), partial("b", 20, 100), partial("c", 90, 101), partial("d", 50, 110)}, false},
+			{"many at once that had begun to answer", []Crash{partialCrash("a", 0, 100), partialCrash("b", 20, 100), partialCrash("c", 90, 101), partialCrash("d", 50, 110)}, false},
 			{"two in sequence, of overlapping attempts", []Crash{crash("a", 0, 100), crash("b", 50, 900)}, false},
-			{"a second one that overlaps by less than clockError", []Crash{crash("a", 0, 100), crash("b", 96, 200)}, true},
-			{"a silent one and one that had begun to answer", []Crash{crash("a", 0, 100), partial("b", 200, 300)}, false},
-			{"three that had begun to answer", []Crash{partial("a", 0, 1), partial("b", 10, 11), partial("c", 20, 21)}, false},
-			{"four that had begun to answer", []Crash{partial("a", 0, 1), partial("b", 10, 11), partial("c", 20, 21), partial("d", 30, 31)}, true},
+			{"a second one that overlaps by less than maxReportSkew", []Crash{crash("a", 0, 100), crash("b", 96, 200)}, true},
+			{"a silent one and one that had begun to answer", []Crash{crash("a", 0, 100), partialCrash("b", 200, 300)}, false},
+			{"three that had begun to answer", []Crash{partialCrash("a", 0, 1), partialCrash("b", 10, 11), partialCrash("c", 20, 21)}, false},
+			{"four that had begun to answer", []Crash{partialCrash("a", 0, 1), partialCrash("b", 10, 11), partialCrash("c", 20, 21), partialCrash("d", 30, 31)}, true},
 		} {
 			convey.Convey("with "+c.what, func() {
-				convey.So(suffices(c.crashes), convey.ShouldEqual, c.want)
+				convey.So(warrantsHold(c.crashes), convey.ShouldEqual, c.want)
 				slices.Reverse(c.crashes)
-				convey.So(suffices(c.crashes), convey.ShouldEqual, c.want)
+				convey.So(warrantsHold(c.crashes), convey.ShouldEqual, c.want)
 			})
 		}
 	})
@@ -116,13 +116,13 @@
 		other.Merge(now, again)
 		a, b := one.entries[1].Entry, other.entries[1].Entry
 		for _, e := range []Entry{a, b} {
-			if suffices(e.Crashes) && !e.Held {
+			if warrantsHold(e.Crashes) && !e.Held {
 				t.Fatalf("%+v is not held", e)
 			}
 		}
 		// Held may differ: a member may have decided by a part of the crashes.
 		a.Held, b.Held = true, true
-		if !a.same(b) || !a.last().Equal(b.last()) || !holdUntil(a.Crashes).Equal(holdUntil(b.Crashes)) {
+		if !a.equalExceptTimes(b) || !a.lastEvent().Equal(b.lastEvent()) || !holdUntil(a.Crashes).Equal(holdUntil(b.Crashes)) {
 			t.Fatalf("%+v differs from %+v", a, b)
 		}
 	})
--- a/internal/gateway/quarantine/table.go
+++ b/internal/gateway/quarantine/table.go
@@ -16,20 +16,20 @@
 	// together. Beyond it, entries are evicted in the order in which they would expire, so
 	// that held ones go last.
 	maxEntries = 1024
-	// shrinkBy is the number of entries that are evicted at once, so that the table is not
-	// sorted for every new entry.
-	shrinkBy = maxEntries / 8
-	// maxNews limits the entries in one exchange to the most recent ones, so that the
+	// evictionBatch is the number of entries that are evicted at once, so that the table is
+	// not sorted for every new entry.
+	evictionBatch = maxEntries / 8
+	// maxRecent limits the entries in one exchange to the most recent ones, so that the
 	// failure of a rack does not inflate gossip: 64 entries with one crash each take 3.7 KB
 	// in the compact encoding.
-	maxNews = 64
-	// newsFor is how long a change is included in gossip: six rounds, in each of which a
-	// node exchanges with at least two others, so that nearly all of hundreds of members
+	maxRecent = 64
+	// recentWindow is how long a change is included in gossip: six rounds, in each of which
+	// a node exchanges with at least two others, so that nearly all of hundreds of members
 	// receive it. The others get it by comparing HeldSum.
-	newsFor = 3 * time.Second
-	// trialPause is the minimum time between two trials of a request. A crash caused by the
-	// first trial is known by then.
-	trialPause = 10 * time.Second
+	recentWindow = 3 * time.Second
+	// minTrialInterval is the minimum time between two trials of a request. A crash caused
+	// by the first trial is known by then.
+	minTrialInterval = 10 * time.Second
 )
 
 // Hold describes why and for how long a request is held.
@@ -40,89 +40,89 @@
 	Crashes []Crash
 }
 
-// known is an entry with state that is local to this node.
-type known struct {
+// record is an entry with state that is local to this node.
+type record struct {
 	Entry
-	// learnt is when this node's entry last changed.
-	learnt time.Time
-	// tried is when this node last admitted a trial.
-	tried time.Time
+	// changedAt is when this node's entry last changed.
+	changedAt time.Time
+	// lastTrial is when this node last admitted a trial.
+	lastTrial time.Time
 }
 
 // Table holds one node's entries of suspected requests. It is not safe for concurrent use.
 type Table struct {
-	entries map[Digest]known
+	entries map[Digest]record
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{entries: map[Digest]known{}} }
+func NewTable() *Table { return &Table{entries: map[Digest]record{}} }
 
-// Crashed records that a target crashed while it had a request, and reports whether that
-// is new.
-func (t *Table) Crashed(now time.Time, d Digest, c Crash) bool {
+// RecordCrash records that a target crashed while it had a request, and reports whether
+// that is new.
+func (t *Table) RecordCrash(now time.Time, d Digest, c Crash) bool {
 	old := t.entries[d]
 	old.Digest = d
-	return t.put(now, old.withCrash(c))
+	return t.store(now, old.withCrash(c))
 }
 
-// Answered records that a target answered a request, and reports whether that cleared a
+// RecordAnswer records that a target answered a request, and reports whether that cleared a
 // suspected one.
-func (t *Table) Answered(now time.Time, d Digest) bool {
+func (t *Table) RecordAnswer(now time.Time, d Digest) bool {
 	old, suspected := t.entries[d]
 	if !suspected || len(old.Crashes) == 0 {
 		return false
 	}
-	return t.put(now, old.withAnswer(now))
+	return t.store(now, old.withAnswer(now))
 }
 
 // Merge merges another member's entries, and reports whether any of them is new.
 func (t *Table) Merge(now time.Time, entries []Entry) bool {
-	news := false
+	changed := false
 	for _, e := range entries {
 		merged := e
 		if old, has := t.entries[e.Digest]; has {
-			merged = old.merged(e)
+			merged = old.merge(e)
 		}
-		if t.put(now, merged) {
-			news = true
+		if t.store(now, merged) {
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// put stores an entry, and reports whether it differs from the known one in more than its
+// store stores an entry, and reports whether it differs from the known one in more than its
 // times. Expired entries are ignored.
-func (t *Table) put(now time.Time, e Entry) bool {
+func (t *Table) store(now time.Time, e Entry) bool {
 	old, has := t.entries[e.Digest]
-	if !now.Before(e.forgetAt()) {
+	if !now.Before(e.expiresAt()) {
 		return false
 	}
-	if has && old.same(e) {
+	if has && old.equalExceptTimes(e) {
 		old.Entry = e
 		t.entries[e.Digest] = old
 		return false
 	}
-	t.entries[e.Digest] = known{Entry: e, learnt: now, tried: old.tried}
-	t.shrink()
+	t.entries[e.Digest] = record{Entry: e, changedAt: now, lastTrial: old.lastTrial}
+	t.evict()
 	return true
 }
 
-// shrink evicts entries if there are more than maxEntries.
-func (t *Table) shrink() {
+// evict evicts entries if there are more than maxEntries.
+func (t *Table) evict() {
 	if len(t.entries) <= maxEntries {
 		return
 	}
-	list := slices.SortedFunc(maps.Values(t.entries), func(a, b known) int {
-		return cmp.Or(a.forgetAt().Compare(b.forgetAt()), cmp.Compare(a.Digest, b.Digest))
+	list := slices.SortedFunc(maps.Values(t.entries), func(a, b record) int {
+		return cmp.Or(a.expiresAt().Compare(b.expiresAt()), cmp.Compare(a.Digest, b.Digest))
 	})
-	for _, k := range list[:shrinkBy] {
+	for _, k := range list[:evictionBatch] {
 		delete(t.entries, k.Digest)
 	}
 }
 
 // Prune removes expired entries.
 func (t *Table) Prune(now time.Time) {
-	maps.DeleteFunc(t.entries, func(_ Digest, k known) bool { return !now.Before(k.forgetAt()) })
+	maps.DeleteFunc(t.entries, func(_ Digest, k record) bool { return !now.Before(k.expiresAt()) })
 }
 
 // Suspected reports whether targets crashed while they had a request and none has answered
@@ -139,46 +139,48 @@
 	return Hold{Until: holdUntil(e.Crashes), Crashes: e.Crashes}, true
 }
 
-// Try reports whether this node may try a held request now, and if so records the trial.
-// mayTry reports whether this node is the one that tries the request. It is called only
-// after the end of the hold.
-func (t *Table) Try(now time.Time, d Digest, mayTry func() bool) bool {
+// StartTrial reports whether this node may try a held request now, and if so records the
+// trial. mayTry reports whether this node is the one that tries the request. It is called
+// only after the end of the hold.
+func (t *Table) StartTrial(now time.Time, d Digest, mayTry func() bool) bool {
 	k := t.entries[d]
-	if !k.Held || now.Before(holdUntil(k.Crashes)) || now.Sub(k.tried) < trialPause || !mayTry() {
+	if !k.Held || now.Before(holdUntil(k.Crashes)) || now.Sub(k.lastTrial) < minTrialInterval || !mayTry() {
 		return false
 	}
-	k.tried = now
+	k.lastTrial = now
 	t.entries[d] = k
 	return true
 }
 
-// Recent returns the entries that changed recently, the newest first and at most maxNews.
+// Recent returns the entries that changed recently, the newest first and at most maxRecent.
 func (t *Table) Recent(now time.Time) []Entry {
-	var recent []known
+	var recent []record
 	for _, k := range t.entries {
-		if now.Sub(k.learnt) < newsFor {
+		if now.Sub(k.changedAt) < recentWindow {
 			recent = append(recent, k)
 		}
 	}
-	slices.SortFunc(recent, func(a, b known) int { return cmp.Or(b.learnt.Compare(a.learnt), cmp.Compare(a.Digest, b.Digest)) })
-	recent = recent[:min(len(recent), maxNews)]
+	slices.SortFunc(recent, func(a, b record) int {
+		return cmp.Or(b.changedAt.Compare(a.changedAt), cmp.Compare(a.Digest, b.Digest))
+	})
+	recent = recent[:min(len(recent), maxRecent)]
 	return entriesOf(recent)
 }
 
 // AllHeld returns the entries of all held requests, in the order of their digests.
 func (t *Table) AllHeld() []Entry {
-	var list []known
+	var list []record
 	for _, k := range t.entries {
 		if k.Held {
 			list = append(list, k)
 		}
 	}
-	slices.SortFunc(list, func(a, b known) int { return cmp.Compare(a.Digest, b.Digest) })
+	slices.SortFunc(list, func(a, b record) int { return cmp.Compare(a.Digest, b.Digest) })
 	return entriesOf(list)
 }
 
 // entriesOf returns the entries without their local state.
-func entriesOf(list []known) []Entry {
+func entriesOf(list []record) []Entry {
 	entries := make([]Entry, len(list))
 	for i, k := range list {
 		entries[i] = k.Entry
