--- a/internal/gateway/membership/earlierreaders_test.go
+++ b/internal/gateway/membership/earlierreaders_test.go
@@ -67,14 +67,14 @@
 	})
 	convey.Convey("A report forwarded by a member of an earlier version does not reset Epochs within an incarnation", t, func() {
 		r := membership.NewRoster("10.0.1.1:1", 1, nil)
-		heard := func(incarnation, beat int, epochs bool) bool {
+		mergeReport := func(incarnation, beat int, epochs bool) bool {
 			m := member("10.0.0.1:1", incarnation, beat)
 			m.Epochs = epochs
 			r.Merge(rosterStart, message.Gossip{Members: []message.GossipMember{m}})
 			return r.Members()[1].Epochs
 		}
-		convey.So(heard(1, 1, true), convey.ShouldBeTrue)
-		convey.So(heard(1, 2, false), convey.ShouldBeTrue)
-		convey.So(heard(2, 1, false), convey.ShouldBeFalse)
+		convey.So(mergeReport(1, 1, true), convey.ShouldBeTrue)
+		convey.So(mergeReport(1, 2, false), convey.ShouldBeTrue)
+		convey.So(mergeReport(2, 1, false), convey.ShouldBeFalse)
 	})
 }
--- a/internal/gateway/membership/eligibility.go
+++ b/internal/gateway/membership/eligibility.go
@@ -20,14 +20,14 @@
 	// other members, and suffices to give each of a dozen coordinated services its own
 	// member.
 	maxEligible = 24
-	// eligibleFor is how long the list of eligible members is cached while the roster
+	// eligibleCacheTTL is how long the list of eligible members is cached while the roster
 	// does not change. Every group of items and every prompt needs the list, which takes
 	// 0.1 ms to compute among 300 members. It is short compared to a heartbeat.
-	eligibleFor = 50 * time.Millisecond
+	eligibleCacheTTL = 50 * time.Millisecond
 )
 
-// eligibleMembers caches the eligible members as of a time.
-type eligibleMembers struct {
+// eligibleCache caches the eligible members as of a time.
+type eligibleCache struct {
 	list []string
 	at   time.Time
 }
@@ -46,23 +46,23 @@
 // The caller must not modify the list.
 func (r *Roster) Eligible(now time.Time) []string {
 	age := now.Sub(r.eligible.at)
-	if r.eligible.list == nil || age < 0 || age >= eligibleFor {
-		r.eligible = eligibleMembers{list: r.strongest(r.Serving(now)), at: now}
+	if r.eligible.list == nil || age < 0 || age >= eligibleCacheTTL {
+		r.eligible = eligibleCache{list: r.selectEligible(r.Serving(now)), at: now}
 	}
 	return r.eligible.list
 }
 
-// strongest returns the given members that have at least eligibleShare of the
+// selectEligible returns the given members that have at least eligibleShare of the
 // strongest one's capacity, at most maxEligible of them, in the order given. It reuses
 // the slice.
-func (r *Roster) strongest(members []string) []string {
-	most := 0
+func (r *Roster) selectEligible(members []string) []string {
+	maxCapacity := 0
 	for _, a := range members {
-		most = max(most, r.capacity(a))
+		maxCapacity = max(maxCapacity, r.capacity(a))
 	}
-	least := int(eligibleShare * float64(most))
-	members = slices.DeleteFunc(members, func(a string) bool { return r.capacity(a) < least })
-	return r.firstByWeight(members, maxEligible)
+	minCapacity := int(eligibleShare * float64(maxCapacity))
+	members = slices.DeleteFunc(members, func(a string) bool { return r.capacity(a) < minCapacity })
+	return r.topByWeight(members, maxEligible)
 }
 
 // capacity returns the capacity of a member in thousandths of a core; 0 if unknown.
@@ -70,12 +70,12 @@
 	if address == r.self.Address {
 		return r.self.Capacity
 	}
-	return r.known[address].Capacity
+	return r.others[address].Capacity
 }
 
-// firstByWeight returns the n members with the highest weights, in the order given. It
+// topByWeight returns the n members with the highest weights, in the order given. It
 // reuses the slice.
-func (r *Roster) firstByWeight(members []string, n int) []string {
+func (r *Roster) topByWeight(members []string, n int) []string {
 	if len(members) <= n {
 		return members
 	}
@@ -84,8 +84,8 @@
 		weights[i] = r.weight(a)
 	}
 	slices.Sort(weights)
-	least := weights[len(weights)-n]
-	return slices.DeleteFunc(members, func(a string) bool { return r.weight(a) < least })
+	minWeight := weights[len(weights)-n]
+	return slices.DeleteFunc(members, func(a string) bool { return r.weight(a) < minWeight })
 }
 
 // weight returns the weight by which a member is selected as eligible or as a reader.
@@ -93,7 +93,7 @@
 	if address == r.self.Address {
 		return r.ownWeight
 	}
-	return r.known[address].weight
+	return r.others[address].weight
 }
 
 // weightOf computes a member's weight from its address, with the same result at every
--- a/internal/gateway/membership/exchange.go
+++ b/internal/gateway/membership/exchange.go
@@ -8,45 +8,46 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// maxGossip limits the other members reported in one exchange, so that the message does
+// maxReported limits the other members reported in one exchange, so that the message does
 // not grow with the fleet: 40 members take about 5 KB. It exceeds maxEligible because
 // each exchange reports all eligible members.
-const maxGossip = 40
+const maxReported = 40
 
 // Gossip returns the message for an exchange with another member: this member and up
-// to maxGossip others that are live or leaving. The strongest members, which do or just
+// to maxReported others that are live or leaving. The strongest members, which do or just
 // did work for the fleet, are always included; the rest are chosen at random.
 //
 // If the eligible members were chosen at random too, a heartbeat would need nine rounds
-// (4.3 s) to reach 300 members. That exceeds liveFor, so that at any moment many members
-// would consider running ones lost (TestManyMembersAgree).
+// (4.3 s) to reach 300 members. That exceeds liveTimeout, so that at any moment many
+// members would consider running ones lost (TestManyMembersAgree).
 func (r *Roster) Gossip(now time.Time) message.Gossip {
-	reported := make([]string, 0, len(r.known))
-	for a, e := range r.known {
-		if live(now, e) || e.Leaving {
+	reported := make([]string, 0, len(r.others))
+	for a, e := range r.others {
+		if isLive(now, e) || e.Leaving {
 			reported = append(reported, a)
 		}
 	}
 	rand.Shuffle(len(reported), func(i, j int) { reported[i], reported[j] = reported[j], reported[i] })
-	if len(reported) > maxGossip {
-		reported = r.strongestFirst(reported)[:maxGossip]
+	if len(reported) > maxReported {
+		reported = r.eligibleFirst(reported)[:maxReported]
 	}
 	g := message.Gossip{Members: []message.GossipMember{r.self}}
 	for _, a := range reported {
-		g.Members = append(g.Members, r.known[a].GossipMember)
+		g.Members = append(g.Members, r.others[a].GossipMember)
 	}
 	return g
 }
 
-// strongestFirst moves the strongest members to the front and otherwise keeps the order.
-func (r *Roster) strongestFirst(members []string) []string {
-	strongest := r.strongest(slices.Clone(members))
-	isStrongest := make(map[string]bool, len(strongest))
-	for _, a := range strongest {
-		isStrongest[a] = true
+// eligibleFirst moves the members that selectEligible returns to the front and otherwise
+// keeps the order.
+func (r *Roster) eligibleFirst(members []string) []string {
+	eligible := r.selectEligible(slices.Clone(members))
+	isEligible := make(map[string]bool, len(eligible))
+	for _, a := range eligible {
+		isEligible[a] = true
 	}
-	others := slices.DeleteFunc(members, func(a string) bool { return isStrongest[a] })
-	return slices.Concat(strongest, others)
+	others := slices.DeleteFunc(members, func(a string) bool { return isEligible[a] })
+	return slices.Concat(eligible, others)
 }
 
 // Partners returns the members to exchange gossip with: up to n live members, of which
@@ -55,8 +56,8 @@
 // collects at the eligible ones, which are one round away from every member.
 func (r *Roster) Partners(now time.Time, n int) []string {
 	var alive, missing []string
-	for a, e := range r.known {
-		if live(now, e) {
+	for a, e := range r.others {
+		if isLive(now, e) {
 			alive = append(alive, a)
 		}
 	}
--- a/internal/gateway/membership/fleet_test.go
+++ b/internal/gateway/membership/fleet_test.go
@@ -27,10 +27,10 @@
 
 // fleet simulates many members that gossip with each other.
 type fleet struct {
-	rnd   *rand.Rand
-	now   time.Time
-	nodes []*fleetNode
-	at    map[string]*fleetNode
+	rng       *rand.Rand
+	now       time.Time
+	nodes     []*fleetNode
+	byAddress map[string]*fleetNode
 }
 
 // fleetNode is one member of a fleet.
@@ -38,18 +38,18 @@
 	*membership.Roster
 	address string
 	next    time.Time
-	// down members neither call nor answer; cut ones run but reach no other member.
-	down, cut bool
+	// down members neither call nor answer; partitioned ones run but reach no other member.
+	down, partitioned bool
 }
 
 // newFleet returns a fleet whose members know only three seeds. The first strong members
 // have ten times the capacity of the others.
 func newFleet(seed uint64, size, strong int) *fleet {
-	f := &fleet{rnd: rand.New(rand.NewPCG(seed, seed)), now: rosterStart, at: map[string]*fleetNode{}}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, seed)), now: rosterStart, byAddress: map[string]*fleetNode{}}
 	for i := range size {
 		n := &fleetNode{address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)}
 		f.nodes = append(f.nodes, n)
-		f.at[n.address] = n
+		f.byAddress[n.address] = n
 		f.start(n, capacityOfFleetNode(i, strong))
 	}
 	return f
@@ -69,7 +69,7 @@
 	n.Roster = membership.NewRoster(n.address, f.now.UnixNano(), seeds)
 	n.SetCapacity(capacity)
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
-	n.next = f.now.Add(time.Duration(f.rnd.Int64N(int64(fleetRound))))
+	n.next = f.now.Add(time.Duration(f.rng.Int64N(int64(fleetRound))))
 	n.down = false
 }
 
@@ -101,8 +101,8 @@
 	n.Heartbeat()
 	n.Forget(f.now)
 	for _, address := range n.Partners(f.now, fleetPartners) {
-		partner := f.at[address]
-		if partner.down || partner.cut || n.cut {
+		partner := f.byAddress[address]
+		if partner.down || partner.partitioned || n.partitioned {
 			continue
 		}
 		partner.Merge(f.now, n.Gossip(f.now))
@@ -116,7 +116,7 @@
 func (f *fleet) agree() bool {
 	var first []string
 	for i, n := range f.nodes {
-		if n.down || n.cut || i%agreeSample != 0 {
+		if n.down || n.partitioned || i%agreeSample != 0 {
 			continue
 		}
 		eligible := n.Eligible(f.now)
@@ -130,12 +130,12 @@
 	return true
 }
 
-// untilAgreed returns how long it takes until all members agree permanently. It simulates
-// limit and two more seconds.
-func (f *fleet) untilAgreed(limit time.Duration) time.Duration {
-	const settled = 2 * time.Second
+// timeToAgreement returns how long it takes until all members agree permanently. It
+// simulates limit and two more seconds.
+func (f *fleet) timeToAgreement(limit time.Duration) time.Duration {
+	const settleTime = 2 * time.Second
 	begun, since := f.now, f.now
-	f.run(limit+settled, func() {
+	f.run(limit+settleTime, func() {
 		if !f.agree() {
 			since = f.now
 		}
@@ -150,8 +150,8 @@
 	return f
 }
 
-// shouldAgreeThroughout asserts that all members agree at every step of a duration.
-func shouldAgreeThroughout(f *fleet, d time.Duration) {
+// assertAgreeThroughout asserts that all members agree at every step of a duration.
+func assertAgreeThroughout(f *fleet, d time.Duration) {
 	disagreed := 0
 	f.run(d, func() {
 		if !f.agree() {
@@ -161,9 +161,9 @@
 	convey.So(disagreed, convey.ShouldEqual, 0)
 }
 
-// shouldAgreeWithin asserts that all members agree from limit on.
-func shouldAgreeWithin(f *fleet, limit time.Duration) {
-	convey.So(f.untilAgreed(limit+time.Second), convey.ShouldBeLessThanOrEqualTo, limit)
+// assertAgreeWithin asserts that all members agree from limit on.
+func assertAgreeWithin(f *fleet, limit time.Duration) {
+	convey.So(f.timeToAgreement(limit+time.Second), convey.ShouldBeLessThanOrEqualTo, limit)
 }
 
 // TestManyMembersAgree checks that hundreds of members agree on the eligible ones without
@@ -176,37 +176,37 @@
 		eligible := f.nodes[0].Eligible(f.now)
 		convey.So(eligible, convey.ShouldHaveLength, strong)
 		convey.Convey("all agree without faults, and count at least 98% of the members", func() {
-			shouldAgreeThroughout(f, 10*time.Second)
+			assertAgreeThroughout(f, 10*time.Second)
 			for _, n := range f.nodes {
 				convey.So(n.Size(f.now), convey.ShouldBeBetweenOrEqual, size*98/100, size)
 			}
 		})
 		convey.Convey("all agree within 5 s of the failure of half of the eligible members", func() {
 			for i, address := range eligible {
-				f.at[address].down = i%2 == 0
+				f.byAddress[address].down = i%2 == 0
 			}
-			shouldAgreeWithin(f, 5*time.Second)
+			assertAgreeWithin(f, 5*time.Second)
 		})
 		convey.Convey("all agree within 5 s of the failure of all eligible members", func() {
 			for _, address := range eligible {
-				f.at[address].down = true
+				f.byAddress[address].down = true
 			}
-			shouldAgreeWithin(f, 5*time.Second)
+			assertAgreeWithin(f, 5*time.Second)
 		})
 		convey.Convey("all agree within 3 s of the return of an eligible member that was cut off", func() {
-			f.at[eligible[0]].cut = true
+			f.byAddress[eligible[0]].partitioned = true
 			f.run(6*time.Second, nil)
-			f.at[eligible[0]].cut = false
-			shouldAgreeWithin(f, 3*time.Second)
+			f.byAddress[eligible[0]].partitioned = false
+			assertAgreeWithin(f, 3*time.Second)
 		})
 		convey.Convey("all agree within 3 s of a simultaneous restart", func() {
 			f.restart(strong)
-			shouldAgreeWithin(f, 3*time.Second)
+			assertAgreeWithin(f, 3*time.Second)
 		})
 	})
 	convey.Convey("A fleet of 300 equal members agrees on the same few eligible ones", t, func() {
 		f := startedFleet(size, size)
 		convey.So(len(f.nodes[0].Eligible(f.now)), convey.ShouldBeLessThan, size/10)
-		shouldAgreeThroughout(f, 4*time.Second)
+		assertAgreeThroughout(f, 4*time.Second)
 	})
 }
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -9,71 +9,72 @@
 // Timeouts for silent members. They are multiples of the gateway's heartbeat interval
 // (gossipInterval, 500 ms), and timeouts_test.go checks how they relate:
 //
-//	heartbeat 500 ms < suspectFor 1.5 s < liveFor 2.5 s < forgetAfter 30 s
+//	heartbeat 500 ms < suspicionTimeout 1.5 s < liveTimeout 2.5 s < dropTimeout 30 s
 //
-// A report may need several exchanges to reach every member, so liveFor allows five
+// A report may need several exchanges to reach every member, so liveTimeout allows five
 // heartbeats. A suspicion lasts three, in which a running member is expected to be
-// reported again; only liveFor decides whether it has failed. Members keep reporting a
-// silent member until they no longer consider it live, so forgetAfter must be many times
-// liveFor: such a report would make a member that is dropped earlier live again.
+// reported again; only liveTimeout decides whether it has failed. Members keep reporting a
+// silent member until they no longer consider it live, so dropTimeout must be many times
+// liveTimeout: such a report would make a member that is dropped earlier live again.
 const (
-	// liveFor is how long a member is considered live after its last sign of life.
+	// liveTimeout is how long a member is considered live after its last sign of life.
 	// Doubling it doubles the time to detect a failed coordinator; halving it would take
 	// members for failed that missed two rounds.
-	liveFor = 2500 * time.Millisecond
-	// suspectFor is how long a member that failed a call is avoided, unless gossip
+	liveTimeout = 2500 * time.Millisecond
+	// suspicionTimeout is how long a member that failed a call is avoided, unless gossip
 	// reports a newer heartbeat: three heartbeats.
-	suspectFor = 1500 * time.Millisecond
-	// forgetAfter is how long a silent member stays in the roster: twelve times liveFor.
-	forgetAfter = 30 * time.Second
-	// countedFor replaces liveFor in Size if one exchange cannot report all members. A
-	// randomly selected report about one of 300 members takes longer than 10 s to reach
+	suspicionTimeout = 1500 * time.Millisecond
+	// dropTimeout is how long a silent member stays in the roster: twelve times
+	// liveTimeout.
+	dropTimeout = 30 * time.Second
+	// countTimeout replaces liveTimeout in Size if one exchange cannot report all members.
+	// A randomly selected report about one of 300 members takes longer than 10 s to reach
 	// one in 25 of them. If the count is too low, each node opens more connections to a
 	// target than its share.
-	countedFor = 15 * time.Second
-	// settleFor is the time from a member's first contact with another until its roster is
+	countTimeout = 15 * time.Second
+	// settleTime is the time from a member's first contact with another until its roster is
 	// expected to match those of the others: 300 members agree on the eligible ones within
 	// 3 s of a simultaneous start (TestManyMembersAgree).
-	settleFor = 3 * time.Second
-	// settledShare is the minimum share of the peak number of members that a settled
+	settleTime = 3 * time.Second
+	// minSettledShare is the minimum share of the peak number of members that a settled
 	// member sees. Without faults, a member of a fleet of 300 sees 0.47 of it at any
 	// moment, as an exchange does not report all members. A share of one half would
 	// therefore take it for partitioned.
-	settledShare = 1.0 / 3
+	minSettledShare = 1.0 / 3
 )
 
-// live reports whether a member gave a sign of life within liveFor, by this node's clock.
-// A false positive costs calls to a failed member, each of which times out. A false
+// isLive reports whether a member gave a sign of life within liveTimeout, by this node's
+// clock. A false positive costs calls to a failed member, each of which times out. A false
 // negative hands the member's coordination to another one, so that two do the same work.
-func live(now time.Time, e rosterEntry) bool {
-	return now.Sub(e.advanced) <= liveFor
+func isLive(now time.Time, e rosterEntry) bool {
+	return now.Sub(e.lastSeen) <= liveTimeout
 }
 
-// Suspect excludes a member that failed a call from Serving for suspectFor.
+// Suspect excludes a member that failed a call from Serving for suspicionTimeout.
 func (r *Roster) Suspect(now time.Time, address string) {
-	r.changed()
-	if e, known := r.known[address]; known {
-		e.suspectUntil = now.Add(suspectFor)
-		r.known[address] = e
+	r.invalidateCache()
+	if e, known := r.others[address]; known {
+		e.suspectedUntil = now.Add(suspicionTimeout)
+		r.others[address] = e
 	}
 }
 
 // Contacted records that a member answered this node. It does not end a suspicion.
 func (r *Roster) Contacted(now time.Time, address string) {
-	r.changed()
-	if e, known := r.known[address]; known {
-		e.advanced = now
-		r.known[address] = e
+	r.invalidateCache()
+	if e, known := r.others[address]; known {
+		e.lastSeen = now
+		r.others[address] = e
 	}
 }
 
 // LastContact returns the time of a member's last sign of life; zero if there was none.
-func (r *Roster) LastContact(address string) time.Time { return r.known[address].advanced }
+func (r *Roster) LastContact(address string) time.Time { return r.others[address].lastSeen }
 
-// Forget drops the members that have been silent for longer than forgetAfter.
+// Forget drops the members that have been silent for longer than dropTimeout.
 func (r *Roster) Forget(now time.Time) {
-	r.changed()
-	maps.DeleteFunc(r.known, func(_ string, e rosterEntry) bool { return now.Sub(e.advanced) > forgetAfter })
+	r.invalidateCache()
+	maps.DeleteFunc(r.others, func(_ string, e rosterEntry) bool { return now.Sub(e.lastSeen) > dropTimeout })
 }
 
 // Serving returns the members that accept work, possibly including this one, in the
@@ -84,8 +85,8 @@
 	if r.self.Serving && !r.self.Leaving {
 		list = append(list, r.self.Address)
 	}
-	for a, e := range r.known {
-		if e.Serving && !e.Leaving && live(now, e) && !now.Before(e.suspectUntil) {
+	for a, e := range r.others {
+		if e.Serving && !e.Leaving && isLive(now, e) && !now.Before(e.suspectedUntil) {
 			list = append(list, a)
 		}
 	}
@@ -93,31 +94,31 @@
 	return list
 }
 
-// Settled reports whether this member's view of the fleet is complete enough to allocate
-// a scarce resource, such as the requests that a cold target can handle. The member must
-// have known others for settleFor and see settledShare of them, or know no others and have
+// Settled reports whether this member's view of the fleet is complete enough to allocate a
+// scarce resource, such as the requests that a cold target can handle. The member must have
+// known others for settleTime and see minSettledShare of them, or know no others and have
 // no seeds. A false positive lets both sides of a partition allocate the same resource; a
 // false negative leaves the resource unused for a few seconds.
 func (r *Roster) Settled(now time.Time) bool {
 	if r.firstContact.IsZero() {
 		return len(r.seeds) == 0
 	}
-	if now.Sub(r.firstContact) < settleFor {
+	if now.Sub(r.firstContact) < settleTime {
 		return false
 	}
-	return float64(len(r.Serving(now))) >= settledShare*float64(r.PeakSize())
+	return float64(len(r.Serving(now))) >= minSettledShare*float64(r.PeakSize())
 }
 
 // Size returns the number of running members, including this one: those that are live or,
-// if one exchange cannot report all members, gave a sign of life within countedFor.
+// if one exchange cannot report all members, gave a sign of life within countTimeout.
 func (r *Roster) Size(now time.Time) int {
-	counted := liveFor
-	if len(r.known) > maxGossip {
-		counted = countedFor
+	timeout := liveTimeout
+	if len(r.others) > maxReported {
+		timeout = countTimeout
 	}
 	n := 1
-	for _, e := range r.known {
-		if now.Sub(e.advanced) <= counted {
+	for _, e := range r.others {
+		if now.Sub(e.lastSeen) <= timeout {
 			n++
 		}
 	}
--- a/internal/gateway/membership/newest.go
+++ b/internal/gateway/membership/newest.go
@@ -9,8 +9,8 @@
 func (r *Roster) Newest(now time.Time, version, revision int64) string {
 	newest := ""
 	bestVersion, bestRevision := int(version), int(revision)
-	for a, e := range r.known {
-		if !live(now, e) || e.Version < bestVersion {
+	for a, e := range r.others {
+		if !isLive(now, e) || e.Version < bestVersion {
 			continue
 		}
 		if e.Version > bestVersion || e.Revision > bestRevision {
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -16,13 +16,13 @@
 //
 // A Roster is not safe for concurrent use.
 type Roster struct {
-	self  message.GossipMember
-	known map[string]rosterEntry
-	seeds []string
+	self   message.GossipMember
+	others map[string]rosterEntry
+	seeds  []string
 	// ownWeight caches weightOf this member's address.
 	ownWeight uint64
 	// eligible is invalidated when the roster changes.
-	eligible eligibleMembers
+	eligible eligibleCache
 	// peak is the highest Size after any Merge.
 	peak int
 	// firstContact is the time of the first gossip from another member; zero for none.
@@ -32,11 +32,11 @@
 // rosterEntry is the state of one other member.
 type rosterEntry struct {
 	message.GossipMember
-	// advanced is the time of the member's last sign of life, by this node's clock: its
+	// lastSeen is the time of the member's last sign of life, by this node's clock: its
 	// counter increased, or it answered this node.
-	advanced time.Time
-	// suspectUntil is the end of the member's suspicion; zero if it was never suspected.
-	suspectUntil time.Time
+	lastSeen time.Time
+	// suspectedUntil is the end of the member's suspicion; zero if it was never suspected.
+	suspectedUntil time.Time
 	// weight caches weightOf the member's address.
 	weight uint64
 }
@@ -46,8 +46,8 @@
 // start of the member.
 func NewRoster(self string, incarnation int64, seeds []string) *Roster {
 	r := &Roster{
-		self:  message.GossipMember{Address: self, Incarnation: int(incarnation), Compact: true, Epochs: true},
-		known: map[string]rosterEntry{}, ownWeight: weightOf(self),
+		self:   message.GossipMember{Address: self, Incarnation: int(incarnation), Compact: true, Epochs: true},
+		others: map[string]rosterEntry{}, ownWeight: weightOf(self),
 	}
 	r.SetSeeds(seeds)
 	return r
@@ -73,7 +73,7 @@
 
 // SetStatus sets the state that this member reports about itself.
 func (r *Roster) SetStatus(s Status) {
-	r.changed()
+	r.invalidateCache()
 	r.self.Serving = s.Serving
 	r.self.Leaving = s.Leaving
 	r.self.Hears = s.ReachesSource
@@ -84,12 +84,12 @@
 // SetCapacity sets this member's capacity for work that one member does for the fleet,
 // in thousandths of a core; 0 if unknown.
 func (r *Roster) SetCapacity(capacity int) {
-	r.changed()
+	r.invalidateCache()
 	r.self.Capacity = capacity
 }
 
-// changed invalidates what was derived from the roster.
-func (r *Roster) changed() { r.eligible = eligibleMembers{} }
+// invalidateCache invalidates what was derived from the roster.
+func (r *Roster) invalidateCache() { r.eligible = eligibleCache{} }
 
 // Heartbeat increments this member's heartbeat counter.
 func (r *Roster) Heartbeat() { r.self.Beat++ }
@@ -97,7 +97,7 @@
 // Merge merges the gossip of another member. A report that is newer than the known one
 // is a sign of life and ends a suspicion.
 func (r *Roster) Merge(now time.Time, g message.Gossip) {
-	r.changed()
+	r.invalidateCache()
 	if r.firstContact.IsZero() {
 		r.firstContact = now
 	}
@@ -106,18 +106,18 @@
 			r.refute(m)
 			continue
 		}
-		old, known := r.known[m.Address]
+		old, known := r.others[m.Address]
 		if known && compareMembers(m, old.GossipMember) <= 0 {
 			continue
 		}
 		// Members of an earlier version forward reports without the fields that they do not
 		// know.
 		m.Epochs = m.Epochs || old.Epochs && old.Incarnation == m.Incarnation
-		e := rosterEntry{GossipMember: m, advanced: now, weight: old.weight}
+		e := rosterEntry{GossipMember: m, lastSeen: now, weight: old.weight}
 		if !known {
 			e.weight = weightOf(m.Address)
 		}
-		r.known[m.Address] = e
+		r.others[m.Address] = e
 	}
 	r.peak = max(r.peak, r.Size(now))
 }
@@ -136,17 +136,17 @@
 }
 
 // VersionOf returns the version of a member's catalog; 0 if unknown.
-func (r *Roster) VersionOf(address string) int { return r.known[address].Version }
+func (r *Roster) VersionOf(address string) int { return r.others[address].Version }
 
 // ReadsCompact reports whether a member supports the compact encoding of gossip.
-func (r *Roster) ReadsCompact(address string) bool { return r.known[address].Compact }
+func (r *Roster) ReadsCompact(address string) bool { return r.others[address].Compact }
 
 // Members returns all known members, this one first and the others in the order of their
 // addresses, for the state dump.
 func (r *Roster) Members() []message.GossipMember {
 	list := []message.GossipMember{r.self}
-	for _, a := range slices.Sorted(maps.Keys(r.known)) {
-		list = append(list, r.known[a].GossipMember)
+	for _, a := range slices.Sorted(maps.Keys(r.others)) {
+		list = append(list, r.others[a].GossipMember)
 	}
 	return list
 }
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -148,12 +148,12 @@
 		convey.So(r.Eligible(rosterStart), convey.ShouldResemble, []string{"a", "self"})
 	})
 	convey.Convey("In a large fleet the eligible members read the source, and others only if those are too few", t, func() {
-		readers := func(strongOnes int) (strongReaders, all int) {
+		readers := func(strongCount int) (strongReaders, all int) {
 			for self := range 80 {
 				r := membership.NewRoster("", 1, nil)
 				for i := range 80 {
 					capacity := 40
-					if i < strongOnes {
+					if i < strongCount {
 						capacity = 800
 					}
 					name := fmt.Sprint("m", i)
@@ -165,14 +165,14 @@
 				}
 				for i := range 80 {
 					capacity := 40
-					if i < strongOnes {
+					if i < strongCount {
 						capacity = 800
 					}
 					r.Merge(rosterStart, gossip(strong(fmt.Sprint("m", i), capacity)))
 				}
 				if r.IsReader(rosterStart) {
 					all++
-					if self < strongOnes {
+					if self < strongCount {
 						strongReaders++
 					}
 				}
@@ -189,13 +189,13 @@
 }
 
 func TestRosterFollows(t *testing.T) {
-	roster := func(hearing bool) *membership.Roster {
+	roster := func(reachesSource bool) *membership.Roster {
 		r := membership.NewRoster("self", 1, nil)
 		r.SetStatus(membership.Status{Serving: true, Version: 1, Revision: 1})
 		r.SetCapacity(40)
 		for i := range 20 {
 			m := member(fmt.Sprint("m", i), 1, 1)
-			m.Capacity, m.Hears = 800, hearing
+			m.Capacity, m.Hears = 800, reachesSource
 			r.Merge(rosterStart, gossip(m))
 		}
 		return r
--- a/internal/gateway/membership/rules_test.go
+++ b/internal/gateway/membership/rules_test.go
@@ -19,8 +19,8 @@
 	return r
 }
 
-// with returns a modified copy of a member.
-func with(m message.GossipMember, change func(*message.GossipMember)) message.GossipMember {
+// modified returns a modified copy of a member.
+func modified(m message.GossipMember, change func(*message.GossipMember)) message.GossipMember {
 	change(&m)
 	return m
 }
@@ -28,7 +28,7 @@
 // TestServingTable checks the conditions under which a member counts as serving.
 func TestServingTable(t *testing.T) {
 	a := member("a", 1, 1)
-	heard := func(*membership.Roster) {}
+	unchanged := func(*membership.Roster) {}
 	cases := []struct {
 		why    string
 		member message.GossipMember
@@ -36,11 +36,11 @@
 		after  time.Duration
 		want   bool
 	}{
-		{"last seen 2.5 s ago serves", a, heard, 2500 * time.Millisecond, true},
-		{"last seen longer ago does not", a, heard, 2501 * time.Millisecond, false},
+		{"last seen 2.5 s ago serves", a, unchanged, 2500 * time.Millisecond, true},
+		{"last seen longer ago does not", a, unchanged, 2501 * time.Millisecond, false},
 		{"that has answered since serves", a, func(r *membership.Roster) { r.Contacted(rosterStart.Add(time.Second), "a") }, 3 * time.Second, true},
-		{"without a configuration does not", with(a, func(m *message.GossipMember) { m.Serving = false }), heard, 0, false},
-		{"that is leaving does not", with(a, func(m *message.GossipMember) { m.Leaving = true }), heard, 0, false},
+		{"without a configuration does not", modified(a, func(m *message.GossipMember) { m.Serving = false }), unchanged, 0, false},
+		{"that is leaving does not", modified(a, func(m *message.GossipMember) { m.Leaving = true }), unchanged, 0, false},
 		{"that failed a call does not", a, func(r *membership.Roster) { r.Suspect(rosterStart, "a") }, 1499 * time.Millisecond, false},
 		{"that failed a call 1.5 s ago serves", a, func(r *membership.Roster) { r.Suspect(rosterStart, "a") }, 1500 * time.Millisecond, true},
 		{"that failed a call and is reported again serves", a, func(r *membership.Roster) {
@@ -93,8 +93,8 @@
 		for _, c := range cases {
 			convey.Convey(c.why, func() {
 				r := roster(
-					with(member("a", 1, 1), func(m *message.GossipMember) { m.Capacity = c.a }),
-					with(member("b", 1, 1), func(m *message.GossipMember) { m.Capacity = c.b }),
+					modified(member("a", 1, 1), func(m *message.GossipMember) { m.Capacity = c.a }),
+					modified(member("b", 1, 1), func(m *message.GossipMember) { m.Capacity = c.b }),
 				)
 				r.SetCapacity(c.own)
 				r.Suspect(rosterStart, c.suspectedMember)
@@ -131,7 +131,7 @@
 // TestNewestTable checks which member is asked for newer state.
 func TestNewestTable(t *testing.T) {
 	knows := func(address string, version, revision int) message.GossipMember {
-		return with(member(address, 1, 1), func(m *message.GossipMember) { m.Version, m.Revision = version, revision })
+		return modified(member(address, 1, 1), func(m *message.GossipMember) { m.Version, m.Revision = version, revision })
 	}
 	convey.Convey("Among members with newer state", t, func() {
 		r := roster(knows("a", 4, 5), knows("b", 3, 90), knows("c", 4, 6))
--- a/internal/gateway/membership/settled_test.go
+++ b/internal/gateway/membership/settled_test.go
@@ -9,8 +9,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/membership"
 )
 
-// settled returns the number of settled members of a fleet.
-func settled(f *fleet) int {
+// countSettled returns the number of settled members of a fleet.
+func countSettled(f *fleet) int {
 	count := 0
 	for _, n := range f.nodes {
 		if n.Settled(f.now) {
@@ -25,23 +25,23 @@
 	convey.Convey("In a fleet of 60 members", t, func() {
 		f := startedFleet(size, 8)
 		convey.Convey("all are settled some seconds after the start", func() {
-			convey.So(settled(f), convey.ShouldEqual, size)
+			convey.So(countSettled(f), convey.ShouldEqual, size)
 		})
 		convey.Convey("none is settled 2 s after a simultaneous restart, and all are after 5 s", func() {
 			f.restart(8)
 			f.run(2*time.Second, nil)
-			convey.So(settled(f), convey.ShouldEqual, 0)
+			convey.So(countSettled(f), convey.ShouldEqual, 0)
 			f.run(3*time.Second, nil)
-			convey.So(settled(f), convey.ShouldEqual, size)
+			convey.So(countSettled(f), convey.ShouldEqual, size)
 		})
 		convey.Convey("one that is cut off is not settled until its return", func() {
-			alone := f.nodes[5]
-			alone.cut = true
+			isolated := f.nodes[5]
+			isolated.partitioned = true
 			f.run(3*time.Second, nil)
-			convey.So(alone.Settled(f.now), convey.ShouldBeFalse)
-			alone.cut = false
+			convey.So(isolated.Settled(f.now), convey.ShouldBeFalse)
+			isolated.partitioned = false
 			f.run(3*time.Second, nil)
-			convey.So(alone.Settled(f.now), convey.ShouldBeTrue)
+			convey.So(isolated.Settled(f.now), convey.ShouldBeTrue)
 		})
 		convey.Convey("all remaining members are settled after the failure of half", func() {
 			for i, n := range f.nodes {
