--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -80,12 +80,12 @@
 	for _, t := range targets {
 		d.targets[t.ID] = t
 	}
-	return d.indexed()
+	return d.buildIndex()
 }
 
-// indexed rebuilds the index by service, marks the evacuated targets and returns d. It may
+// buildIndex rebuilds the index by service, marks the evacuated targets and returns d. It may
 // only be called before the directory is shared.
-func (d *Directory) indexed() *Directory {
+func (d *Directory) buildIndex() *Directory {
 	d.services = make(map[string][]Target)
 	for id, t := range d.targets {
 		t.Evacuated = d.evacuated[t.DataCentre]
@@ -112,8 +112,8 @@
 	return e.Directory()
 }
 
-// WithTime returns the directory after Edit.Expire at the given time.
-func (d *Directory) WithTime(now time.Time) *Directory {
+// WithExpired returns the directory after Edit.Expire at the given time.
+func (d *Directory) WithExpired(now time.Time) *Directory {
 	e := d.Edit()
 	e.Expire(now)
 	return e.Directory()
--- a/internal/gateway/directory/directory_test.go
+++ b/internal/gateway/directory/directory_test.go
@@ -56,8 +56,8 @@
 			d = d.WithLapsed("r", until).WithLapsed("d", until)
 			convey.So(states(d), convey.ShouldResemble, map[string]directory.State{"r": directory.Lapsed})
 			convey.Convey("the lapsed one is removed at StateUntil", func() {
-				convey.So(d.WithTime(until.Add(-1)), convey.ShouldEqual, d)
-				convey.So(states(d.WithTime(until)), convey.ShouldBeEmpty)
+				convey.So(d.WithExpired(until.Add(-1)), convey.ShouldEqual, d)
+				convey.So(states(d.WithExpired(until)), convey.ShouldBeEmpty)
 			})
 			convey.Convey("the lapsed one keeps its StateUntil when it lapses again", func() {
 				convey.So(d.WithLapsed("r", until.Add(time.Hour)), convey.ShouldEqual, d)
--- a/internal/gateway/directory/edit.go
+++ b/internal/gateway/directory/edit.go
@@ -25,7 +25,7 @@
 // a source that was restored from an older copy lists outdated states. If t has no start,
 // the known one is kept: members of an earlier version forward targets without it.
 func (e *Edit) Put(t Target) {
-	if known, is := e.target(t.ID); is {
+	if known, is := e.lookup(t.ID); is {
 		if t.Born == 0 {
 			t.Born = known.Born
 		}
@@ -39,13 +39,13 @@
 			e.removed = append(e.removed, known)
 		}
 	}
-	e.changed()[t.ID] = t
+	e.mutableTargets()[t.ID] = t
 }
 
 // Remove removes a target, if it is known.
 func (e *Edit) Remove(id string) {
-	if t, known := e.target(id); known {
-		delete(e.changed(), id)
+	if t, known := e.lookup(id); known {
+		delete(e.mutableTargets(), id)
 		e.removed = append(e.removed, t)
 	}
 }
@@ -65,7 +65,7 @@
 			e.Remove(id)
 		case Returned:
 			t.State, t.StateUntil = Ready, time.Time{}
-			e.changed()[id] = t
+			e.mutableTargets()[id] = t
 		case Ready, Draining:
 		}
 	}
@@ -75,7 +75,7 @@
 // instead, as its disappearance was announced, and so is a Returned one. A target that has
 // already lapsed keeps its StateUntil.
 func (e *Edit) Lapse(id string, until time.Time) {
-	t, known := e.target(id)
+	t, known := e.lookup(id)
 	switch {
 	case !known, t.State == Lapsed:
 	case t.State == Draining, t.State == Returned:
@@ -92,7 +92,7 @@
 func (e *Edit) Evacuate(dataCentres map[string]bool) {
 	if !maps.Equal(e.evacuated, dataCentres) {
 		e.evacuated = dataCentres
-		e.changed()
+		e.mutableTargets()
 	}
 }
 
@@ -131,16 +131,16 @@
 	if e.targets == nil {
 		return e.base
 	}
-	return (&Directory{targets: e.targets, evacuated: e.evacuated}).indexed()
+	return (&Directory{targets: e.targets, evacuated: e.evacuated}).buildIndex()
 }
 
-func (e *Edit) target(id string) (Target, bool) {
+func (e *Edit) lookup(id string) (Target, bool) {
 	t, known := e.All()[id]
 	return t, known
 }
 
-// changed returns the map of targets to modify. The first call copies the base's map.
-func (e *Edit) changed() map[string]Target {
+// mutableTargets returns the map of targets to modify. The first call copies the base's map.
+func (e *Edit) mutableTargets() map[string]Target {
 	if e.targets == nil {
 		e.targets = maps.Clone(e.base.targets)
 	}
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -17,10 +17,10 @@
 }
 
 const (
-	// bornMark separates the identity from the start in the text form of a Life.
-	bornMark = "@"
-	// bornBase is the number base of the start, decimal like the times in logs.
-	bornBase = 10
+	// startSeparator separates the identity from the start in the text form of a Life.
+	startSeparator = "@"
+	// startBase is the number base of the start, decimal like the times in logs.
+	startBase = 10
 )
 
 // Life returns the target's current life.
@@ -29,19 +29,19 @@
 // String returns the identity, followed by the start if that is known or if the identity
 // itself contains the separator.
 func (l Life) String() string {
-	if l.Born == 0 && !strings.Contains(l.ID, bornMark) {
+	if l.Born == 0 && !strings.Contains(l.ID, startSeparator) {
 		return l.ID
 	}
-	return l.ID + bornMark + strconv.FormatInt(l.Born, bornBase)
+	return l.ID + startSeparator + strconv.FormatInt(l.Born, startBase)
 }
 
 // ParseLife parses the result of String. A text without a valid start is an identity.
 func ParseLife(s string) Life {
-	i := strings.LastIndex(s, bornMark)
+	i := strings.LastIndex(s, startSeparator)
 	if i < 0 {
 		return Life{ID: s}
 	}
-	born, err := strconv.ParseInt(s[i+len(bornMark):], bornBase, 64)
+	born, err := strconv.ParseInt(s[i+len(startSeparator):], startBase, 64)
 	if err != nil {
 		return Life{ID: s}
 	}
--- a/internal/gateway/directory/returned_test.go
+++ b/internal/gateway/directory/returned_test.go
@@ -8,10 +8,10 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// TestStatesThatStay guards against new work for targets that have left: an older list, or
+// TestStatesPersist guards against new work for targets that have left: an older list, or
 // a member with older knowledge, may report them as ready within the same life.
-func TestStatesThatStay(t *testing.T) {
-	in := func(s directory.State) directory.Target {
+func TestStatesPersist(t *testing.T) {
+	targetIn := func(s directory.State) directory.Target {
 		known := directory.Target{ID: "a", Born: 1, Service: "s", State: s}
 		if s == directory.Lapsed || s == directory.Returned {
 			known.StateUntil = until
@@ -19,8 +19,8 @@
 		return known
 	}
 	cases := []struct {
-		why                string
-		known, heard, want directory.State
+		why                   string
+		known, reported, want directory.State
 	}{
 		{"that is draining stays so when it is listed as ready", directory.Draining, directory.Ready, directory.Draining},
 		{"that is draining stays so when a member reports it as lapsed", directory.Draining, directory.Lapsed, directory.Draining},
@@ -32,23 +32,23 @@
 	convey.Convey("A target", t, func() {
 		for _, c := range cases {
 			convey.Convey(c.why, func() {
-				got, _ := directory.New(in(c.known)).With(in(c.heard)).Target("a")
+				got, _ := directory.New(targetIn(c.known)).With(targetIn(c.reported)).Target("a")
 				convey.So(got.State, convey.ShouldEqual, c.want)
 			})
 		}
 		convey.Convey("that was draining can be ready in its next life", func() {
-			next := in(directory.Ready)
+			next := targetIn(directory.Ready)
 			next.Born = 2
-			got, _ := directory.New(in(directory.Draining)).With(next).Target("a")
+			got, _ := directory.New(targetIn(directory.Draining)).With(next).Target("a")
 			convey.So(got.State, convey.ShouldEqual, directory.Ready)
 		})
 		convey.Convey("that has returned is ready from StateUntil on and not earlier", func() {
-			d := directory.New(in(directory.Returned))
-			convey.So(d.WithTime(until.Add(-1)).Usable("a", until), convey.ShouldBeFalse)
-			convey.So(d.WithTime(until).Usable("a", until), convey.ShouldBeTrue)
+			d := directory.New(targetIn(directory.Returned))
+			convey.So(d.WithExpired(until.Add(-1)).Usable("a", until), convey.ShouldBeFalse)
+			convey.So(d.WithExpired(until).Usable("a", until), convey.ShouldBeTrue)
 		})
 		convey.Convey("that has returned is removed at once when it disappears again", func() {
-			convey.So(directory.New(in(directory.Returned)).WithLapsed("a", until).All(), convey.ShouldBeEmpty)
+			convey.So(directory.New(targetIn(directory.Returned)).WithLapsed("a", until).All(), convey.ShouldBeEmpty)
 		})
 	})
 }
