--- a/internal/gateway/directory/returned_test.go
+++ b/internal/gateway/directory/returned_test.go
@@ -8,10 +8,10 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// TestStatesThatStay guards against targets that get work again within a life in which they
-// had left: an older list, or a member that knows less, says that they are ready.
-func TestStatesThatStay(t *testing.T) {
-	in := func(s directory.State) directory.Target {
+// TestStatesPersist guards against new work for targets that have left: an older list, or
+// a member with older knowledge, may report them as ready within the same life.
+func TestStatesPersist(t *testing.T) {
+	targetIn := func(s directory.State) directory.Target {
 		known := directory.Target{ID: "a", Born: 1, Service: "s", State: s}
 		if s == directory.Lapsed || s == directory.Returned {
 			known.StateUntil = until
@@ -19,36 +19,36 @@
 		return known
 	}
 	cases := []struct {
-		why                string
-		known, heard, want directory.State
+		why                   string
+		known, reported, want directory.State
 	}{
-		{"that drains stays so when it is listed as ready", directory.Draining, directory.Ready, directory.Draining},
-		{"that drains stays so when a member says that it has lapsed", directory.Draining, directory.Lapsed, directory.Draining},
-		{"that has returned waits for its time", directory.Returned, directory.Ready, directory.Returned},
-		{"that has returned drains when it says so", directory.Returned, directory.Draining, directory.Draining},
+		{"that is draining stays so when it is listed as ready", directory.Draining, directory.Ready, directory.Draining},
+		{"that is draining stays so when a member reports it as lapsed", directory.Draining, directory.Lapsed, directory.Draining},
+		{"that has returned stays so when it is listed as ready", directory.Returned, directory.Ready, directory.Returned},
+		{"that has returned is draining when it reports so", directory.Returned, directory.Draining, directory.Draining},
 		{"that has lapsed is ready when it is listed", directory.Lapsed, directory.Ready, directory.Ready},
-		{"that is ready returns when a member says so", directory.Ready, directory.Returned, directory.Returned},
+		{"that is ready becomes returned when a member reports so", directory.Ready, directory.Returned, directory.Returned},
 	}
 	convey.Convey("A target", t, func() {
 		for _, c := range cases {
 			convey.Convey(c.why, func() {
-				got, _ := directory.New(in(c.known)).With(in(c.heard)).Target("a")
+				got, _ := directory.New(targetIn(c.known)).With(targetIn(c.reported)).Target("a")
 				convey.So(got.State, convey.ShouldEqual, c.want)
 			})
 		}
-		convey.Convey("that drained is ready in its next life", func() {
-			next := in(directory.Ready)
+		convey.Convey("that was draining can be ready in its next life", func() {
+			next := targetIn(directory.Ready)
 			next.Born = 2
-			got, _ := directory.New(in(directory.Draining)).With(next).Target("a")
+			got, _ := directory.New(targetIn(directory.Draining)).With(next).Target("a")
 			convey.So(got.State, convey.ShouldEqual, directory.Ready)
 		})
-		convey.Convey("that has returned is ready when its time is over, and not before", func() {
-			d := directory.New(in(directory.Returned))
-			convey.So(d.WithTime(until.Add(-1)).Usable("a", until), convey.ShouldBeFalse)
-			convey.So(d.WithTime(until).Usable("a", until), convey.ShouldBeTrue)
+		convey.Convey("that has returned is ready from StateUntil on and not earlier", func() {
+			d := directory.New(targetIn(directory.Returned))
+			convey.So(d.WithExpired(until.Add(-1)).Usable("a", until), convey.ShouldBeFalse)
+			convey.So(d.WithExpired(until).Usable("a", until), convey.ShouldBeTrue)
 		})
-		convey.Convey("that has returned and vanishes again is gone at once", func() {
-			convey.So(directory.New(in(directory.Returned)).WithLapsed("a", until).All(), convey.ShouldBeEmpty)
+		convey.Convey("that has returned is removed at once when it disappears again", func() {
+			convey.So(directory.New(targetIn(directory.Returned)).WithLapsed("a", until).All(), convey.ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/gateway/quarantine/message.go
+++ b/internal/gateway/quarantine/message.go
@@ -6,9 +6,9 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// messagesOf describes entries to a member. Times are given as how long ago they were,
-// since members' clocks may differ.
-func messagesOf(now time.Time, entries []Entry) []message.SuspectRequest {
+// toMessages converts entries to messages. Times are converted to ages, since the clocks of
+// members may differ.
+func toMessages(now time.Time, entries []Entry) []message.SuspectRequest {
 	list := make([]message.SuspectRequest, len(entries))
 	for i, e := range entries {
 		list[i] = message.SuspectRequest{Digest: e.Digest.String(), Cleared: e.Cleared, Held: e.Held}
@@ -24,13 +24,13 @@
 	return list
 }
 
-// entriesFrom reads what a member described. What does not read is left out: a member of
-// another version may write it in another way, and one request less is known.
-func entriesFrom(now time.Time, list []message.SuspectRequest) []Entry {
+// fromMessages converts messages to entries. It skips invalid ones: a member of another
+// version may use a different format, and losing one entry is acceptable.
+func fromMessages(now time.Time, list []message.SuspectRequest) []Entry {
 	var entries []Entry
 	for _, m := range list {
-		digest, reads := ParseDigest(m.Digest)
-		if !reads || m.Cleared < 0 {
+		digest, ok := ParseDigest(m.Digest)
+		if !ok || m.Cleared < 0 {
 			continue
 		}
 		e := Entry{Digest: digest, Cleared: m.Cleared, Held: m.Held}
@@ -46,9 +46,10 @@
 	return entries
 }
 
+// millisSince returns the time from t to now in milliseconds.
 func millisSince(now, t time.Time) int { return int(now.Sub(t).Milliseconds()) }
 
-// timeAgo is a time that lies so far back; one that a member puts ahead is now.
+// timeAgo returns the time that is ms milliseconds before now, or now if ms is negative.
 func timeAgo(now time.Time, ms int) time.Time {
 	return now.Add(-time.Duration(max(ms, 0)) * time.Millisecond)
 }
