--- a/internal/gateway/view/evacuation.go
+++ b/internal/gateway/view/evacuation.go
@@ -30,7 +30,7 @@
 	Since time.Time
 }
 
-// withOrderedAt returns the evacuation with OrderedAt set if it is active.
+// withOrderedAt returns the evacuation with OrderedAt set to its revision if it is active.
 func (e Evacuation) withOrderedAt() Evacuation {
 	if e.Active {
 		e.OrderedAt = e.Revision
@@ -52,9 +52,9 @@
 // centre that was ever evacuated.
 type Evacuations struct{ byDataCentre map[string]Evacuation }
 
-// With returns the evacuations with a report applied, unless it is older than what is known of
-// its data centre; listed is as for Evacuation.supersededBy. From a report that is already
-// known, only a new dispute is taken.
+// With returns the evacuations with a report applied, unless it is not newer than what is known
+// of its data centre, a dispute included; listed is as for Evacuation.supersededBy. From a
+// report that is already known, only a new dispute is taken.
 func (e Evacuations) With(n Evacuation, listed bool) Evacuations {
 	known, exists := e.byDataCentre[n.DataCentre]
 	switch {
--- a/internal/gateway/view/history.go
+++ b/internal/gateway/view/history.go
@@ -95,8 +95,8 @@
 	Evacuations []Evacuation
 }
 
-// DeltaSince returns what changed after a revision; false if the history does not reach back
-// that far.
+// DeltaSince returns what changed after a revision, but for the catalog, which the caller adds;
+// false if the history does not reach back that far.
 func (v *View) DeltaSince(revision Revision) (Delta, bool) {
 	ids, known := v.history.Since(revision)
 	if !known {
--- a/internal/gateway/view/tombstones.go
+++ b/internal/gateway/view/tombstones.go
@@ -27,7 +27,8 @@
 	wasDraining bool
 }
 
-// with returns the tombstones with targets added that have just been removed.
+// with returns the tombstones with targets added that have just been removed. If there are any,
+// tombstones older than tombstoneTTL are dropped.
 func (ts tombstones) with(now time.Time, removed []directory.Target) tombstones {
 	if len(removed) == 0 {
 		return ts
@@ -41,11 +42,12 @@
 	return tombstones{byLife: next}
 }
 
-// relisted returns the target to store when a restored source lists t in a life that is not
-// in the directory. If that life was removed recently, it is draining if it was draining
-// before, and Returned otherwise. If the target has started another life since, the listed one
-// is ignored and the present one lapses until it is listed. A target wrongly treated as ready
-// gets work that it no longer takes; one wrongly held back is unused for returnGrace.
+// relisted returns the target to store when a restored source lists t in a life that is not in
+// the directory. If that life was removed recently and is listed as ready, it is draining if it
+// was draining before, and Returned otherwise. If it was removed recently and the directory has
+// another life of the target, the listed one is ignored and the present one lapses until it is
+// listed. A target wrongly treated as ready gets work that it no longer takes; one wrongly held
+// back is unused for returnGrace.
 func (ts tombstones) relisted(now time.Time, t directory.Target, current *directory.Directory) directory.Target {
 	known, removed := ts.byLife[t.Life()]
 	removed = removed && now.Sub(known.removedAt) <= tombstoneTTL
@@ -62,7 +64,8 @@
 	return t
 }
 
-// lapsed returns a target whose present life a restored source does not list.
+// lapsed returns a target whose present life a restored source does not list: it lapses if it
+// is ready, and is unchanged otherwise.
 func lapsed(now time.Time, t directory.Target) directory.Target {
 	if t.State == directory.Ready {
 		t.State, t.StateUntil = directory.Lapsed, now.Add(LapseGrace)
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -3,11 +3,12 @@
 // changes are applied and reports what changed since a revision. It performs no I/O and reads
 // no clock; a View is immutable and needs no lock.
 //
-// Changes come from the source, or from a member that has read it. While neither can be
-// reached, the node keeps using the last view. The catalog version and the revision never
-// decrease while the node runs: older snapshots and deltas are dropped. A target that
-// disappears while the source is failing stays in use for LapseGrace, since the source itself
-// may have lost the entry.
+// Changes come from the source, the store in which the configuration is published, targets
+// register and evacuations are ordered, or from a member, another gateway node, that has read
+// it. While neither can be reached, the node keeps using the last view. The catalog version and
+// the revision never decrease while the node runs: older snapshots and deltas are dropped. A
+// target that disappears while the source is failing stays in use for LapseGrace, since the
+// source itself may have lost the entry.
 //
 // A source may be restored from an older copy of its data. What it lists then replaces what
 // the node knew, except for an older catalog, for targets that had already been removed and,
@@ -46,8 +47,8 @@
 type TargetChange struct {
 	Target directory.Target
 	// ColdFor is how much longer the target stays cold by its own report; 0 if it is warm. It
-	// counts from when the change is applied. That is later than the report, so the target
-	// is warm by the end of it at the latest.
+	// counts from when the change is applied. That is later than the report, so the target is
+	// warm at the latest when this time has passed.
 	ColdFor time.Duration
 }
 
@@ -126,7 +127,7 @@
 
 // WithChanges returns the view with changes applied. A catalog that is not newer than the one
 // in force is dropped. lastOutage is when the source last failed; zero if it never did. A
-// target that disappears within LapseGrace of it lapses.
+// target that disappears within LapseGrace of it lapses (removeTarget).
 func (v *View) WithChanges(now time.Time, ch Changes, lastOutage time.Time) *View {
 	targets := v.Directory.Edit()
 	return v.applyChanges(targets, now, ch, lastOutage, false).commitTargets(now, targets)
@@ -236,9 +237,9 @@
 	return &next
 }
 
-// removeTarget handles a target that disappeared: it lapses within LapseGrace of an outage,
-// and is removed otherwise. A wrong lapse sends calls to a target that has left; a wrong
-// removal takes working targets from a service.
+// removeTarget handles a target that disappeared: within LapseGrace of an outage it lapses,
+// unless it was draining or Returned; otherwise it is removed. A wrong lapse sends calls to a
+// target that has left; a wrong removal takes working targets from a service.
 func removeTarget(targets *directory.Edit, now time.Time, id string, lastOutage time.Time) {
 	if until := lastOutage.Add(LapseGrace); !lastOutage.IsZero() && now.Before(until) {
 		targets.Lapse(id, until)
