--- a/internal/gateway/gossipcodec/gossipcodec.go
+++ b/internal/gateway/gossipcodec/gossipcodec.go
@@ -1,6 +1,6 @@
-// Package gossipcodec encodes and decodes the gossip messages that members exchange. There are
-// two formats: JSON, which members of every version accept, and a compact format in the
-// protobuf wire encoding.
+// Package gossipcodec encodes and decodes the gossip messages that members, the gateway nodes,
+// exchange. There are two formats: JSON, which members of every version accept, and a compact
+// format in the protobuf wire encoding.
 //
 // In JSON, gossip made up four fifths of the bytes exchanged between 59 members, most of it
 // field names. A message about 41 members takes 1.4 KB in the compact format instead of
--- a/internal/gateway/gossipcodec/gossipcodec_test.go
+++ b/internal/gateway/gossipcodec/gossipcodec_test.go
@@ -13,7 +13,7 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// typicalGossip returns a message in a large cluster, about the sender and 40 other members.
+// typicalGossip returns a message in a large fleet, about the sender and 40 other members.
 func typicalGossip() message.Gossip {
 	var g message.Gossip
 	for i := range 41 {
@@ -111,7 +111,7 @@
 // TestCompactGossipSize checks the purpose of the compact format: less than a quarter of the
 // size of JSON.
 func TestCompactGossipSize(t *testing.T) {
-	convey.Convey("A message in a large cluster takes less than a quarter of the bytes of JSON", t, func() {
+	convey.Convey("A message in a large fleet takes less than a quarter of the bytes of JSON", t, func() {
 		compact, _, err := Encode(typicalGossip(), true)
 		convey.So(err, convey.ShouldBeNil)
 		text, _, err := Encode(typicalGossip(), false)
@@ -120,7 +120,7 @@
 	})
 }
 
-// BenchmarkGossip encodes and decodes a message of a large cluster in each format.
+// BenchmarkGossip encodes and decodes a message in a large fleet in each format.
 func BenchmarkGossip(b *testing.B) {
 	for _, compact := range []bool{true, false} {
 		body, mediaType, err := Encode(typicalGossip(), compact)
--- a/internal/gateway/gossipcodec/suspects.go
+++ b/internal/gateway/gossipcodec/suspects.go
@@ -30,7 +30,7 @@
 	fieldEndTookMs protowire.Number = 4
 )
 
-// appendSuspects appends the requests suspected of ending their targets, and the checksum of
+// appendSuspects appends the requests suspected of crashing their targets, and the checksum of
 // those held back, to an encoded gossip message.
 func appendSuspects(out []byte, g message.Gossip) []byte {
 	for _, q := range g.Suspects {
