--- a/internal/gateway/batching/deadline.go
+++ b/internal/gateway/batching/deadline.go
@@ -11,7 +11,8 @@
 // Its inputs are the item's deadline (the request's, less the time for what follows the
 // item) and the duration of a batch of one item in the catalog. Until the catalog is
 // known, this duration counts as zero, so that only items past their deadline are
-// dropped. It is called at each event for the items that are in no batch.
+// dropped. It is called at each event for the queued items that no running batch holds;
+// an item in a running batch is left to it.
 //
 // The estimated slowdown of targets does not count, since a faster target may become idle
 // before. A caller whose request cannot succeed gets the final answer at once: an item
@@ -35,10 +36,9 @@
 // not count, so it returns true too often rather than too rarely. If the rate is unknown,
 // the item waits.
 //
-// Past-due items go last. Under a long overload they waited for their deadline, up to 4
-// s, and were refused then; now they are refused as soon as they cannot start in time.
-// The load-test score rose by 0.005 (docs/MEASUREMENTS.md, "past-due items given up when
-// their turn cannot come").
+// Past-due items go last. Without this rule they would wait under a long overload until
+// their deadline, up to 4 s, and be refused only then. See docs/MEASUREMENTS.md,
+// "past-due items given up when their turn cannot come".
 //
 // Dropping too early refuses requests that could have been answered late; dropping too
 // late holds those that cannot be.
--- a/internal/gateway/batching/fill.go
+++ b/internal/gateway/batching/fill.go
@@ -7,15 +7,17 @@
 )
 
 // onTimeMemoryReserve is the fraction of a target's result memory that past-due items
-// leave to other items, so that an overload ends when its cause does. Removing only this
-// reserve made no difference in 15 load tests. Applying it to items that are due late but
-// not past due lowered the load-test score by 0.075.
+// leave to other items. It is meant to end an overload with its cause: with less,
+// past-due items take the memory that others need to be in time; with more, they wait
+// while memory is free. It does harm if items that are due late, but not past due, leave
+// it too.
 const onTimeMemoryReserve = 0.5
 
 // partialGroupThreshold is the fraction of the maximum number of items from which on a
-// batch takes no parts of groups. The load-test score rose by 0.020 with 0.5, by 0.019
-// with parts only in otherwise empty batches, and by 0.015 with parts in any batch
-// (docs/MEASUREMENTS.md, "groups taken whole").
+// batch takes no parts of groups. With a higher value more groups are split, and their
+// first results occupy memory until the last one is computed; with a lower value batches
+// are sent almost empty while a group waits that fits nowhere as a whole. See
+// docs/MEASUREMENTS.md, "groups taken whole".
 const partialGroupThreshold = 0.5
 
 // batchFiller selects the queued items for one batch.
@@ -137,11 +139,12 @@
 // group or of the item q alone. All items of a group have the same times and data centre.
 //
 // It considers, in this order: the maximum number of items in the catalog; the target's
-// available result memory and the estimated size of the results; whether the item is past
-// due; whether the batch has a suspect of another request; and whether a local target can
-// take the item in time (locality). What does not fit stays in the queue, and smaller or
-// more local items behind it may be taken. The batch is sent at once, full or not,
-// because a target that waits for more items does nothing in the meantime.
+// available result memory and the estimated size of the results, with the reserve that a
+// past-due item leaves; whether a suspected item may join (suspectFilter); and whether a
+// target in the item's own data centre can take it in time (locality). What does not fit
+// stays in the queue, and items behind it that are smaller, or that need not wait for
+// another data centre, may be taken. The batch is sent at once, full or not, because a
+// target that waits for more items does nothing in the meantime.
 //
 // When past-due items could use all of the result memory, they kept others from being in
 // time, and an overload continued after its cause was over. See
--- a/internal/gateway/batching/locality.go
+++ b/internal/gateway/batching/locality.go
@@ -7,8 +7,8 @@
 )
 
 // maxLocalityWait is how long an item may wait for a target in its data centre to become
-// idle, about one batch. Without any wait the load-test score fell by 0.043, all of it
-// because of results sent between data centres.
+// idle, about one batch. With a shorter wait more results are sent between data centres;
+// with a longer one idle targets elsewhere stay unused.
 const maxLocalityWait = 300 * time.Millisecond
 
 // locality decides whether items wait for a target in their data centre that can take
@@ -16,14 +16,14 @@
 // newLocality.
 //
 // Its inputs are an item's data centre, where its inputs are or its result will be used
-// (empty for any), and its due time; and for each target in that data centre whether it
-// is usable and not backing off, when its running batch should end, and how long a full
-// batch should take at its estimated slowdown. A local target counts if it is idle now or
-// within maxLocalityWait, and a full batch from then on ends before the item is due. A
-// target whose batch is overdue or stuck does not count, as it is unknown when it becomes
-// idle.
+// (empty for any), and its due time; and for each target in that data centre (a local
+// target) whether it is usable and not backing off, when its running batch should end,
+// and how long a full batch should take at its estimated slowdown. A local target counts
+// if it is idle now or within maxLocalityWait, and a full batch from then on ends before
+// the item is due. A target whose batch is overdue or stuck does not count, as it is
+// unknown when it becomes idle.
 //
-// Results that cross data centres are slow and among the largest costs of a load test
+// Results that cross data centres take time and are among the largest costs of the system
 // (docs/MEASUREMENTS.md); a short wait costs less. See docs/decisions/0012-batches.md.
 //
 // Too little waiting costs transfers between data centres; too much leaves targets idle
@@ -43,7 +43,8 @@
 // reset clears the cache; call it after a target got a batch.
 func (l *locality) reset() { clear(l.localEnds) }
 
-// shouldWait reports whether an item should not go to a target in a data centre.
+// shouldWait reports whether an item should not go to a target in dataCentre, because a
+// target in its own data centre can take it in time.
 func (l *locality) shouldWait(q *queuedItem, dataCentre string) bool {
 	return q.DataCentre != "" && q.DataCentre != dataCentre && l.localInTime(q)
 }
--- a/internal/gateway/batching/memory.go
+++ b/internal/gateway/batching/memory.go
@@ -7,8 +7,8 @@
 )
 
 // usableMemoryFraction is the fraction of a target's result memory that batches may use;
-// the rest allows for results that are larger than estimated. With all of it the
-// load-test score fell by 0.012, because targets refused items for lack of memory.
+// the rest allows for results that are larger than estimated. With a larger fraction
+// targets refuse items for lack of memory; with a smaller one memory stays unused.
 const usableMemoryFraction = 0.95
 
 // storedResult is a result in the memory of the target that computed it.
--- a/internal/gateway/batching/order.go
+++ b/internal/gateway/batching/order.go
@@ -10,9 +10,9 @@
 
 // priorityStep is how much later an item counts as due for each priority level below the
 // highest. It is shorter than a batch, so that less urgent items are postponed by one
-// batch and not starved. Without it the load-test score fell by 0.003 on 6 nodes, within
-// its standard error, and by 0.0046 on 59 nodes, with a standard error of 0.0014 (three
-// paired runs). Admission has a step of its own, in relay.
+// batch; with a much longer step they would be put off for good. With none, urgent items
+// wait behind less urgent ones that are due a little earlier. Admission has a step of its
+// own, in relay.
 const priorityStep = 200 * time.Millisecond
 
 // sortQueue puts the queue in the order in which items are taken into batches.
