--- a/internal/gateway/batching/slowdown.go
+++ b/internal/gateway/batching/slowdown.go
@@ -16,9 +16,9 @@
 	// this time would send a slow target batches twice as often; twice this time would
 	// leave a recovered target idle.
 	slowdownHalfLife = 4 * time.Second
-	// decayPerHalfLife is the fraction of the distance from 1 that is left after a
-	// half-life.
-	decayPerHalfLife = 0.5
+	// keptPerHalfLife is the fraction of the distance from 1 that is left after a
+	// half-life, by its definition.
+	keptPerHalfLife = 0.5
 	// minSlowdown is the lower bound of the sample of one batch, so that an outlier, such
 	// as an answer with refused items only, has no lasting effect.
 	minSlowdown = 0.3
@@ -56,11 +56,11 @@
 	}
 	kept := 1.0
 	for age > slowdownHalfLife {
-		kept *= decayPerHalfLife
+		kept *= keptPerHalfLife
 		age -= slowdownHalfLife
 	}
 	// The decay within a half-life is linear.
-	kept *= 1 - (1-decayPerHalfLife)*float64(age)/float64(slowdownHalfLife)
+	kept *= 1 - (1-keptPerHalfLife)*float64(age)/float64(slowdownHalfLife)
 	return 1 + (s.factor-1)*kept
 }
 
--- a/internal/gateway/batching/stuck.go
+++ b/internal/gateway/batching/stuck.go
@@ -42,10 +42,10 @@
 
 // becomesStuck reports whether a batch that is not stuck yet counts as stuck from now on.
 //
-// late is how late this node is itself: an answer that arrived within that time may still
-// be waiting to be processed. When this was ignored, an overloaded coordinator took
-// healthy targets for stuck: it repeated a quarter of its batches, which delayed it
-// further, used up the service's retry budget and failed hundreds of requests.
-func (b *batch) becomesStuck(now time.Time, late time.Duration) bool {
-	return !b.stuck && !now.Add(-late).Before(b.stuckAt)
+// tickDelay is how late this node is itself (Tick.Delay): an answer that arrived within
+// that time may still be waiting to be processed. When this was ignored, an overloaded
+// coordinator took healthy targets for stuck: it repeated a quarter of its batches, which
+// delayed it further, used up the service's retry budget and failed hundreds of requests.
+func (b *batch) becomesStuck(now time.Time, tickDelay time.Duration) bool {
+	return !b.stuck && !now.Add(-tickDelay).Before(b.stuckAt)
 }
