--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -347,7 +347,7 @@
 				o.handle(batching.Submit{Items: list})
 			},
 			"withdraw": func(t *rapid.T) {
-				id := batching.ItemID(rapid.IntRange(1, o.next+1).Draw(t, "token"))
+				id := batching.ItemID(rapid.IntRange(1, o.next+1).Draw(t, "item"))
 				delete(o.unresolved, id)
 				o.handle(batching.Withdraw{ItemIDs: []batching.ItemID{id}})
 			},
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -56,9 +56,9 @@
 	tickDelay time.Duration
 }
 
-// scanInterval is the minimum time between scans of all targets at events other than
-// ticks. A scan of a thousand targets takes 0.05 ms; a stuck batch is detected at most
-// this much late.
+// scanInterval is the minimum time from one scan of all targets to the next at an event
+// other than a tick. A scan of a thousand targets takes 0.05 ms and is not made at each
+// event; in return the detection of a stuck batch may be delayed by the interval.
 const scanInterval = 10 * time.Millisecond
 
 // Stats counts what a core has done since it was created.
@@ -224,8 +224,9 @@
 	}
 }
 
-// scanTargets drops expired results and handles stuck batches, in the order of the
-// targets, and updates the speed classes, which change as slowdowns decay.
+// scanTargets drops expired results, updates the speed classes, which change as slowdowns
+// decay, makes long idle targets spare, and handles stuck batches, in the order of the
+// targets.
 func (c *Core) scanTargets(now time.Time) {
 	c.pool.examined += len(c.pool.targets)
 	for _, t := range c.pool.targets {
@@ -241,8 +242,8 @@
 }
 
 // failEvacuated fails the items that are in no batch while all targets are in evacuated
-// data centres. Nobody knows when a data centre will be taken back, so callers get a time
-// to retry after instead of waiting.
+// data centres. Nobody knows when an evacuation will be lifted, so callers get a time to
+// retry after instead of waiting.
 func (c *Core) failEvacuated() {
 	for _, q := range slices.Clone(c.queue) {
 		if q.runningBatches == 0 {
@@ -251,8 +252,9 @@
 	}
 }
 
-// dropUnschedulable fails the past-due items that cannot be in a batch before their
-// deadline.
+// dropUnschedulable fails the past-due items that cannot be in a batch early enough to be
+// ready before their deadline (canStartInTime). Items that a running batch holds are left
+// to it.
 func (c *Core) dropUnschedulable(now time.Time) {
 	if c.spec == nil {
 		return
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -7,7 +7,7 @@
 // maxConcurrentInspections bounds the inspections of spare targets that run at once. An
 // inspection takes about 4 ms, most of it for a new connection, so a coordinator can put
 // thousands of targets per second into use. It could not read the answers to many more at
-// once within inspectTimeout.
+// once within the inspectTimeout of package gateway.
 const maxConcurrentInspections = 32
 
 // dispatch starts batches as long as there are queued items and eligible targets.
@@ -99,8 +99,8 @@
 		inspecting += len(dc.inspecting.targets)
 	}
 	if spare == 0 || inspecting >= maxConcurrentInspections {
-		// With all targets in use the queue is long and not worth traversing at each
-		// event.
+		// Nothing can be inspected, so the queue need not be traversed: it is long when
+		// all targets are in use.
 		return
 	}
 	wanted := map[*dataCentreTargets]int{}
@@ -120,7 +120,8 @@
 			inspecting++
 		}
 	}
-	// Make up for inspections that the gate denied with spare targets in any data centre.
+	// For each inspection that the gate denied, inspect a spare target in any data
+	// centre.
 	for _, dc := range c.pool.dataCentres {
 		for unmet > 0 && inspecting < maxConcurrentInspections && c.inspectSpare(dc) {
 			unmet--
--- a/internal/gateway/batching/eligible.go
+++ b/internal/gateway/batching/eligible.go
@@ -7,11 +7,11 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/catalog"
 )
 
-// speedClassRatio is the ratio of two slowdowns from which on one target counts as faster
-// than the other, about a fifth of a batch's duration. Slowdowns include network latency
-// and connection setup, so targets of equal speed differ by a few per cent once used.
-// Picking the very fastest would prefer targets that were never used, each at the cost of
-// a new connection.
+// speedClassRatio is the ratio of the slowdowns at the middles of neighbouring speed
+// classes: targets count as equally fast unless their batches differ by about a fifth of
+// their duration. Slowdowns include network latency and connection setup, so targets of
+// equal speed differ by a few per cent once used. Picking the very fastest would prefer
+// targets that were never used, each at the cost of a new connection.
 const speedClassRatio = 1.2
 
 // candidates returns the targets that are eligible for a batch, in no particular order.
@@ -37,7 +37,8 @@
 // popBest removes the target that gets the next batch from a list of candidates: the one
 // of the fastest speed class, among those the one that has been idle the longest, then
 // the one that was listed first. The next batch takes the first items of the queue, and a
-// fast target finishes them sooner. A speed class is as old as the target's last batch.
+// fast target finishes them sooner. A speed class rests on samples that are as old as the
+// target's last batch.
 //
 // Every candidate was inspected or used recently, so its connection is open and a service
 // opens only as many connections as its load needs. When all targets were candidates and
@@ -69,8 +70,8 @@
 }
 
 // eligible reports whether a target may take a batch now: it is usable, runs no batch,
-// not even a stuck one, is not backing off (targetBackoff), and is known not to work for
-// another coordinator (inspection).
+// not even a stuck one, is not backing off (targetBackoff), and was inspected without
+// being found to work for another coordinator (inspection).
 //
 // A second batch would only queue at a busy target, where targets that become idle in the
 // meantime cannot take its items. Using a target that should be skipped costs retries or
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -6,6 +6,10 @@
 // processes one batch at a time; meanwhile items gather for its next one. See
 // docs/decisions/0012-batches.md and 0013-planning-stages.md.
 //
+// The items of one stage of one request form a group. A target that restarts under its ID
+// begins a new life (directory.Life). The results of finished items stay in the result
+// memory of their target until they are released or expire.
+//
 // The package owns the queue of one service, its running batches, its plans, and what was
 // observed of its targets: slowdown, use of result memory, backoff. There is one Core per
 // service. A Core does no I/O, reads no clock and starts no goroutines: it turns events
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -65,7 +65,7 @@
 		c.emit(Resolve{ItemID: item.ID, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
-		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "target %s no longer has an input of the item", t.ID))
+		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input of the item no longer existed when target %s needed it", t.ID))
 	case PastDeadline:
 		c.stats.Expired++
 		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline had passed when target %s reached the item", t.ID))
@@ -87,7 +87,7 @@
 
 // recordCrash records that the target of a batch, which may be stuck, crashed while it
 // had the items. If an item has crashed too many targets, its whole group fails, so that
-// the queued items of the group are not sent first.
+// the queued items of the group are not sent to crash further targets.
 func (c *Core) recordCrash(ended *batch) {
 	for _, item := range ended.items {
 		q := c.items[item.ID]
@@ -128,7 +128,7 @@
 		return
 	}
 	if err == nil {
-		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "target %s answered with another number of items than were sent", failed.target.ID)
+		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "target %s answered with another number of outcomes than items were sent", failed.target.ID)
 	}
 	for _, item := range failed.items {
 		if q := c.items[item.ID]; q != nil {
@@ -138,7 +138,8 @@
 	}
 }
 
-// requeue puts an item back into the queue, or fails it with cause, as decideRetry says.
+// requeue puts an item back into the queue, fails it with cause, or leaves it as it is,
+// as decideRetry says.
 func (c *Core) requeue(now time.Time, q *queuedItem, cause *verdict.Error) {
 	switch decideRetry(q, func() bool { return c.budget.Spend(now) }) {
 	case retry:
--- a/internal/gateway/batching/inspection.go
+++ b/internal/gateway/batching/inspection.go
@@ -53,12 +53,12 @@
 	return !i.completed || (!i.nextAt.IsZero() && !now.Before(i.nextAt))
 }
 
-// blocksBatches reports whether the target gets no batch because it was never inspected
-// or works for another coordinator.
+// blocksBatches reports whether the target gets no batch because its first inspection has
+// not ended or it works for another coordinator.
 func (i *inspection) blocksBatches() bool { return !i.completed || i.busy }
 
 // noForeignWork reports whether no work of other coordinators is known and no inspection
-// is in progress.
+// is in progress or planned.
 func (i *inspection) noForeignWork() bool { return !i.running && !i.busy && i.nextAt.IsZero() }
 
 // foreign returns how much memory the results of other coordinators use, in bytes.
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -40,7 +40,7 @@
 // dataCentreTargets holds the usable targets of one data centre.
 type dataCentreTargets struct {
 	// spare targets are idle, hold no result and have to be inspected before their first
-	// batch; inspecting holds those whose inspection is in progress.
+	// batch; inspecting holds those whose first inspection is in progress.
 	spare, inspecting targetList
 	// idle targets have no batch; busy ones have one, which may be stuck.
 	idle, busy targetList
@@ -127,7 +127,8 @@
 	return &dc.spare
 }
 
-// inDataCentre returns the usable targets of a data centre.
+// inDataCentre returns the usable targets of a data centre, after adding an empty entry
+// for it if there is none.
 func (p *pool) inDataCentre(dataCentre string) *dataCentreTargets {
 	found := p.byDataCentre[dataCentre]
 	if found == nil {
--- a/internal/gateway/batching/retry.go
+++ b/internal/gateway/batching/retry.go
@@ -16,7 +16,7 @@
 	// batch, which may return its result.
 	leave
 	// fail: the item fails, because it has reached maxAttempts or the service's retry
-	// budget is exhausted.
+	// budget is exhausted, and it is neither queued nor in another running batch.
 	fail
 )
 
@@ -33,7 +33,7 @@
 // failing service from being flooded with retries. The budget holds across all nodes. See
 // docs/decisions/0012-batches.md.
 //
-// Too many retries exceed the bound on retries; too few fail requests that another target
+// Too many retries flood a failing service; too few fail requests that another target
 // could have served.
 func decideRetry(q *queuedItem, spend func() bool) retryDecision {
 	switch {
--- a/internal/gateway/batching/suspects.go
+++ b/internal/gateway/batching/suspects.go
@@ -19,15 +19,17 @@
 	return 0
 }
 
-// isSuspect reports whether a target crashed while it had the item.
+// isSuspect reports whether a target crashed while it had the item, or one like it of an
+// earlier request, and no target has answered a batch with the item since.
 func (q *queuedItem) isSuspect() bool { return q.crashes > 0 }
 
 // crashesTargets reports whether the item fails because targets crash with it.
 //
 // It counts the crashes of targets that had the item, plus one if an earlier request
-// asked for the same and a target crashed with it. A batch holds items of many requests,
-// and a crash affects all of them. Items of two suspected requests never share a batch
-// again (suspectFilter.allows), so that the second crash incriminates a single request.
+// asked for the same and a target crashed with it; an answered batch resets the count. A
+// batch holds items of many requests, and a crash affects all of them. Items of two
+// suspected requests never share a batch again (suspectFilter.allows), so that the second
+// crash is held against one request alone.
 //
 // If it wrongly returns true, a request fails that another target could have served; if
 // it wrongly returns false, one more target crashes and up to a whole batch of other
@@ -48,10 +50,10 @@
 }
 
 // allows reports whether an item may go into the batch. A suspected item may not join
-// suspected items of another request, nor be sent while another batch has items of its
-// request. Without these rules, fourteen items of four requests, one of them bad, were
-// all part of up to four failed batches, and four targets crashed for each item of the
-// bad request.
+// suspected items of another request, nor be sent while another batch, which is not
+// stuck, has items of its request. Without these rules, fourteen items of four requests,
+// one of them bad, were all part of up to four failed batches, and four targets crashed
+// for each item of the bad request.
 func (s suspectFilter) allows(q *queuedItem) bool {
 	if !q.isSuspect() {
 		return true
--- a/internal/gateway/batching/target.go
+++ b/internal/gateway/batching/target.go
@@ -9,8 +9,8 @@
 // target is the state of one target of the service.
 type target struct {
 	directory.Target
-	// usable reports whether the target is listed, not draining and not in an evacuated
-	// data centre.
+	// usable reports whether the target is listed and takes new work: it is neither
+	// draining nor Returned, and not in an evacuated data centre.
 	usable bool
 	// listed reports whether the newest target list of the service includes the target.
 	listed bool
@@ -52,7 +52,8 @@
 }
 
 // idleExpired reports whether the target's state is outdated: it has been idle for
-// spareAfter, stores no result, does not back off and is not known to work for others.
+// spareAfter, stores no result, does not back off, is not known to work for others and is
+// not to be inspected.
 func (t *target) idleExpired(now time.Time) bool {
 	return now.Sub(t.idleSince) >= spareAfter && t.memory.empty() && t.inspection.noForeignWork() && !t.backoff.active(now)
 }
--- a/internal/gateway/batching/targetbackoff.go
+++ b/internal/gateway/batching/targetbackoff.go
@@ -21,10 +21,11 @@
 //
 // Its inputs are the ends of batches, in order: a batch that failed or became stuck, one
 // with items that the target refused for lack of memory, one that was answered. The
-// latest one decides, even if it shortens the backoff. A restarting or overloaded target
-// would fail the next batch as well, and each failed batch uses up attempts and the retry
-// budget. A target that lacks memory is healthy, so its backoff is short and does not
-// double.
+// latest failure or lack of memory decides, even if it shortens the backoff. An answer
+// only lets the next failure start with the shortest backoff again. A restarting or
+// overloaded target would fail the next batch as well, and each failed batch uses up
+// attempts and the retry budget. A target that lacks memory is healthy, so its backoff is
+// short and does not double.
 //
 // Too short a backoff costs retries; too long a one wastes the target's capacity.
 type targetBackoff struct {
