--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -38,7 +38,7 @@
 func (s *Server) newChooser(r *resolvedRequest) *chooser {
 	return &chooser{
 		resolvedRequest: r, dataCentre: s.cfg.DataCentre, node: s.cfg.Node, view: s.cfg.View, placer: s.cfg.Placer, targets: s.targets,
-		now: s.cfg.Now, nodeCount: s.cfg.Members, sendsToCold: s.cfg.SendsToCold, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
+		now: s.cfg.Now, nodeCount: s.cfg.NodeCount, sendsToCold: s.cfg.SendsToCold, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
 	}
 }
 
--- a/internal/gateway/relay/fakes_test.go
+++ b/internal/gateway/relay/fakes_test.go
@@ -271,7 +271,7 @@
 	v := change(&view.View{Revision: 1, Catalog: c, Directory: directory.New(targets...)})
 	return f, relay.New(relay.Config{
 		DataCentre: "d", View: func() *view.View { return v }, Upstream: f, Batcher: f, Placer: f, Observer: f, Now: time.Now,
-		RetryPolicy: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, Members: func() int { return 1 },
+		RetryPolicy: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, NodeCount: func() int { return 1 },
 		WarmUp: warmup.Margin{Overshoot: 1.5, Tolerance: 5}, SendsToCold: func(string) bool { return true },
 		Quarantine: q, Gate: f,
 	})
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -47,8 +47,8 @@
 	Now      func() time.Time
 	// RetryPolicy limits the retries of all nodes together.
 	RetryPolicy retrybudget.Policy
-	// Members returns how many nodes share the targets' connections.
-	Members func() int
+	// NodeCount returns how many nodes share the targets' connections.
+	NodeCount func() int
 	// WarmUp widens the request rate limits of cold targets.
 	WarmUp warmup.Margin
 	// SendsToCold reports whether this node sends requests to a cold target of a plain
