--- a/internal/gateway/relay/inputs.go
+++ b/internal/gateway/relay/inputs.go
@@ -48,8 +48,8 @@
 	return func() { timer.Stop() }
 }
 
-// recordMissingInputs records it if an attempt failed because its inputs were missing and
-// they had been released early.
+// recordMissingInputs records that inputs were missing if an attempt failed for that
+// reason after an early release.
 func (s *sender) recordMissingInputs(err *verdict.Error) {
 	if err != nil && err.Reason() == verdict.ReasonInputGone && s.runner.results.wereReleasedEarly() {
 		s.missingInputs.record(s.now(), s.service.Name)
