--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -22,9 +22,9 @@
 type Config struct {
 	Now func() time.Time
 	Log zerolog.Logger
-	// Changed is called after a change that members should receive at once, with the number
+	// OnChange is called after a change that members should receive at once, with the number
 	// of held requests. It must not call the keeper.
-	Changed func(held int)
+	OnChange func(held int)
 	// GivesOut reports whether this node has a role that one member has for the whole
 	// fleet.
 	GivesOut func(role string) bool
@@ -144,7 +144,7 @@
 		urgent = urgent || held || before[i]
 	}
 	if urgent {
-		k.cfg.Changed(len(k.table.AllHeld()))
+		k.cfg.OnChange(len(k.table.AllHeld()))
 	}
 }
 
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -25,7 +25,7 @@
 	k := &testKeeper{now: start}
 	k.Keeper = NewKeeper(Config{
 		Now: func() time.Time { return k.now }, Log: zerolog.New(&k.log),
-		Changed:  func(held int) { k.changes, k.held = k.changes+1, held },
+		OnChange:  func(held int) { k.changes, k.held = k.changes+1, held },
 		GivesOut: func(string) bool { return k.ownsRole },
 	})
 	return k
