--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -108,7 +108,7 @@
 		metrics: g.metrics, log: g.log, now: g.now,
 	}
 	g.quarantine = quarantine.NewKeeper(quarantine.Config{
-		Now: g.now, Log: g.log, OnChange: g.quarantineChanged, GivesOut: g.members.givesOut,
+		Now: g.now, Log: g.log, OnChange: g.quarantineChanged, OwnsRole: g.members.givesOut,
 	})
 	g.backpressure = backpressure.NewKeeper(backpressure.Config{Now: g.now, Log: g.log, Changed: g.limitsChanged, Rank: g.members.rank})
 	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Heard(t.Life(), s) })
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -21,7 +21,7 @@
 // newQuarantine returns a keeper that nobody hears of.
 func newQuarantine() *quarantine.Keeper {
 	return quarantine.NewKeeper(quarantine.Config{
-		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, GivesOut: func(string) bool { return false },
+		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
 
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -25,9 +25,9 @@
 	// OnChange is called after a change that members should receive at once, with the number
 	// of held requests. It must not call the keeper.
 	OnChange func(held int)
-	// GivesOut reports whether this node has a role that one member has for the whole
+	// OwnsRole reports whether this node has a role that one member has for the whole
 	// fleet.
-	GivesOut func(role string) bool
+	OwnsRole func(role string) bool
 }
 
 // Keeper adds to a Table a lock, the admission of requests, the conversion of entries to
@@ -75,7 +75,7 @@
 	if !held {
 		return Free{}
 	}
-	mayTry := func() bool { return k.cfg.GivesOut(trialRolePrefix + d.String()) }
+	mayTry := func() bool { return k.cfg.OwnsRole(trialRolePrefix + d.String()) }
 	if k.table.StartTrial(k.cfg.Now(), d, mayTry) {
 		k.cfg.Log.Info().Str("digest", d.String()).Int("ends", len(hold.Crashes)).Msg("quarantine: sending held request as a trial")
 		return Trial{}
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -26,7 +26,7 @@
 	k.Keeper = NewKeeper(Config{
 		Now: func() time.Time { return k.now }, Log: zerolog.New(&k.log),
 		OnChange:  func(held int) { k.changes, k.held = k.changes+1, held },
-		GivesOut: func(string) bool { return k.ownsRole },
+		OwnsRole: func(string) bool { return k.ownsRole },
 	})
 	return k
 }
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -162,7 +162,7 @@
 // newKeeper returns a keeper that notifies no one and runs no trials.
 func newKeeper() *quarantine.Keeper {
 	return quarantine.NewKeeper(quarantine.Config{
-		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, GivesOut: func(string) bool { return false },
+		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
 
