--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -47,8 +47,8 @@
 // Admission is the result of Keeper.Admit: Free, Trial or Refused.
 type Admission interface{ isAdmission() }
 
-// Free admits a request that is not held.
-type Free struct{}
+// Allowed admits a request that is not held.
+type Allowed struct{}
 
 // Trial admits a held request once, to test whether a target survives it.
 type Trial struct{}
@@ -56,7 +56,7 @@
 // Refused rejects a held request.
 type Refused struct{ Hold Hold }
 
-func (Free) isAdmission()    {}
+func (Allowed) isAdmission()    {}
 func (Trial) isAdmission()   {}
 func (Refused) isAdmission() {}
 
@@ -73,7 +73,7 @@
 	defer k.mu.Unlock()
 	hold, held := k.table.Held(d)
 	if !held {
-		return Free{}
+		return Allowed{}
 	}
 	mayTry := func() bool { return k.cfg.OwnsRole(trialRolePrefix + d.String()) }
 	if k.table.StartTrial(k.cfg.Now(), d, mayTry) {
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -145,7 +145,7 @@
 		convey.So(q.answered, convey.ShouldEqual, 0)
 	})
 	convey.Convey("A request that is quarantined after its admission is refused just before it is written", t, func() {
-		q := &fakeQuarantine{admission: quarantine.Free{}, held: true}
+		q := &fakeQuarantine{admission: quarantine.Allowed{}, held: true}
 		f, s := setupWithQuarantine(onceRoute(), q)
 		err := s.Serve(t.Context(), request(), &fakeClient{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
@@ -170,7 +170,7 @@
 // is available.
 func TestSuspectsApart(t *testing.T) {
 	convey.Convey("Four suspects at once go to four targets, and a fifth shares one", t, func() {
-		q := &fakeQuarantine{admission: quarantine.Free{}, suspected: true}
+		q := &fakeQuarantine{admission: quarantine.Allowed{}, suspected: true}
 		f, s := setupServer(onceRoute(), true, 0, keepView, q)
 		f.replies = []fakeReply{{hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}}
 		ended := make(chan struct{})
