--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -60,8 +60,8 @@
 func (Trial) isAdmission()   {}
 func (Refused) isAdmission() {}
 
-// Idle reports whether the table is empty, so that no request needs to be checked.
-func (k *Keeper) Idle() bool {
+// Empty reports whether the table is empty, so that no request needs to be checked.
+func (k *Keeper) Empty() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Len() == 0
--- a/internal/gateway/relay/admit.go
+++ b/internal/gateway/relay/admit.go
@@ -82,7 +82,7 @@
 // any node under a new ID: without this check a single request crashed fifteen engines in
 // seventeen seconds, because each node took it for a new one.
 func (s *Server) refuseQuarantined(r *resolvedRequest) *verdict.Error {
-	if s.cfg.Quarantine.Idle() {
+	if s.cfg.Quarantine.Empty() {
 		return nil
 	}
 	for i, d := range r.digests() {
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -149,9 +149,9 @@
 // Quarantine tracks the requests that crash the targets that run them; quarantine.Keeper
 // implements it. Its methods are called concurrently and must not block.
 type Quarantine interface {
-	// Idle reports whether no request is suspected, so that the other methods need not be
+	// Empty reports whether no request is suspected, so that the other methods need not be
 	// called.
-	Idle() bool
+	Empty() bool
 	// Admit decides about a request before any work for it starts.
 	Admit(d quarantine.Digest) quarantine.Admission
 	// Suspected reports whether targets crashed while they had a request, and none has
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -113,7 +113,7 @@
 	answered  int
 }
 
-func (q *fakeQuarantine) Idle() bool                                   { return false }
+func (q *fakeQuarantine) Empty() bool                                   { return false }
 func (q *fakeQuarantine) Admit(quarantine.Digest) quarantine.Admission { return q.admission }
 
 func (q *fakeQuarantine) Suspected(quarantine.Digest) bool { return q.suspected }
