--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -99,8 +99,8 @@
 	return k.table.Held(d)
 }
 
-// TargetEnded records that a target crashed while it had a request from this node.
-func (k *Keeper) TargetEnded(d Digest, c Crash) {
+// RecordCrash records that a target crashed while it had a request from this node.
+func (k *Keeper) RecordCrash(d Digest, c Crash) {
 	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordCrash(now, d, c) })
 }
 
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -34,15 +34,15 @@
 // hold records two crashes, for which the keeper holds the request.
 func (k *testKeeper) hold(d Digest) {
 	k.now = at(200)
-	k.TargetEnded(d, crash("a", 0, 100))
-	k.TargetEnded(d, crash("b", 150, 200))
+	k.RecordCrash(d, crash("a", 0, 100))
+	k.RecordCrash(d, crash("b", 150, 200))
 }
 
 func TestKeeper(t *testing.T) {
 	convey.Convey("A request is admitted until it is held, which is reported at once", t, func() {
 		k := newTestKeeper()
 		convey.So(k.Admit(1), convey.ShouldResemble, Allowed{})
-		k.TargetEnded(1, crash("a", 0, 100))
+		k.RecordCrash(1, crash("a", 0, 100))
 		convey.So(k.changes, convey.ShouldEqual, 0)
 		list, _ := k.Recent()
 		convey.So(list, convey.ShouldHaveLength, 1)
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -159,8 +159,8 @@
 	Suspected(d quarantine.Digest) bool
 	// Held reports, just before a request is sent, whether it must not be, and why.
 	Held(d quarantine.Digest) (quarantine.Hold, bool)
-	// TargetEnded records that a target crashed while it had a request.
-	TargetEnded(d quarantine.Digest, c quarantine.Crash)
+	// RecordCrash records that a target crashed while it had a request.
+	RecordCrash(d quarantine.Digest, c quarantine.Crash)
 	// Answered records that a target responded to a request, even if with a failure of its
 	// own.
 	Answered(d quarantine.Digest)
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -121,7 +121,7 @@
 func (q *fakeQuarantine) Held(quarantine.Digest) (quarantine.Hold, bool) {
 	return quarantine.Hold{}, q.held
 }
-func (q *fakeQuarantine) TargetEnded(quarantine.Digest, quarantine.Crash) {}
+func (q *fakeQuarantine) RecordCrash(quarantine.Digest, quarantine.Crash) {}
 func (q *fakeQuarantine) Answered(quarantine.Digest)                      { q.answered++ }
 
 // TestTrial checks that a trial is sent once, and that a request that is quarantined after
