--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -232,7 +232,7 @@
 	case rules.TargetSurvived(err):
 		for _, item := range e.Items {
 			if item.Digest != 0 {
-				c.quarantine.Answered(item.Digest)
+				c.quarantine.RecordAnswer(item.Digest)
 			}
 		}
 		return false
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -104,8 +104,8 @@
 	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordCrash(now, d, c) })
 }
 
-// Answered records that a target answered a request, even with an error of its own.
-func (k *Keeper) Answered(d Digest) {
+// RecordAnswer records that a target answered a request, even with an error of its own.
+func (k *Keeper) RecordAnswer(d Digest) {
 	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordAnswer(now, d) })
 }
 
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -63,7 +63,7 @@
 		k.ownsRole = true
 		convey.So(k.Admit(1), convey.ShouldResemble, Trial{})
 		convey.So(k.Admit(1), convey.ShouldHaveSameTypeAs, Refused{})
-		k.Answered(1)
+		k.RecordAnswer(1)
 		convey.So(k.Admit(1), convey.ShouldResemble, Allowed{})
 		convey.So(k.held, convey.ShouldEqual, 0)
 		convey.So(k.log.String(), convey.ShouldContainSubstring, "quarantine: request released")
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -161,9 +161,9 @@
 	Held(d quarantine.Digest) (quarantine.Hold, bool)
 	// RecordCrash records that a target crashed while it had a request.
 	RecordCrash(d quarantine.Digest, c quarantine.Crash)
-	// Answered records that a target responded to a request, even if with a failure of its
+	// RecordAnswer records that a target responded to a request, even if with a failure of its
 	// own.
-	Answered(d quarantine.Digest)
+	RecordAnswer(d quarantine.Digest)
 }
 
 // Gate enforces the limits and pauses that targets request; backpressure.Gate implements
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -122,7 +122,7 @@
 	return quarantine.Hold{}, q.held
 }
 func (q *fakeQuarantine) RecordCrash(quarantine.Digest, quarantine.Crash) {}
-func (q *fakeQuarantine) Answered(quarantine.Digest)                      { q.answered++ }
+func (q *fakeQuarantine) RecordAnswer(quarantine.Digest)                      { q.answered++ }
 
 // TestTrial checks that a trial is sent once, and that a request that is quarantined after
 // its admission is not sent.
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -86,7 +86,7 @@
 // was sent there, and events is how many events came from this target.
 func (s *sender) recordSurvival(target directory.Target, sent time.Time, attempt Attempt, events int) {
 	if rules.TargetSurvived(attempt.Err) {
-		s.quarantine.Answered(s.digest)
+		s.quarantine.RecordAnswer(s.digest)
 	}
 	if !rules.ConnectionBroke(attempt.Err) {
 		return
