--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -140,7 +140,7 @@
 // the two hold other requests, as after a start or a cut, this node asks for all.
 func (g *gossip) mergeSuspects(ctx context.Context, member string, in message.Gossip) {
 	g.quarantine.Merge(member, in.Suspects)
-	if !g.quarantine.Compare(in.HeldSum) {
+	if !g.quarantine.NeedsSync(in.HeldSum) {
 		return
 	}
 	held, err := g.peers.heldAtMember(ctx, member)
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -175,9 +175,9 @@
 	return toMessages(now, k.table.Recent(now)), formatSum(k.table.HeldSum())
 }
 
-// Compare reports whether to request all held entries from a member that reports the given
+// NeedsSync reports whether to request all held entries from a member that reports the given
 // hash. It records the request.
-func (k *Keeper) Compare(heldSum string) bool {
+func (k *Keeper) NeedsSync(heldSum string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
