--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -69,7 +69,7 @@
 		Node: s.members.self, DataCentre: s.dataCentre, Phase: s.phase(),
 		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inflight.Load()),
 		Targets: targetMessages(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
-		Evacuations: evacuationStates(s.now(), v.Evacuations), Held: s.quarantine.All().Requests,
+		Evacuations: evacuationStates(s.now(), v.Evacuations), Held: s.quarantine.HeldRequests().Requests,
 		Limits: s.backpressure.Limits(), Holds: s.backpressure.Holds(),
 	}
 	batches := s.coordinators.states(ctx)
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -34,7 +34,7 @@
 	mux.HandleFunc("POST "+wire.PathPlace, s.servePlace)
 	mux.HandleFunc("POST "+wire.PathRead, s.serveRead)
 	mux.HandleFunc("GET "+wire.PathView, s.serveView)
-	mux.HandleFunc("GET "+wire.PathSuspects, func(w http.ResponseWriter, _ *http.Request) { writeMessage(w, s.quarantine.All()) })
+	mux.HandleFunc("GET "+wire.PathSuspects, func(w http.ResponseWriter, _ *http.Request) { writeMessage(w, s.quarantine.HeldRequests()) })
 	return mux
 }
 
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -188,8 +188,8 @@
 	return true
 }
 
-// All returns the requests that this node holds, with the remaining time of each hold.
-func (k *Keeper) All() message.SuspectList {
+// HeldRequests returns the requests that this node holds, with the remaining time of each hold.
+func (k *Keeper) HeldRequests() message.SuspectList {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
