--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -12,8 +12,8 @@
 type Crash struct {
 	// Target identifies the process of the target, not just the target.
 	Target string
-	// Began is when the request was sent to the target, and At when the connection broke.
-	Began, At time.Time
+	// SentAt is when the request was sent to the target, and At when the connection broke.
+	SentAt, At time.Time
 	// Silent is set if no part of an answer had arrived.
 	Silent bool
 }
@@ -43,8 +43,8 @@
 // merge merges two reports of one target's crash. The target may have had the request more
 // than once: the result covers the time of both, and is silent if either is.
 func (c Crash) merge(other Crash) Crash {
-	if other.Began.Before(c.Began) {
-		c.Began = other.Began
+	if other.SentAt.Before(c.SentAt) {
+		c.SentAt = other.SentAt
 	}
 	if other.At.Before(c.At) {
 		c.At = other.At
--- a/internal/gateway/quarantine/rule.go
+++ b/internal/gateway/quarantine/rule.go
@@ -113,7 +113,7 @@
 func splitIncident(ordered []Crash) (incident, rest []Crash) {
 	firstBreak := ordered[0].At.Add(-maxReportSkew)
 	n := 1
-	for n < len(ordered) && ordered[n].Began.Before(firstBreak) {
+	for n < len(ordered) && ordered[n].SentAt.Before(firstBreak) {
 		n++
 	}
 	return ordered[:n], ordered[n:]
