--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -250,7 +250,7 @@
 		Msg("items: target ended while it had the batch")
 	for _, item := range e.Items {
 		if item.Digest != 0 {
-			c.quarantine.RecordCrash(item.Digest, quarantine.Crash{Target: e.Target.Life().String(), SentAt: began, At: broke, Silent: true})
+			c.quarantine.RecordCrash(item.Digest, quarantine.Crash{Target: e.Target.Life().String(), SentAt: began, BrokenAt: broke, Silent: true})
 		}
 	}
 	return true
--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -12,8 +12,8 @@
 type Crash struct {
 	// Target identifies the process of the target, not just the target.
 	Target string
-	// SentAt is when the request was sent to the target, and At when the connection broke.
-	SentAt, At time.Time
+	// SentAt is when the request was sent to the target, and BrokenAt when the connection broke.
+	SentAt, BrokenAt time.Time
 	// Silent is set if no part of an answer had arrived.
 	Silent bool
 }
@@ -46,8 +46,8 @@
 	if other.SentAt.Before(c.SentAt) {
 		c.SentAt = other.SentAt
 	}
-	if other.At.Before(c.At) {
-		c.At = other.At
+	if other.BrokenAt.Before(c.BrokenAt) {
+		c.BrokenAt = other.BrokenAt
 	}
 	c.Silent = c.Silent || other.Silent
 	return c
@@ -73,7 +73,7 @@
 	if len(crashes) <= maxCrashes {
 		return crashes
 	}
-	oldest := slices.MinFunc(crashes, func(a, b Crash) int { return cmp.Or(a.At.Compare(b.At), strings.Compare(a.Target, b.Target)) })
+	oldest := slices.MinFunc(crashes, func(a, b Crash) int { return cmp.Or(a.BrokenAt.Compare(b.BrokenAt), strings.Compare(a.Target, b.Target)) })
 	return slices.DeleteFunc(crashes, func(c Crash) bool { return c.Target == oldest.Target })
 }
 
@@ -105,8 +105,8 @@
 func (e Entry) lastEvent() time.Time {
 	last := e.ClearedAt
 	for _, c := range e.Crashes {
-		if c.At.After(last) {
-			last = c.At
+		if c.BrokenAt.After(last) {
+			last = c.BrokenAt
 		}
 	}
 	return last
--- a/internal/gateway/quarantine/fleet_test.go
+++ b/internal/gateway/quarantine/fleet_test.go
@@ -382,7 +382,7 @@
 // recordCrash records the crash of an attempt's target at the member, and schedules the
 // caller's retry.
 func (f *fleet) recordCrash(target string, a *fleetAttempt, seen map[Digest]bool) {
-	c := Crash{Target: target, SentAt: a.began, At: f.now, Silent: f.now.Sub(a.began) < 600*time.Millisecond}
+	c := Crash{Target: target, SentAt: a.began, BrokenAt: f.now, Silent: f.now.Sub(a.began) < 600*time.Millisecond}
 	f.after(2*time.Millisecond, func() {
 		if a.member.RecordCrash(f.now, a.digest, c) && a.member.holds(a.digest) {
 			f.scheduleRound(a.member)
@@ -510,8 +510,8 @@
 		f := newFleet(fleetConfig{members: members, targets: 60, requestsPerSecond: 1, exchangeLoss: 0.1, duration: time.Minute}, 1)
 		f.poison[1] = &poisonRequest{}
 		first, second := f.members[0], f.members[members-1]
-		second.RecordCrash(f.now, 1, Crash{Target: "b", SentAt: f.now.Add(-time.Millisecond), At: f.now, Silent: true})
-		first.RecordCrash(f.now, 1, Crash{Target: "a", SentAt: f.now.Add(-time.Second), At: f.now.Add(-time.Millisecond), Silent: true})
+		second.RecordCrash(f.now, 1, Crash{Target: "b", SentAt: f.now.Add(-time.Millisecond), BrokenAt: f.now, Silent: true})
+		first.RecordCrash(f.now, 1, Crash{Target: "a", SentAt: f.now.Add(-time.Second), BrokenAt: f.now.Add(-time.Millisecond), Silent: true})
 		for !f.isHeldEverywhere() && f.now.Sub(start) < 10*time.Second {
 			e := heap.Pop(&f.events).(simEvent)
 			f.now = e.at
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -99,7 +99,7 @@
 			{Digest: "2", Ends: []message.SuspectEnd{{Target: "a", AgoMs: -5000, TookMs: -1}}},
 		})
 		convey.So(k.table.Len(), convey.ShouldEqual, 1)
-		convey.So(k.table.entries[2].Crashes[0].At, convey.ShouldEqual, k.now)
+		convey.So(k.table.entries[2].Crashes[0].BrokenAt, convey.ShouldEqual, k.now)
 	})
 }
 
--- a/internal/gateway/quarantine/rule.go
+++ b/internal/gateway/quarantine/rule.go
@@ -73,10 +73,10 @@
 	}
 	var until time.Time
 	for i, c := range ordered {
-		if i >= 2 && c.At.After(until) {
+		if i >= 2 && c.BrokenAt.After(until) {
 			duration = min(duration*holdBackoffFactor, maxHold)
 		}
-		until = c.At.Add(duration)
+		until = c.BrokenAt.Add(duration)
 	}
 	return until
 }
@@ -105,13 +105,13 @@
 
 // sortByTime returns the crashes sorted by the time at which their connections broke.
 func sortByTime(crashes []Crash) []Crash {
-	return slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return a.At.Compare(b.At) })
+	return slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return a.BrokenAt.Compare(b.BrokenAt) })
 }
 
 // splitIncident splits off the first incident from crashes in the order of their times: the
 // crashes of attempts that had begun before the first connection broke.
 func splitIncident(ordered []Crash) (incident, rest []Crash) {
-	firstBreak := ordered[0].At.Add(-maxReportSkew)
+	firstBreak := ordered[0].BrokenAt.Add(-maxReportSkew)
 	n := 1
 	for n < len(ordered) && ordered[n].SentAt.Before(firstBreak) {
 		n++
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -112,7 +112,7 @@
 	defer cancel()
 	if s.upstream.HasEnded(ctx, target) {
 		s.reportDecision(ended)
-		s.quarantine.RecordCrash(ended.Digest, quarantine.Crash{Target: target.Life().String(), SentAt: sent, At: sent.Add(ended.Took), Silent: ended.Events == 0})
+		s.quarantine.RecordCrash(ended.Digest, quarantine.Crash{Target: target.Life().String(), SentAt: sent, BrokenAt: sent.Add(ended.Took), Silent: ended.Events == 0})
 	}
 }
 
