--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -194,7 +194,7 @@
 func (m *model) gossip(n *modelNode) {
 	n.nextGossip = m.now.Add(modelGossipInterval)
 	n.Heartbeat()
-	n.Forget(m.now)
+	n.Prune(m.now)
 	for _, address := range n.Partners(m.now, modelGossipPartners) {
 		partner := m.byAddress[address]
 		if !n.reaches(partner) {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -157,7 +157,7 @@
 	defer m.mu.Unlock()
 	now := m.now()
 	m.roster.Heartbeat()
-	m.roster.Forget(now)
+	m.roster.Prune(now)
 	return m.roster.Partners(now, n)
 }
 
--- a/internal/gateway/membership/fleet_test.go
+++ b/internal/gateway/membership/fleet_test.go
@@ -99,7 +99,7 @@
 func (f *fleet) round(n *fleetNode) {
 	n.next = f.now.Add(fleetRound)
 	n.Heartbeat()
-	n.Forget(f.now)
+	n.Prune(f.now)
 	for _, address := range n.Partners(f.now, fleetPartners) {
 		partner := f.byAddress[address]
 		if partner.down || partner.partitioned || n.partitioned {
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -71,8 +71,8 @@
 // LastContact returns the time of a member's last sign of life; zero if there was none.
 func (r *Roster) LastContact(address string) time.Time { return r.others[address].lastSeen }
 
-// Forget drops the members that have been silent for longer than dropTimeout.
-func (r *Roster) Forget(now time.Time) {
+// Prune drops the members that have been silent for longer than dropTimeout.
+func (r *Roster) Prune(now time.Time) {
 	r.invalidateCache()
 	maps.DeleteFunc(r.others, func(_ string, e rosterEntry) bool { return now.Sub(e.lastSeen) > dropTimeout })
 }
