--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -172,7 +172,7 @@
 func (m *members) readsCompact(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.roster.ReadsCompact(address)
+	return m.roster.SupportsCompact(address)
 }
 
 // mergeFrom merges the answer of a member that was called, which is a sign of life.
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -138,8 +138,8 @@
 // VersionOf returns the version of a member's catalog; 0 if unknown.
 func (r *Roster) VersionOf(address string) int { return r.others[address].Version }
 
-// ReadsCompact reports whether a member supports the compact encoding of gossip.
-func (r *Roster) ReadsCompact(address string) bool { return r.others[address].Compact }
+// SupportsCompact reports whether a member supports the compact encoding of gossip.
+func (r *Roster) SupportsCompact(address string) bool { return r.others[address].Compact }
 
 // Members returns all known members, this one first and the others in the order of their
 // addresses, for the state dump.
