--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -146,7 +146,7 @@
 	defer m.mu.Unlock()
 	now := m.now()
 	newest := m.roster.Newest(now, v.CatalogVersion(), int64(v.Revision))
-	return ahead{member: newest, version: m.roster.VersionOf(newest), followsReaders: m.roster.FollowsReaders(now)}
+	return ahead{member: newest, version: m.roster.CatalogVersion(newest), followsReaders: m.roster.FollowsReaders(now)}
 }
 
 // beginRound starts a round of gossip: it raises this node's heartbeat, drops
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -135,8 +135,8 @@
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Beat, b.Beat))
 }
 
-// VersionOf returns the version of a member's catalog; 0 if unknown.
-func (r *Roster) VersionOf(address string) int { return r.others[address].Version }
+// CatalogVersion returns the version of a member's catalog; 0 if unknown.
+func (r *Roster) CatalogVersion(address string) int { return r.others[address].Version }
 
 // SupportsCompact reports whether a member supports the compact encoding of gossip.
 func (r *Roster) SupportsCompact(address string) bool { return r.others[address].Compact }
