--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -163,7 +163,7 @@
 		c.pool.add(t)
 	}
 	t.Target = listed
-	t.listed, t.usable = true, t.Open()
+	t.listed, t.usable = true, t.Schedulable()
 	c.pool.reclassify(t)
 }
 
--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -142,12 +142,12 @@
 // and, if Lapsed, its StateUntil must not have passed. It does not cover targets that this
 // node avoids because they fail (placement.TargetTable.Ejected).
 func (t Target) Usable(now time.Time) bool {
-	return t.Open() && (t.State != Lapsed || now.Before(t.StateUntil))
+	return t.Schedulable() && (t.State != Lapsed || now.Before(t.StateUntil))
 }
 
-// Open reports whether the target accepts new work while it is listed or lapsed: it is
+// Schedulable reports whether the target accepts new work while it is listed or lapsed: it is
 // neither Draining nor Returned, and its data centre is not evacuated.
-func (t Target) Open() bool { return t.State != Draining && t.State != Returned && !t.Evacuated }
+func (t Target) Schedulable() bool { return t.State != Draining && t.State != Returned && !t.Evacuated }
 
 // Cold reports whether the target is still warming up at the given time.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
@@ -157,7 +157,7 @@
 func (d *Directory) AllEvacuated(service string) bool {
 	evacuated := false
 	for _, t := range d.services[service] {
-		if t.Open() {
+		if t.Schedulable() {
 			return false
 		}
 		evacuated = evacuated || t.State != Draining && t.State != Returned
