--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -9,7 +9,7 @@
 // shareFunc returns the part of a target's limit that a sender may use, in requests a
 // second, and reports whether this node is currently a sender. unconfirmedFor is the time
 // since the target last confirmed the limit.
-type shareFunc func(target directory.Life, l Limit, unconfirmedFor time.Duration) (perSecond float64, sends bool)
+type shareFunc func(target directory.Incarnation, l Limit, unconfirmedFor time.Duration) (perSecond float64, sends bool)
 
 // Gate determines which targets a component of a node may send to. It is safe for concurrent
 // use.
@@ -22,7 +22,7 @@
 // first for a limited target may send to it. While the limit is unconfirmed, one more member
 // substitutes for them, the next one after each confirmTimeout.
 func (k *Tracker) Requests() Gate {
-	return Gate{keeper: k, share: func(target directory.Life, l Limit, unconfirmedFor time.Duration) (float64, bool) {
+	return Gate{keeper: k, share: func(target directory.Incarnation, l Limit, unconfirmedFor time.Duration) (float64, bool) {
 		before, members := k.cfg.Rank(limitRolePrefix + target.String())
 		if members == 0 {
 			return 0, false
@@ -36,7 +36,7 @@
 // Calls returns the gate for the calls that a coordinator makes. The coordinator is the only
 // sender for all targets of its service, as long as coordinates returns true.
 func (k *Tracker) Calls(coordinates func() bool) Gate {
-	return Gate{keeper: k, share: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
+	return Gate{keeper: k, share: func(_ directory.Incarnation, l Limit, _ time.Duration) (float64, bool) {
 		return l.ratePerSender(1), coordinates()
 	}}
 }
@@ -58,7 +58,7 @@
 }
 
 // Allows reports whether a target may get a request now.
-func (g Gate) Allows(target directory.Life) bool {
+func (g Gate) Allows(target directory.Incarnation) bool {
 	if g.keeper.empty() {
 		return true
 	}
@@ -68,7 +68,7 @@
 }
 
 // Take reports whether a target may get a request now. If so, it counts the request.
-func (g Gate) Take(target directory.Life) bool {
+func (g Gate) Take(target directory.Incarnation) bool {
 	if g.keeper.empty() {
 		return true
 	}
@@ -83,7 +83,7 @@
 
 // HeldBack reports whether a target may get no requests from this node at all, including
 // requests that Take has already counted.
-func (g Gate) HeldBack(target directory.Life) bool {
+func (g Gate) HeldBack(target directory.Incarnation) bool {
 	if g.keeper.empty() {
 		return false
 	}
@@ -94,7 +94,7 @@
 
 // PauseLeft returns the remaining pause that a target has asked this node for. It is 0 for a
 // target that is leaving or has not asked for a pause.
-func (g Gate) PauseLeft(target directory.Life) time.Duration {
+func (g Gate) PauseLeft(target directory.Incarnation) time.Duration {
 	if g.keeper.empty() {
 		return 0
 	}
@@ -105,7 +105,7 @@
 
 // Bound returns the maximum number of requests a second that this node may send to a target
 // that is limited or held back, and false for any other target.
-func (g Gate) Bound(target directory.Life) (perSecond float64, limited bool) {
+func (g Gate) Bound(target directory.Incarnation) (perSecond float64, limited bool) {
 	if g.keeper.empty() {
 		return 0, false
 	}
@@ -120,6 +120,6 @@
 }
 
 // allows is like Allows. The caller must hold the lock.
-func (g Gate) allows(target directory.Life) bool {
+func (g Gate) allows(target directory.Incarnation) bool {
 	return g.keeper.table.allows(g.keeper.cfg.Now(), target, g.share)
 }
--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -62,7 +62,7 @@
 func (k *Tracker) empty() bool { return k.entryCount.Load() == 0 }
 
 // Heard records the signal in a target's response to this node.
-func (k *Tracker) Heard(target directory.Life, s Signal) {
+func (k *Tracker) Heard(target directory.Incarnation, s Signal) {
 	if k.empty() && s.isEmpty() {
 		return
 	}
@@ -103,7 +103,7 @@
 // limitChanged logs the changed limit of a target and notifies Config.Changed. from is
 // the member that reported the change, or empty if the target did. The caller must hold the
 // lock.
-func (k *Tracker) limitChanged(target directory.Life, from string) {
+func (k *Tracker) limitChanged(target directory.Incarnation, from string) {
 	event := k.cfg.Log.Info().Str("target", target.String()).Str("from", from)
 	if l := k.table.limit(target); l.Set {
 		event.Float64("perSecond", l.PerSecond).Msg("backpressure: target set a request limit")
@@ -132,7 +132,7 @@
 
 // limitMessages returns the limits of targets as messages. Times are sent as ages,
 // because the clocks of members may differ. The caller must hold the lock.
-func (k *Tracker) limitMessages(targets []directory.Life) []message.TargetLimit {
+func (k *Tracker) limitMessages(targets []directory.Incarnation) []message.TargetLimit {
 	now := k.cfg.Now()
 	list := make([]message.TargetLimit, len(targets))
 	for i, target := range targets {
--- a/internal/gateway/backpressure/table.go
+++ b/internal/gateway/backpressure/table.go
@@ -60,12 +60,12 @@
 
 // table holds an entry for each target incarnation that is leaving, paused or limited, or
 // was limited recently. It is not safe for concurrent use.
-type table struct{ entries map[directory.Life]*entry }
+type table struct{ entries map[directory.Incarnation]*entry }
 
-func newTable() *table { return &table{entries: map[directory.Life]*entry{}} }
+func newTable() *table { return &table{entries: map[directory.Incarnation]*entry{}} }
 
 // merge records a report unless a newer one is known, and reports whether the limit changed.
-func (t *table) merge(target directory.Life, r report) bool {
+func (t *table) merge(target directory.Incarnation, r report) bool {
 	e := t.getOrCreate(target, r.at)
 	if !r.at.After(e.at) {
 		return false
@@ -77,13 +77,13 @@
 
 // isDuplicate reports whether a member's report may be one that is already known. Each
 // exchange makes a forwarded report look newer by the duration of the exchange.
-func (t *table) isDuplicate(target directory.Life, r report) bool {
+func (t *table) isDuplicate(target directory.Incarnation, r report) bool {
 	e := t.entries[target]
 	return e != nil && r.Limit == e.Limit && r.at.Sub(e.at) < duplicateTolerance
 }
 
 // getOrCreate returns the entry of a target and creates it if necessary.
-func (t *table) getOrCreate(target directory.Life, now time.Time) *entry {
+func (t *table) getOrCreate(target directory.Incarnation, now time.Time) *entry {
 	e := t.entries[target]
 	if e == nil {
 		e = &entry{bucket: newBucket(now)}
@@ -93,7 +93,7 @@
 }
 
 // markLeaving marks a target as leaving, and reports whether it was not marked before.
-func (t *table) markLeaving(now time.Time, target directory.Life) bool {
+func (t *table) markLeaving(now time.Time, target directory.Incarnation) bool {
 	e := t.getOrCreate(target, now)
 	wasLeaving := e.leaving
 	e.leaving = true
@@ -102,7 +102,7 @@
 
 // pause pauses a target for d, and reports whether it was not paused before. A longer pause
 // that is already in effect is kept.
-func (t *table) pause(now time.Time, target directory.Life, d time.Duration) bool {
+func (t *table) pause(now time.Time, target directory.Incarnation, d time.Duration) bool {
 	e := t.getOrCreate(target, now)
 	isNew := !now.Before(e.pausedUntil)
 	if until := now.Add(d); until.After(e.pausedUntil) {
@@ -128,7 +128,7 @@
 }
 
 // limit returns the limit of a target, which is the zero value if it has none.
-func (t *table) limit(target directory.Life) Limit {
+func (t *table) limit(target directory.Incarnation) Limit {
 	if e := t.entries[target]; e != nil {
 		return e.Limit
 	}
@@ -138,14 +138,14 @@
 // endsLimit reports whether a response without a limit ends the target's limit.
 // Responses may arrive out of order, so only a response to a request that was sent after
 // the last announcement of the limit ends it.
-func (t *table) endsLimit(target directory.Life, sent time.Time) bool {
+func (t *table) endsLimit(target directory.Incarnation, sent time.Time) bool {
 	e := t.entries[target]
 	return e != nil && e.Set && sent.After(e.at)
 }
 
 // heldBack reports whether a target may get no requests from this node because it is leaving,
 // even if the source says otherwise, or is paused.
-func (t *table) heldBack(now time.Time, target directory.Life) bool {
+func (t *table) heldBack(now time.Time, target directory.Incarnation) bool {
 	e := t.entries[target]
 	return e != nil && e.heldBack(now)
 }
@@ -154,7 +154,7 @@
 
 // pauseLeft returns the remaining pause of a target. It is 0 for a target that is leaving or
 // not paused.
-func (t *table) pauseLeft(now time.Time, target directory.Life) time.Duration {
+func (t *table) pauseLeft(now time.Time, target directory.Incarnation) time.Duration {
 	e := t.entries[target]
 	if e == nil || e.leaving {
 		return 0
@@ -164,7 +164,7 @@
 
 // allows reports whether a target may get a request: it is not held back, and either has no
 // limit, or this node is a sender for it and its bucket has a token.
-func (t *table) allows(now time.Time, target directory.Life, share shareFunc) bool {
+func (t *table) allows(now time.Time, target directory.Incarnation, share shareFunc) bool {
 	e := t.entries[target]
 	switch {
 	case e == nil:
@@ -182,30 +182,30 @@
 }
 
 // takeToken takes a token for a request that is sent to a target.
-func (t *table) takeToken(now time.Time, target directory.Life) {
+func (t *table) takeToken(now time.Time, target directory.Incarnation) {
 	if e := t.entries[target]; e != nil && e.Set {
 		e.bucket.AllowN(now, 1)
 	}
 }
 
 // limited returns the targets with a limit, in no particular order.
-func (t *table) limited() []directory.Life {
+func (t *table) limited() []directory.Incarnation {
 	return t.filter(func(e *entry) bool { return e.Set })
 }
 
 // held returns the targets that told this node that they are leaving or want a pause, in no
 // particular order.
-func (t *table) held(now time.Time) []directory.Life {
+func (t *table) held(now time.Time) []directory.Incarnation {
 	return t.filter(func(e *entry) bool { return e.heldBack(now) })
 }
 
 // all returns all targets in the table, in no particular order.
-func (t *table) all() []directory.Life {
+func (t *table) all() []directory.Incarnation {
 	return t.filter(func(*entry) bool { return true })
 }
 
-func (t *table) filter(match func(*entry) bool) []directory.Life {
-	var list []directory.Life
+func (t *table) filter(match func(*entry) bool) []directory.Incarnation {
+	var list []directory.Incarnation
 	for target, e := range t.entries {
 		if match(e) {
 			list = append(list, target)
@@ -215,9 +215,9 @@
 }
 
 // newest returns the targets with the newest reports of a limit or its end, at most n.
-func (t *table) newest(n int) []directory.Life {
+func (t *table) newest(n int) []directory.Incarnation {
 	list := t.filter(func(e *entry) bool { return !e.at.IsZero() })
-	slices.SortFunc(list, func(a, b directory.Life) int {
+	slices.SortFunc(list, func(a, b directory.Incarnation) int {
 		return cmp.Or(t.entries[b].at.Compare(t.entries[a].at), cmp.Compare(a.ID, b.ID))
 	})
 	return list[:min(n, len(list))]
@@ -226,7 +226,7 @@
 // pruneEnded removes entries whose limit ended more than endedRetention ago, unless the
 // target is leaving or paused.
 func (t *table) pruneEnded(now time.Time) {
-	maps.DeleteFunc(t.entries, func(_ directory.Life, e *entry) bool {
+	maps.DeleteFunc(t.entries, func(_ directory.Incarnation, e *entry) bool {
 		return !e.Set && now.Sub(e.at) > endedRetention && !e.leaving && !now.Before(e.pausedUntil)
 	})
 }
@@ -235,7 +235,7 @@
 // unlistedRetention. An entry of the source may disappear temporarily, and the state of the
 // target must outlast that.
 func (t *table) pruneUnlisted(now time.Time, d *directory.Directory) {
-	maps.DeleteFunc(t.entries, func(target directory.Life, e *entry) bool {
+	maps.DeleteFunc(t.entries, func(target directory.Incarnation, e *entry) bool {
 		switch {
 		case d.Lives(target):
 			e.unlistedSince = time.Time{}
--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -100,7 +100,7 @@
 		convey.So(s[0].Items, convey.ShouldHaveLength, 2)
 		convey.Convey("and the rest waits until a result is released", func() {
 			convey.So(sends(c.Handle(start.Add(300*time.Millisecond), answered(s[0]))), convey.ShouldBeEmpty)
-			released := c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: directory.Life{ID: "t0"}, Handles: []string{"h1-1"}})
+			released := c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: directory.Incarnation{ID: "t0"}, Handles: []string{"h1-1"}})
 			convey.So(sends(released), convey.ShouldHaveLength, 1)
 		})
 	})
@@ -287,7 +287,7 @@
 func (o *oracle) report(r batching.Report, err *verdict.Error) {
 	for id := range o.inspected {
 		delete(o.inspected, id)
-		o.handle(batching.Inspected{Target: directory.Life{ID: id}, Report: r, Err: err})
+		o.handle(batching.Inspected{Target: directory.Incarnation{ID: id}, Report: r, Err: err})
 		return
 	}
 }
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -195,7 +195,7 @@
 	}
 }
 
-func (c *Core) release(now time.Time, life directory.Life, handles []string) {
+func (c *Core) release(now time.Time, life directory.Incarnation, handles []string) {
 	t := c.pool.byLife[life]
 	if t == nil || len(handles) == 0 {
 		return
--- a/internal/gateway/batching/deadline_test.go
+++ b/internal/gateway/batching/deadline_test.go
@@ -59,7 +59,7 @@
 	submit := func(due time.Duration) []Effect {
 		c := New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second})
 		c.Handle(testNow, Configure{Service: &catalog.Service{Name: "s", Batch: testSpec()}, Targets: []directory.Target{{ID: "t"}}})
-		c.Handle(testNow, Inspected{Target: directory.Life{ID: "t"}, Report: Report{FreeBytes: 1000}})
+		c.Handle(testNow, Inspected{Target: directory.Incarnation{ID: "t"}, Report: Report{FreeBytes: 1000}})
 		var items []Item
 		for i := range 30 {
 			items = append(items, Item{
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -165,13 +165,13 @@
 // Release ends the use of results that have been read or are not needed.
 type Release struct {
 	// Target stores the results, which are lost when this life of it ends.
-	Target  directory.Life
+	Target  directory.Incarnation
 	Handles []string
 }
 
 // Inspected reports a target's answer to Inspect. Err is set if there was none.
 type Inspected struct {
-	Target directory.Life
+	Target directory.Incarnation
 	Report Report
 	Err    *verdict.Error
 }
--- a/internal/gateway/batching/gate.go
+++ b/internal/gateway/batching/gate.go
@@ -12,20 +12,20 @@
 // targets ask for. backpressure.Gate implements it.
 type Gate interface {
 	// Allows reports whether a target may get a call now.
-	Allows(target directory.Life) bool
+	Allows(target directory.Incarnation) bool
 	// Take is like Allows, and counts the call if it is allowed.
-	Take(target directory.Life) bool
+	Take(target directory.Incarnation) bool
 	// Bound returns how many calls per second a target accepts; false if it is not
 	// limited.
-	Bound(target directory.Life) (perSecond float64, limited bool)
+	Bound(target directory.Incarnation) (perSecond float64, limited bool)
 }
 
 // allowAllGate is a Gate that bounds nothing.
 type allowAllGate struct{}
 
-func (allowAllGate) Allows(directory.Life) bool           { return true }
-func (allowAllGate) Take(directory.Life) bool             { return true }
-func (allowAllGate) Bound(directory.Life) (float64, bool) { return 0, false }
+func (allowAllGate) Allows(directory.Incarnation) bool           { return true }
+func (allowAllGate) Take(directory.Incarnation) bool             { return true }
+func (allowAllGate) Bound(directory.Incarnation) (float64, bool) { return 0, false }
 
 // limitedRate returns the target's throughput in full batches, in items per second,
 // bounded by the calls that it accepts.
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -23,7 +23,7 @@
 type pool struct {
 	// targets holds all targets, in the order in which they were first listed.
 	targets []*target
-	byLife  map[directory.Life]*target
+	byLife  map[directory.Incarnation]*target
 	// latestByID holds the newest life of each target ID.
 	latestByID map[string]*target
 	// unusable holds the targets that get no batch.
@@ -64,7 +64,7 @@
 }
 
 func newPool() *pool {
-	return &pool{byLife: map[directory.Life]*target{}, latestByID: map[string]*target{}, byDataCentre: map[string]*dataCentreTargets{}}
+	return &pool{byLife: map[directory.Incarnation]*target{}, latestByID: map[string]*target{}, byDataCentre: map[string]*dataCentreTargets{}}
 }
 
 // add adds a target. A target that restarted under the same ID is a new one; the results
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -82,7 +82,7 @@
 		coordinatorConfig: cfg, service: service, gate: gate,
 		core:     batching.New(cfg.retries, batching.WithGate(gate)),
 		items:    map[batching.ItemID]*pendingItem{},
-		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Life]*batching.Discard{}},
+		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Incarnation]*batching.Discard{}},
 	}
 }
 
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Life identifies one process of a target by the target's identity and the start of the
+// Incarnation identifies one process of a target by the target's identity and the start of the
 // process. A target may restart under the same identity, which loses its state. State kept
-// about a target is keyed by its Life, so that it is discarded after a restart.
-type Life struct {
+// about a target is keyed by its Incarnation, so that it is discarded after a restart.
+type Incarnation struct {
 	// ID is the target's identity.
 	ID string
 	// Born is the start of the process in Unix milliseconds, by the target's clock; 0 if
@@ -24,11 +24,11 @@
 )
 
 // Life returns the target's current life.
-func (t Target) Life() Life { return Life{ID: t.ID, Born: t.Born} }
+func (t Target) Life() Incarnation { return Incarnation{ID: t.ID, Born: t.Born} }
 
 // String returns the identity, followed by the start if that is known or if the identity
 // itself contains the separator.
-func (l Life) String() string {
+func (l Incarnation) String() string {
 	if l.Born == 0 && !strings.Contains(l.ID, startSeparator) {
 		return l.ID
 	}
@@ -36,20 +36,20 @@
 }
 
 // ParseLife parses the result of String. A text without a valid start is an identity.
-func ParseLife(s string) Life {
+func ParseLife(s string) Incarnation {
 	i := strings.LastIndex(s, startSeparator)
 	if i < 0 {
-		return Life{ID: s}
+		return Incarnation{ID: s}
 	}
 	born, err := strconv.ParseInt(s[i+len(startSeparator):], startBase, 64)
 	if err != nil {
-		return Life{ID: s}
+		return Incarnation{ID: s}
 	}
-	return Life{ID: s[:i], Born: born}
+	return Incarnation{ID: s[:i], Born: born}
 }
 
 // Lives reports whether the directory has a target with this identity and start.
-func (d *Directory) Lives(l Life) bool {
+func (d *Directory) Lives(l Incarnation) bool {
 	t, known := d.targets[l.ID]
 	return known && t.Born == l.Born
 }
--- a/internal/gateway/discards.go
+++ b/internal/gateway/discards.go
@@ -23,7 +23,7 @@
 type discards struct {
 	log      zerolog.Logger
 	targets  Targets
-	byTarget map[directory.Life]*batching.Discard
+	byTarget map[directory.Incarnation]*batching.Discard
 	// scheduled says whether the coordinator is going to receive discardNow.
 	scheduled bool
 }
@@ -42,7 +42,7 @@
 }
 
 // take removes and returns what is gathered for a target; nil for nothing.
-func (d *discards) take(target directory.Life) *batching.Discard {
+func (d *discards) take(target directory.Incarnation) *batching.Discard {
 	p := d.byTarget[target]
 	delete(d.byTarget, target)
 	return p
--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -136,7 +136,7 @@
 	allow   filter
 	inputs  inputLocation
 	// backlogs is the number of tokens that each engine has to prefill.
-	backlogs map[directory.Life]int
+	backlogs map[directory.Incarnation]int
 	// cached is the number of tokens of the prompt that each engine examined so far has
 	// cached, by index. mostCached is its maximum.
 	cached     map[int]int
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -49,7 +49,7 @@
 
 // pendingPrompt is a prompt whose prefill has not completed.
 type pendingPrompt struct {
-	engine directory.Life
+	engine directory.Incarnation
 	// tokens is the number of tokens that the engine has to prefill.
 	tokens int
 	placed time.Time
@@ -108,8 +108,8 @@
 }
 
 // backlogs returns the number of tokens that each engine has to prefill.
-func (p *EngineChooser) backlogs() map[directory.Life]int {
-	tokens := make(map[directory.Life]int)
+func (p *EngineChooser) backlogs() map[directory.Incarnation]int {
+	tokens := make(map[directory.Incarnation]int)
 	for _, r := range p.pending {
 		tokens[r.engine] += r.tokens
 	}
--- a/internal/gateway/placement/outlier.go
+++ b/internal/gateway/placement/outlier.go
@@ -68,7 +68,7 @@
 }
 
 // Eject ejects a target immediately after a failure that proves that it is down.
-func (t *TargetTable) Eject(now time.Time, l directory.Life) {
+func (t *TargetTable) Eject(now time.Time, l directory.Incarnation) {
 	s := t.statsOf(l)
 	s.failureRate = 1
 	s.updatedAt = now
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -108,4 +108,4 @@
 }
 
 // life returns the directory.Life of a target with an unknown start time.
-func life(id string) directory.Life { return directory.Life{ID: id} }
+func life(id string) directory.Incarnation { return directory.Incarnation{ID: id} }
--- a/internal/gateway/placement/prefixcache.go
+++ b/internal/gateway/placement/prefixcache.go
@@ -30,22 +30,22 @@
 // that an engine has evicted for lack of memory are still included.
 type prefixCache struct {
 	// lastUse is the time at which each engine last used a part, by the key of the part.
-	lastUse map[uint64]map[directory.Life]time.Time
+	lastUse map[uint64]map[directory.Incarnation]time.Time
 	// lastUser is the engine that used a part last, by the key of the part.
-	lastUser map[uint64]directory.Life
+	lastUser map[uint64]directory.Incarnation
 	// lastExpiry is the time of the last scan for expired parts.
 	lastExpiry time.Time
 }
 
 func newPrefixCache() prefixCache {
-	return prefixCache{lastUse: map[uint64]map[directory.Life]time.Time{}, lastUser: map[uint64]directory.Life{}}
+	return prefixCache{lastUse: map[uint64]map[directory.Incarnation]time.Time{}, lastUser: map[uint64]directory.Incarnation{}}
 }
 
 // record records that an engine prefills shared parts or reads them from its cache.
-func (c *prefixCache) record(now time.Time, engine directory.Life, parts []SharedPart) {
+func (c *prefixCache) record(now time.Time, engine directory.Incarnation, parts []SharedPart) {
 	for _, part := range parts {
 		if c.lastUse[part.Key] == nil {
-			c.lastUse[part.Key] = map[directory.Life]time.Time{}
+			c.lastUse[part.Key] = map[directory.Incarnation]time.Time{}
 		}
 		c.lastUse[part.Key][engine] = now
 		c.lastUser[part.Key] = engine
@@ -54,7 +54,7 @@
 
 // tokens returns the number of tokens of the shared parts that an engine has cached. A part
 // only counts if the engine has cached all parts before it.
-func (c *prefixCache) tokens(engine directory.Life, parts []SharedPart) int {
+func (c *prefixCache) tokens(engine directory.Incarnation, parts []SharedPart) int {
 	total := 0
 	for _, part := range parts {
 		if _, cached := c.lastUse[part.Key][engine]; !cached {
@@ -66,8 +66,8 @@
 }
 
 // lastUsers returns the engines that used one of the parts last, without duplicates.
-func (c *prefixCache) lastUsers(parts []SharedPart) []directory.Life {
-	var lives []directory.Life
+func (c *prefixCache) lastUsers(parts []SharedPart) []directory.Incarnation {
+	var lives []directory.Incarnation
 	for _, part := range parts {
 		if life, known := c.lastUser[part.Key]; known && !slices.Contains(lives, life) {
 			lives = append(lives, life)
@@ -77,7 +77,7 @@
 }
 
 // lastUsed returns the time at which an engine last used the last of the parts.
-func (c *prefixCache) lastUsed(engine directory.Life, parts []SharedPart) time.Time {
+func (c *prefixCache) lastUsed(engine directory.Incarnation, parts []SharedPart) time.Time {
 	if len(parts) == 0 {
 		return time.Time{}
 	}
@@ -87,7 +87,7 @@
 // prune removes engines that are gone or have restarted, as a restart clears the cache.
 func (c *prefixCache) prune(d *directory.Directory) {
 	for _, engines := range c.lastUse {
-		maps.DeleteFunc(engines, func(l directory.Life, _ time.Time) bool { return !d.Lives(l) })
+		maps.DeleteFunc(engines, func(l directory.Incarnation, _ time.Time) bool { return !d.Lives(l) })
 	}
 }
 
@@ -97,9 +97,9 @@
 		return
 	}
 	c.lastExpiry = now
-	maps.DeleteFunc(c.lastUse, func(_ uint64, engines map[directory.Life]time.Time) bool {
-		maps.DeleteFunc(engines, func(_ directory.Life, used time.Time) bool { return now.Sub(used) > cacheTTL })
+	maps.DeleteFunc(c.lastUse, func(_ uint64, engines map[directory.Incarnation]time.Time) bool {
+		maps.DeleteFunc(engines, func(_ directory.Incarnation, used time.Time) bool { return now.Sub(used) > cacheTTL })
 		return len(engines) == 0
 	})
-	maps.DeleteFunc(c.lastUser, func(key uint64, _ directory.Life) bool { return c.lastUse[key] == nil })
+	maps.DeleteFunc(c.lastUser, func(key uint64, _ directory.Incarnation) bool { return c.lastUse[key] == nil })
 }
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -40,7 +40,7 @@
 	// dataCentres is the number of data centres.
 	dataCentres int
 	// byLife maps each engine to its index. It is nil until find is called.
-	byLife map[directory.Life]int
+	byLife map[directory.Incarnation]int
 }
 
 // forEngines returns the index of a list of engines, which is x if it was built from the
@@ -70,9 +70,9 @@
 }
 
 // find returns the index of an engine, or false if it is not in the list.
-func (x *engineIndex) find(life directory.Life) (int, bool) {
+func (x *engineIndex) find(life directory.Incarnation) (int, bool) {
 	if x.byLife == nil {
-		x.byLife = make(map[directory.Life]int, len(x.engines))
+		x.byLife = make(map[directory.Incarnation]int, len(x.engines))
 		for i := range x.engines {
 			x.byLife[x.engines[i].Life()] = i
 		}
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -42,7 +42,7 @@
 // TargetTable holds the statistics that a node collects about each target incarnation from
 // its own calls and from the load that responses report. It is not safe for concurrent use.
 type TargetTable struct {
-	targets map[directory.Life]*stats
+	targets map[directory.Incarnation]*stats
 	// indexes holds the index of the engines of each service.
 	indexes map[string]*engineIndex
 }
@@ -67,10 +67,10 @@
 
 // NewTargetTable returns an empty table.
 func NewTargetTable() *TargetTable {
-	return &TargetTable{targets: map[directory.Life]*stats{}, indexes: map[string]*engineIndex{}}
+	return &TargetTable{targets: map[directory.Incarnation]*stats{}, indexes: map[string]*engineIndex{}}
 }
 
-func (t *TargetTable) statsOf(l directory.Life) *stats {
+func (t *TargetTable) statsOf(l directory.Incarnation) *stats {
 	s := t.targets[l]
 	if s == nil {
 		s = &stats{}
@@ -80,7 +80,7 @@
 }
 
 // RecordStart records that a call is sent to a target.
-func (t *TargetTable) RecordStart(l directory.Life) {
+func (t *TargetTable) RecordStart(l directory.Incarnation) {
 	s := t.statsOf(l)
 	s.inflight++
 	s.sentSinceLoad++
@@ -90,7 +90,7 @@
 // RecordEnd records the end of a call and its duration. A call counts as failed only if the target
 // is at fault: it did not respond, its response was incomplete or invalid, or its response
 // reports a problem of the target.
-func (t *TargetTable) RecordEnd(now time.Time, l directory.Life, took time.Duration, failed bool) {
+func (t *TargetTable) RecordEnd(now time.Time, l directory.Incarnation, took time.Duration, failed bool) {
 	s := t.statsOf(l)
 	s.inflight--
 	s.failureRate *= decayFactor(now, s.updatedAt)
@@ -108,7 +108,7 @@
 }
 
 // RecordLoad records the load that a target reported.
-func (t *TargetTable) RecordLoad(now time.Time, l directory.Life, load Load) {
+func (t *TargetTable) RecordLoad(now time.Time, l directory.Incarnation, load Load) {
 	s := t.statsOf(l)
 	s.load = load
 	s.loadAt = now
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -173,12 +173,12 @@
 	// now.
 	Blocked(d *directory.Directory) []string
 	// Take reports whether a target may get a request now, and counts the request if so.
-	Take(target directory.Life) bool
+	Take(target directory.Incarnation) bool
 	// HeldBack reports, just before a request is sent, whether its target must not get it.
-	HeldBack(target directory.Life) bool
+	HeldBack(target directory.Incarnation) bool
 	// PauseLeft is how much longer a target accepts no requests from this node; 0 for no
 	// pause.
-	PauseLeft(target directory.Life) time.Duration
+	PauseLeft(target directory.Incarnation) time.Duration
 }
 
 // Placer chooses engines based on what all nodes have sent to them.
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -85,7 +85,7 @@
 	delete(t.isolated, id)
 }
 
-func (t *targetStats) sent(l directory.Life) {
+func (t *targetStats) sent(l directory.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.RecordStart(l)
@@ -93,7 +93,7 @@
 
 // attemptResult is the result of an attempt at a target.
 type attemptResult struct {
-	target directory.Life
+	target directory.Incarnation
 	// load is the load that the target reported; nil for none.
 	load *placement.Load
 	// took is the time to the response header or to the failure.
--- a/internal/gateway/view/tombstones.go
+++ b/internal/gateway/view/tombstones.go
@@ -18,7 +18,7 @@
 
 // tombstones records recently removed targets by life. It is immutable; the zero value is
 // empty.
-type tombstones struct{ byLife map[directory.Life]tombstone }
+type tombstones struct{ byLife map[directory.Incarnation]tombstone }
 
 // tombstone is one removed target.
 type tombstone struct {
@@ -33,9 +33,9 @@
 	if len(removed) == 0 {
 		return ts
 	}
-	next := make(map[directory.Life]tombstone, len(ts.byLife)+len(removed))
+	next := make(map[directory.Incarnation]tombstone, len(ts.byLife)+len(removed))
 	maps.Copy(next, ts.byLife)
-	maps.DeleteFunc(next, func(_ directory.Life, known tombstone) bool { return now.Sub(known.removedAt) > tombstoneTTL })
+	maps.DeleteFunc(next, func(_ directory.Incarnation, known tombstone) bool { return now.Sub(known.removedAt) > tombstoneTTL })
 	for _, t := range removed {
 		next[t.Life()] = tombstone{removedAt: now, wasDraining: t.State == directory.Draining}
 	}
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -89,11 +89,11 @@
 // it with New. A nil *Limiter imposes no limit. It is not safe for concurrent use.
 type Limiter struct {
 	bound   Bound
-	buckets map[directory.Life]*rate.Limiter
+	buckets map[directory.Incarnation]*rate.Limiter
 }
 
 // NewLimiter returns Limits that impose no limit until SetBound is called.
-func NewLimiter() *Limiter { return &Limiter{buckets: make(map[directory.Life]*rate.Limiter)} }
+func NewLimiter() *Limiter { return &Limiter{buckets: make(map[directory.Incarnation]*rate.Limiter)} }
 
 // SetBound sets the limit. If it differs from the previous one, all buckets are replaced by
 // full ones.
@@ -142,7 +142,7 @@
 
 // bucket returns the bucket of a target, or nil if the share of a member is too small to
 // assign any request.
-func (l *Limiter) bucket(life directory.Life) *rate.Limiter {
+func (l *Limiter) bucket(life directory.Incarnation) *rate.Limiter {
 	bucket, known := l.buckets[life]
 	if !known {
 		bucket = l.bound.limiter()
