--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -157,7 +157,7 @@
 		if m.Target == "" || !r.Limit.valid() {
 			continue
 		}
-		target := directory.ParseLife(m.Target)
+		target := directory.ParseIncarnation(m.Target)
 		if !k.table.isDuplicate(target, r) && k.table.merge(target, r) {
 			k.limitChanged(target, member)
 		}
--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -367,7 +367,7 @@
 			},
 			"release": func(*rapid.T) {
 				for h, target := range o.used {
-					o.handle(batching.Release{Target: directory.ParseLife(target), Handles: []string{h}})
+					o.handle(batching.Release{Target: directory.ParseIncarnation(target), Handles: []string{h}})
 					// The core may have dropped the target; its results then expire
 					// there.
 					delete(o.used, h)
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -133,7 +133,7 @@
 		byTarget[r.Target] = append(byTarget[r.Target], r.Handle)
 	}
 	for target, handles := range byTarget {
-		system.Root.Send(pid, batching.Release{Target: directory.ParseLife(target), Handles: handles})
+		system.Root.Send(pid, batching.Release{Target: directory.ParseIncarnation(target), Handles: handles})
 	}
 }
 
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -35,8 +35,8 @@
 	return l.ID + startSeparator + strconv.FormatInt(l.Born, startBase)
 }
 
-// ParseLife parses the result of String. A text without a valid start is an identity.
-func ParseLife(s string) Incarnation {
+// ParseIncarnation parses the result of String. A text without a valid start is an identity.
+func ParseIncarnation(s string) Incarnation {
 	i := strings.LastIndex(s, startSeparator)
 	if i < 0 {
 		return Incarnation{ID: s}
--- a/internal/gateway/directory/life_test.go
+++ b/internal/gateway/directory/life_test.go
@@ -10,7 +10,7 @@
 func TestLife(t *testing.T) {
 	convey.Convey("ParseLife inverts String", t, func() {
 		for _, l := range []Incarnation{{ID: "i-1"}, {ID: "i-1", Born: 1783309352014}, {ID: "i@1"}, {ID: "i@x", Born: 2}, {}} {
-			convey.So(ParseLife(l.String()), convey.ShouldResemble, l)
+			convey.So(ParseIncarnation(l.String()), convey.ShouldResemble, l)
 		}
 	})
 	now := time.Unix(1000, 0)
