--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -43,7 +43,7 @@
 // reportIdle delivers reports of idle targets without results.
 func reportIdle(c *batching.Core, list []directory.Target) {
 	for _, t := range list {
-		c.Handle(start, batching.Inspected{Target: t.Life(), Report: batching.Report{FreeBytes: 1000}})
+		c.Handle(start, batching.Inspected{Target: t.Incarnation(), Report: batching.Report{FreeBytes: 1000}})
 	}
 }
 
--- a/internal/gateway/batching/bench_test.go
+++ b/internal/gateway/batching/bench_test.go
@@ -51,7 +51,7 @@
 		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, firstID)}))...)
 		firstID += benchGroup
 		done := answered(running[0])
-		target := running[0].Target.Life()
+		target := running[0].Target.Incarnation()
 		running = append(running[1:], sends(c.Handle(now, done))...)
 		handles := make([]string, len(done.Outcomes))
 		for i, out := range done.Outcomes {
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -157,7 +157,7 @@
 
 // addListed adds or updates a target from the service's target list.
 func (c *Core) addListed(listed directory.Target) {
-	t := c.pool.byLife[listed.Life()]
+	t := c.pool.byLife[listed.Incarnation()]
 	if t == nil {
 		t = newTarget(listed)
 		c.pool.add(t)
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -31,7 +31,7 @@
 		if memory, tried := declined[t.DataCentre]; tried && t.available(now, c.spec) <= memory {
 			continue
 		}
-		if c.pool.fasterTargetsSuffice(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, isCoordinator) || !c.gate.Allows(t.Life()) {
+		if c.pool.fasterTargetsSuffice(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, isCoordinator) || !c.gate.Allows(t.Incarnation()) {
 			continue
 		}
 		if c.startBatch(loc, t) {
@@ -78,7 +78,7 @@
 	c.pool.reclassify(t)
 	t.memory.reserve(items)
 	c.limits.Take(now, t.Target)
-	c.gate.Take(t.Life())
+	c.gate.Take(t.Incarnation())
 	c.stats.Batches++
 	c.stats.Items += int64(n)
 	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: sendTimeout(expected), TargetIdle: t.lastBatchAnswered})
@@ -135,7 +135,7 @@
 func (c *Core) inspectSpare(dc *dataCentreTargets) bool {
 	for i := len(dc.spare.targets) - 1; i >= 0; i-- {
 		t := dc.spare.targets[i]
-		if !c.gate.Take(t.Life()) {
+		if !c.gate.Take(t.Incarnation()) {
 			continue
 		}
 		t.inspection.running = true
@@ -180,7 +180,7 @@
 	for _, list := range c.pool.inspectedLists() {
 		c.pool.examined += len(list.targets)
 		for _, t := range list.targets {
-			if t.inspection.due(now) && c.gate.Take(t.Life()) {
+			if t.inspection.due(now) && c.gate.Take(t.Incarnation()) {
 				t.inspection.running = true
 				c.emit(Inspect{Target: t.Target})
 			}
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -62,7 +62,7 @@
 	case Done:
 		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, sentAt: done.sentAt, expiresAt: now.Add(c.spec.ResultTTL)})
 		c.removeItem(item.ID)
-		c.emit(Resolve{ItemID: item.ID, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
+		c.emit(Resolve{ItemID: item.ID, Result: Result{Handle: out.Handle, Target: t.Incarnation().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
 		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input of the item no longer existed when target %s needed it", t.ID))
--- a/internal/gateway/batching/fleet_bench_test.go
+++ b/internal/gateway/batching/fleet_bench_test.go
@@ -56,7 +56,7 @@
 			took := 242*time.Millisecond + time.Duration(len(e.Items))*15*time.Millisecond
 			r.running[e.Batch] = runningBatch{Send: e, endsAt: r.now.Add(took)}
 		case batching.Inspect:
-			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 17_000_000}})
+			defer r.handle(batching.Inspected{Target: e.Target.Incarnation(), Report: batching.Report{FreeBytes: 17_000_000}})
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		delete(r.running, id)
 		done := answered(b.Send)
 		r.handle(done)
-		release := batching.Release{Target: b.Target.Life()}
+		release := batching.Release{Target: b.Target.Incarnation()}
 		for _, out := range done.Outcomes {
 			release.Handles = append(release.Handles, out.Handle)
 		}
--- a/internal/gateway/batching/fleet_test.go
+++ b/internal/gateway/batching/fleet_test.go
@@ -73,7 +73,7 @@
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 5*time.Second)}))
 		done := answered(first[0])
 		c.Handle(start.Add(300*time.Millisecond), done)
-		c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: first[0].Target.Life(), Handles: []string{done.Outcomes[0].Handle}})
+		c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: first[0].Target.Incarnation(), Handles: []string{done.Outcomes[0].Handle}})
 		after := func(idle time.Duration) []batching.Effect {
 			now := start.Add(300*time.Millisecond + idle)
 			c.Handle(now, batching.Tick{})
--- a/internal/gateway/batching/gate.go
+++ b/internal/gateway/batching/gate.go
@@ -31,7 +31,7 @@
 // bounded by the calls that it accepts.
 func (c *Core) limitedRate(now time.Time, spec *catalog.Batch, t *target) float64 {
 	takes := math.Inf(1)
-	if calls, limited := c.gate.Bound(t.Life()); limited {
+	if calls, limited := c.gate.Bound(t.Incarnation()); limited {
 		takes = calls * float64(spec.MaxItems)
 	}
 	return min(t.rate(now, spec), takes)
--- a/internal/gateway/batching/large_bench_test.go
+++ b/internal/gateway/batching/large_bench_test.go
@@ -57,7 +57,7 @@
 			took := 240*time.Millisecond + time.Duration(len(e.Items))*4300*time.Microsecond
 			r.running[e.Batch] = runningBatch{Send: e, endsAt: r.now.Add(took)}
 		case batching.Inspect:
-			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 530_000}})
+			defer r.handle(batching.Inspected{Target: e.Target.Incarnation(), Report: batching.Report{FreeBytes: 530_000}})
 		}
 	}
 }
@@ -82,7 +82,7 @@
 		delete(r.running, id)
 		done := answered(b.Send)
 		r.handle(done)
-		release := batching.Release{Target: b.Target.Life()}
+		release := batching.Release{Target: b.Target.Incarnation()}
 		for _, out := range done.Outcomes {
 			release.Handles = append(release.Handles, out.Handle)
 		}
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -75,7 +75,7 @@
 		earlier.memory.dropAll()
 	}
 	p.latestByID[t.ID] = t
-	p.byLife[t.Life()] = t
+	p.byLife[t.Incarnation()] = t
 	p.targets = append(p.targets, t)
 	p.reclassify(t)
 }
@@ -90,7 +90,7 @@
 			continue
 		}
 		t.list.remove(t)
-		delete(p.byLife, t.Life())
+		delete(p.byLife, t.Incarnation())
 		if p.latestByID[t.ID] == t {
 			delete(p.latestByID, t.ID)
 		}
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -163,7 +163,7 @@
 
 // start sends a batch, after what is to be discarded at the same target.
 func (c *coordinator) start(now time.Time, e batching.Send) {
-	discard := c.discards.take(e.Target.Life())
+	discard := c.discards.take(e.Target.Incarnation())
 	c.metrics.batch(c.service, len(e.Items))
 	c.noteStarted(e)
 	self := c.self
@@ -187,7 +187,7 @@
 		defer cancel()
 		report, err := c.targets.Inspect(ctx, e.Target)
 		c.logInspection(e, report, err)
-		c.system.Root.Send(self, batching.Inspected{Target: e.Target.Life(), Report: report, Err: err})
+		c.system.Root.Send(self, batching.Inspected{Target: e.Target.Incarnation(), Report: report, Err: err})
 	}()
 }
 
@@ -218,7 +218,7 @@
 
 // mayCall is asked just before the first byte of a batch is written.
 func (c *coordinator) mayCall(t directory.Target) error {
-	if c.gate.HeldBack(t.Life()) {
+	if c.gate.HeldBack(t.Incarnation()) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target takes no new work")
 	}
 	return c.permit(t.ID)
@@ -250,7 +250,7 @@
 		Msg("items: target ended while it had the batch")
 	for _, item := range e.Items {
 		if item.Digest != 0 {
-			c.quarantine.RecordCrash(item.Digest, quarantine.Crash{Target: e.Target.Life().String(), SentAt: began, BrokenAt: broke, Silent: true})
+			c.quarantine.RecordCrash(item.Digest, quarantine.Crash{Target: e.Target.Incarnation().String(), SentAt: began, BrokenAt: broke, Silent: true})
 		}
 	}
 	return true
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -23,8 +23,8 @@
 	startBase = 10
 )
 
-// Life returns the target's current life.
-func (t Target) Life() Incarnation { return Incarnation{ID: t.ID, Born: t.Born} }
+// Incarnation returns the target's current life.
+func (t Target) Incarnation() Incarnation { return Incarnation{ID: t.ID, Born: t.Born} }
 
 // String returns the identity, followed by the start if that is known or if the identity
 // itself contains the separator.
--- a/internal/gateway/discards.go
+++ b/internal/gateway/discards.go
@@ -30,10 +30,10 @@
 
 // add gathers results, and says whether discardNow is to be scheduled.
 func (d *discards) add(e batching.Discard) (schedule bool) {
-	p := d.byTarget[e.Target.Life()]
+	p := d.byTarget[e.Target.Incarnation()]
 	if p == nil {
 		p = &batching.Discard{Target: e.Target}
-		d.byTarget[e.Target.Life()] = p
+		d.byTarget[e.Target.Incarnation()] = p
 	}
 	p.Handles = append(p.Handles, e.Handles...)
 	schedule = !d.scheduled
--- a/internal/gateway/placement/bench_test.go
+++ b/internal/gateway/placement/bench_test.go
@@ -16,11 +16,11 @@
 	table := placement.NewTargetTable()
 	for i, e := range engines(n) {
 		for range i % 5 {
-			table.RecordStart(e.Life())
+			table.RecordStart(e.Incarnation())
 		}
-		table.RecordStart(e.Life())
-		table.RecordEnd(now, e.Life(), time.Duration(50+i)*time.Millisecond, i%7 == 0)
-		table.RecordLoad(now, e.Life(), placement.Load{Running: i % 4, Waiting: i % 3, Slots: 8})
+		table.RecordStart(e.Incarnation())
+		table.RecordEnd(now, e.Incarnation(), time.Duration(50+i)*time.Millisecond, i%7 == 0)
+		table.RecordLoad(now, e.Incarnation(), placement.Load{Running: i % 4, Waiting: i % 3, Slots: 8})
 	}
 	return table
 }
--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -123,7 +123,7 @@
 		placed.CopyFrom = engines[source].Address
 		cached = s.cached[source]
 	}
-	p.add(now, engine, q, q.prefillTokens(cached), s.backlogs[engine.Life()] == 0)
+	p.add(now, engine, q, q.prefillTokens(cached), s.backlogs[engine.Incarnation()] == 0)
 	return placed, true
 }
 
@@ -160,7 +160,7 @@
 
 // lookUpCached looks up the number of tokens of the prompt that an engine has cached.
 func (s *promptScorer) lookUpCached(i int) {
-	s.cached[i] = s.cache.tokens(s.engines[i].Life(), s.q.Shared)
+	s.cached[i] = s.cache.tokens(s.engines[i].Incarnation(), s.q.Shared)
 	s.mostCached = max(s.mostCached, s.cached[i])
 }
 
@@ -203,7 +203,7 @@
 // score returns the score of placing the prompt on an engine.
 func (s *promptScorer) score(cand candidate, e *directory.Target) score {
 	cached := s.cached[cand.index]
-	cost := s.promptCost(s.q, engineLoad{backlog: s.backlogs[e.Life()], cached: cached, cachedElsewhere: s.mostCached - cached})
+	cost := s.promptCost(s.q, engineLoad{backlog: s.backlogs[e.Incarnation()], cached: cached, cachedElsewhere: s.mostCached - cached})
 	cost += rankCost * float64(cand.rank)
 	cost += s.inputs.cost(e.DataCentre)
 	if e.State == directory.Lapsed {
--- a/internal/gateway/placement/byprefix.go
+++ b/internal/gateway/placement/byprefix.go
@@ -60,7 +60,7 @@
 	inputs := newInputLocation(q.InputBytes)
 	rankCost := max(rankCostPerUnit*float64(q.SharedTokens)/tokensPerUnit, minRankCost)
 	scoreOf := func(cand candidate, c *directory.Target) score {
-		s := t.statsOf(c.Life())
+		s := t.statsOf(c.Incarnation())
 		cost := s.loadCost(now, c.Slots)
 		cost += inputs.cost(c.DataCentre)
 		if q.Key != 0 {
--- a/internal/gateway/placement/byprefix_test.go
+++ b/internal/gateway/placement/byprefix_test.go
@@ -34,7 +34,7 @@
 	sent := func(n int) func(*placement.TargetTable) {
 		return func(table *placement.TargetTable) {
 			for range n {
-				table.RecordStart(first.Life())
+				table.RecordStart(first.Incarnation())
 			}
 		}
 	}
@@ -49,13 +49,13 @@
 		{"its engine is full but has long parts cached", sent(8), placement.Query{Key: 7, SharedTokens: 8000}, first},
 		{"its engine is more than full", sent(11), placement.Query{Key: 7, SharedTokens: 8000}, other},
 		{"its engine reported calls from other nodes", func(table *placement.TargetTable) {
-			table.RecordLoad(now, first.Life(), placement.Load{Running: 6, Slots: 8})
+			table.RecordLoad(now, first.Incarnation(), placement.Load{Running: 6, Slots: 8})
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine has failed", func(table *placement.TargetTable) {
 			recordCall(table, now, first.ID, time.Millisecond, true)
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine is ejected, regardless of its cache", func(table *placement.TargetTable) {
-			table.Eject(now, first.Life())
+			table.Eject(now, first.Incarnation())
 		}, placement.Query{Key: 7, SharedTokens: 100_000}, other},
 		{"8 MB of results are near its engine, 16 MB near the other", nil, placement.Query{
 			Key: 7, SharedTokens: 2000, InputBytes: map[string]int64{first.DataCentre: 8e6, other.DataCentre: 16e6},
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -103,8 +103,8 @@
 // add records a prompt as pending on an engine that has to prefill the given number of
 // tokens of it, and records its shared parts as cached on the engine.
 func (p *EngineChooser) add(now time.Time, engine directory.Target, q Prompt, tokens int, engineIdle bool) {
-	p.pending[q.Request] = pendingPrompt{engine: engine.Life(), tokens: tokens, placed: now, engineIdle: engineIdle, suspect: q.Suspect}
-	p.cache.record(now, engine.Life(), q.Shared)
+	p.pending[q.Request] = pendingPrompt{engine: engine.Incarnation(), tokens: tokens, placed: now, engineIdle: engineIdle, suspect: q.Suspect}
+	p.cache.record(now, engine.Incarnation(), q.Shared)
 }
 
 // backlogs returns the number of tokens that each engine has to prefill.
--- a/internal/gateway/placement/leastloaded.go
+++ b/internal/gateway/placement/leastloaded.go
@@ -37,7 +37,7 @@
 func (t *TargetTable) LeastLoaded(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	subset := q.Subset.mask(targets, q.DataCentre)
 	i, found := best(now, targets, q.Exclude, q.filter(now), func(i int, c *directory.Target) score {
-		s := t.statsOf(c.Life())
+		s := t.statsOf(c.Incarnation())
 		latencySeconds := max(s.latencySeconds*decayFactor(now, s.updatedAt), minLatencySeconds)
 		cost := latencySeconds * (1 + s.outstanding(now)/s.slots(c.Slots)) * (1 + failurePenalty*s.failureRate)
 		if c.DataCentre != q.DataCentre {
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -24,9 +24,9 @@
 	convey.Convey("Ejection, failures and outstanding calls from before the restart are discarded", t, func() {
 		table := placement.NewTargetTable()
 		old, other := engine("a", 1), engine("b", 1)
-		table.Eject(now, old.Life())
+		table.Eject(now, old.Incarnation())
 		for range 20 {
-			table.RecordStart(old.Life())
+			table.RecordStart(old.Incarnation())
 		}
 		convey.So(table.Ejected(now, directory.New(old, other)), convey.ShouldResemble, []string{"a"})
 		fresh := engine("a", 2)
@@ -34,7 +34,7 @@
 		got, _ := table.LeastLoaded(now, []directory.Target{fresh, other}, query)
 		convey.So(got.ID, convey.ShouldEqual, "a")
 		convey.Convey("and the end of a call from before the restart does not affect it", func() {
-			table.RecordEnd(now, old.Life(), time.Second, true)
+			table.RecordEnd(now, old.Incarnation(), time.Second, true)
 			got, _ := table.LeastLoaded(now, []directory.Target{fresh, other}, query)
 			convey.So(got.ID, convey.ShouldEqual, "a")
 		})
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -45,7 +45,7 @@
 		q := placement.Query{Key: 7, SharedTokens: 500}
 		first, _ := table.ByPrefix(now, engines(3), q)
 		for range 8 {
-			table.RecordStart(first.Life())
+			table.RecordStart(first.Incarnation())
 		}
 		second, _ := table.ByPrefix(now, engines(3), q)
 		convey.So(second.ID, convey.ShouldNotEqual, first.ID)
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -74,7 +74,7 @@
 	if x.byLife == nil {
 		x.byLife = make(map[directory.Incarnation]int, len(x.engines))
 		for i := range x.engines {
-			x.byLife[x.engines[i].Life()] = i
+			x.byLife[x.engines[i].Incarnation()] = i
 		}
 	}
 	i, listed := x.byLife[life]
--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -88,7 +88,7 @@
 	exclude = slices.Concat(exclude, c.gate.Blocked(c.view().Directory))
 	for {
 		d, ok := c.candidate(ctx, inputs, exclude, suspect)
-		if !ok || c.gate.Take(d.Life()) {
+		if !ok || c.gate.Take(d.Incarnation()) {
 			return d, ok
 		}
 		// A concurrent request has used up what the target may get for now.
@@ -153,8 +153,8 @@
 	now := c.now()
 	var list []time.Duration
 	for _, t := range c.view().Directory.Service(c.service.Name) {
-		left := c.gate.PauseLeft(t.Life())
-		if t.Usable(now) && (left > 0 || !c.gate.HeldBack(t.Life())) {
+		left := c.gate.PauseLeft(t.Incarnation())
+		if t.Usable(now) && (left > 0 || !c.gate.HeldBack(t.Incarnation())) {
 			list = append(list, left)
 		}
 	}
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -47,7 +47,7 @@
 // send makes one attempt. possibleRuns counts the earlier attempts that may have run.
 func (s *sender) send(ctx context.Context, target destination, possibleRuns int) *verdict.Error {
 	start := s.now()
-	s.targets.sent(target.Life())
+	s.targets.sent(target.Incarnation())
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timer := s.startTimer(cancel, possibleRuns)
@@ -112,7 +112,7 @@
 	defer cancel()
 	if s.upstream.HasEnded(ctx, target) {
 		s.reportDecision(ended)
-		s.quarantine.RecordCrash(ended.Digest, quarantine.Crash{Target: target.Life().String(), SentAt: sent, BrokenAt: sent.Add(ended.Took), Silent: ended.Events == 0})
+		s.quarantine.RecordCrash(ended.Digest, quarantine.Crash{Target: target.Incarnation().String(), SentAt: sent, BrokenAt: sent.Add(ended.Took), Silent: ended.Events == 0})
 	}
 }
 
@@ -169,7 +169,7 @@
 	if !now.Before(s.times.ResponseDeadline) {
 		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the deadline has passed")
 	}
-	if !s.view().Directory.Usable(target.ID, now) || s.gate.HeldBack(target.Life()) {
+	if !s.view().Directory.Usable(target.ID, now) || s.gate.HeldBack(target.Incarnation()) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target, or its data centre, takes no new work")
 	}
 	if hold, held := s.quarantine.Held(s.digest); held && !s.takeTrial() {
@@ -206,7 +206,7 @@
 
 // recordResult records the result of an attempt in the statistics of its target.
 func (s *sender) recordResult(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
-	e := attemptResult{target: target.Life(), took: took}
+	e := attemptResult{target: target.Incarnation(), took: took}
 	if reply != nil {
 		e.load = reply.Load
 	}
--- a/internal/gateway/view/tombstones.go
+++ b/internal/gateway/view/tombstones.go
@@ -37,7 +37,7 @@
 	maps.Copy(next, ts.byLife)
 	maps.DeleteFunc(next, func(_ directory.Incarnation, known tombstone) bool { return now.Sub(known.removedAt) > tombstoneTTL })
 	for _, t := range removed {
-		next[t.Life()] = tombstone{removedAt: now, wasDraining: t.State == directory.Draining}
+		next[t.Incarnation()] = tombstone{removedAt: now, wasDraining: t.State == directory.Draining}
 	}
 	return tombstones{byLife: next}
 }
@@ -49,7 +49,7 @@
 // listed. A target wrongly treated as ready gets work that it no longer takes; one wrongly held
 // back is unused for returnGrace.
 func (ts tombstones) relisted(now time.Time, t directory.Target, current *directory.Directory) directory.Target {
-	known, removed := ts.byLife[t.Life()]
+	known, removed := ts.byLife[t.Incarnation()]
 	removed = removed && now.Sub(known.removedAt) <= tombstoneTTL
 	if present, exists := current.Target(t.ID); removed && exists {
 		return lapsed(now, present)
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -112,7 +112,7 @@
 	if !l.applies(now, t) {
 		return true
 	}
-	bucket := l.bucket(t.Life())
+	bucket := l.bucket(t.Incarnation())
 	return bucket != nil && bucket.TokensAt(now) >= 1 && mayAssign()
 }
 
@@ -121,7 +121,7 @@
 	if !l.applies(now, t) {
 		return
 	}
-	if bucket := l.bucket(t.Life()); bucket != nil {
+	if bucket := l.bucket(t.Incarnation()); bucket != nil {
 		bucket.AllowN(now, 1)
 	}
 }
@@ -129,7 +129,7 @@
 // Prune removes the buckets of targets that are warm or no longer listed.
 func (l *Limiter) Prune(now time.Time, d *directory.Directory) {
 	for life := range l.buckets {
-		if t, known := d.Target(life.ID); !known || t.Life() != life || !t.Cold(now) {
+		if t, known := d.Target(life.ID); !known || t.Incarnation() != life || !t.Cold(now) {
 			delete(l.buckets, life)
 		}
 	}
