--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -50,7 +50,7 @@
 	defer g.keeper.mu.Unlock()
 	var list []string
 	for _, target := range g.keeper.table.all() {
-		if d.Lives(target) && !g.allows(target) {
+		if d.IsCurrent(target) && !g.allows(target) {
 			list = append(list, target.ID)
 		}
 	}
--- a/internal/gateway/backpressure/table.go
+++ b/internal/gateway/backpressure/table.go
@@ -237,7 +237,7 @@
 func (t *table) pruneUnlisted(now time.Time, d *directory.Directory) {
 	maps.DeleteFunc(t.entries, func(target directory.Incarnation, e *entry) bool {
 		switch {
-		case d.Lives(target):
+		case d.IsCurrent(target):
 			e.unlistedSince = time.Time{}
 		case e.unlistedSince.IsZero():
 			e.unlistedSince = now
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -48,8 +48,8 @@
 	return Incarnation{ID: s[:i], Born: born}
 }
 
-// Lives reports whether the directory has a target with this identity and start.
-func (d *Directory) Lives(l Incarnation) bool {
+// IsCurrent reports whether the directory has a target with this identity and start.
+func (d *Directory) IsCurrent(l Incarnation) bool {
 	t, known := d.targets[l.ID]
 	return known && t.Born == l.Born
 }
--- a/internal/gateway/placement/outlier.go
+++ b/internal/gateway/placement/outlier.go
@@ -81,7 +81,7 @@
 func (t *TargetTable) Ejected(now time.Time, d *directory.Directory) []string {
 	var list []string
 	for life, s := range t.targets {
-		if s.outlier.ejected(now) && d.Lives(life) {
+		if s.outlier.ejected(now) && d.IsCurrent(life) {
 			list = append(list, life.ID)
 		}
 	}
--- a/internal/gateway/placement/prefixcache.go
+++ b/internal/gateway/placement/prefixcache.go
@@ -87,7 +87,7 @@
 // prune removes engines that are gone or have restarted, as a restart clears the cache.
 func (c *prefixCache) prune(d *directory.Directory) {
 	for _, engines := range c.lastUse {
-		maps.DeleteFunc(engines, func(l directory.Incarnation, _ time.Time) bool { return !d.Lives(l) })
+		maps.DeleteFunc(engines, func(l directory.Incarnation, _ time.Time) bool { return !d.IsCurrent(l) })
 	}
 }
 
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -118,7 +118,7 @@
 // Prune removes target incarnations that no longer exist and have no calls in progress.
 func (t *TargetTable) Prune(d *directory.Directory) {
 	for l, s := range t.targets {
-		if !d.Lives(l) && s.inflight <= 0 {
+		if !d.IsCurrent(l) && s.inflight <= 0 {
 			delete(t.targets, l)
 		}
 	}
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -153,7 +153,7 @@
 			next = *next.withCatalog(c)
 		case TargetChange:
 			t := c.target(now)
-			if restored && !v.Directory.Lives(t.Incarnation()) {
+			if restored && !v.Directory.IsCurrent(t.Incarnation()) {
 				t = v.tombstones.relisted(now, t, v.Directory)
 			}
 			targets.Put(t)
