--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -11,9 +11,9 @@
 type Incarnation struct {
 	// ID is the target's identity.
 	ID string
-	// Born is the start of the process in Unix milliseconds, by the target's clock; 0 if
+	// StartMs is the start of the process in Unix milliseconds, by the target's clock; 0 if
 	// unknown. It does not order the processes, since that clock may have been set back.
-	Born int64
+	StartMs int64
 }
 
 const (
@@ -24,15 +24,15 @@
 )
 
 // Incarnation returns the target's current life.
-func (t Target) Incarnation() Incarnation { return Incarnation{ID: t.ID, Born: t.Born} }
+func (t Target) Incarnation() Incarnation { return Incarnation{ID: t.ID, StartMs: t.Born} }
 
 // String returns the identity, followed by the start if that is known or if the identity
 // itself contains the separator.
 func (l Incarnation) String() string {
-	if l.Born == 0 && !strings.Contains(l.ID, startSeparator) {
+	if l.StartMs == 0 && !strings.Contains(l.ID, startSeparator) {
 		return l.ID
 	}
-	return l.ID + startSeparator + strconv.FormatInt(l.Born, startBase)
+	return l.ID + startSeparator + strconv.FormatInt(l.StartMs, startBase)
 }
 
 // ParseIncarnation parses the result of String. A text without a valid start is an identity.
@@ -45,11 +45,11 @@
 	if err != nil {
 		return Incarnation{ID: s}
 	}
-	return Incarnation{ID: s[:i], Born: born}
+	return Incarnation{ID: s[:i], StartMs: born}
 }
 
 // IsCurrent reports whether the directory has a target with this identity and start.
 func (d *Directory) IsCurrent(l Incarnation) bool {
 	t, known := d.targets[l.ID]
-	return known && t.Born == l.Born
+	return known && t.Born == l.StartMs
 }
--- a/internal/gateway/directory/life_test.go
+++ b/internal/gateway/directory/life_test.go
@@ -9,7 +9,7 @@
 
 func TestLife(t *testing.T) {
 	convey.Convey("ParseLife inverts String", t, func() {
-		for _, l := range []Incarnation{{ID: "i-1"}, {ID: "i-1", Born: 1783309352014}, {ID: "i@1"}, {ID: "i@x", Born: 2}, {}} {
+		for _, l := range []Incarnation{{ID: "i-1"}, {ID: "i-1", StartMs: 1783309352014}, {ID: "i@1"}, {ID: "i@x", StartMs: 2}, {}} {
 			convey.So(ParseIncarnation(l.String()), convey.ShouldResemble, l)
 		}
 	})
@@ -17,7 +17,7 @@
 	first := Target{ID: "a", Service: "s", Born: 1, ColdUntil: now.Add(time.Minute)}
 	convey.Convey("Given a cold target", t, func() {
 		d := New(first)
-		convey.So(d.IsCurrent(Incarnation{ID: "a", Born: 1}), convey.ShouldBeTrue)
+		convey.So(d.IsCurrent(Incarnation{ID: "a", StartMs: 1}), convey.ShouldBeTrue)
 		convey.Convey("a different start under the same identity is a new life, which is not cold", func() {
 			d = d.With(Target{ID: "a", Service: "s", Born: 2})
 			got, _ := d.Target("a")
