--- a/internal/gateway/batching/life_test.go
+++ b/internal/gateway/batching/life_test.go
@@ -14,7 +14,7 @@
 // restartedTargets returns the targets of newCore after a restart of the first one.
 func restartedTargets(n int) []directory.Target {
 	list := targets(n)
-	list[0].Born = 2
+	list[0].StartMs = 2
 	return list
 }
 
@@ -55,7 +55,7 @@
 		c.Handle(start, batching.Inspected{Target: restartedTargets(1)[0].Incarnation(), Report: batching.Report{FreeBytes: 1000}})
 		second := sends(c.Handle(start, batching.Submit{Items: items(5, 4, 5*time.Second)}))
 		convey.So(second, convey.ShouldHaveLength, 1)
-		convey.So(second[0].Target.Born, convey.ShouldEqual, 2)
+		convey.So(second[0].Target.StartMs, convey.ShouldEqual, 2)
 		lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 		c.Handle(start, batching.Finished{Batch: first[0].Batch, Err: lost})
 		convey.So(c.State(start).Retries, convey.ShouldEqual, 4)
--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -40,8 +40,8 @@
 	// ID is the target's identity. Most replicas get a new one when they restart; some keep
 	// it (see Life).
 	ID string
-	// Born is the start of the process, as in Life.
-	Born int64
+	// StartMs is the start of the process, as in Life.
+	StartMs int64
 	// Service is the name of the target's service.
 	Service string
 	// Address is the host and port that calls are sent to.
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -24,7 +24,7 @@
 )
 
 // Incarnation returns the target's current life.
-func (t Target) Incarnation() Incarnation { return Incarnation{ID: t.ID, StartMs: t.Born} }
+func (t Target) Incarnation() Incarnation { return Incarnation{ID: t.ID, StartMs: t.StartMs} }
 
 // String returns the identity, followed by the start if that is known or if the identity
 // itself contains the separator.
@@ -51,5 +51,5 @@
 // IsCurrent reports whether the directory has a target with this identity and start.
 func (d *Directory) IsCurrent(l Incarnation) bool {
 	t, known := d.targets[l.ID]
-	return known && t.Born == l.StartMs
+	return known && t.StartMs == l.StartMs
 }
--- a/internal/gateway/directory/returned_test.go
+++ b/internal/gateway/directory/returned_test.go
@@ -12,7 +12,7 @@
 // a member with older knowledge, may report them as ready within the same life.
 func TestStatesPersist(t *testing.T) {
 	targetIn := func(s directory.State) directory.Target {
-		known := directory.Target{ID: "a", Born: 1, Service: "s", State: s}
+		known := directory.Target{ID: "a", StartMs: 1, Service: "s", State: s}
 		if s == directory.Lapsed || s == directory.Returned {
 			known.StateUntil = until
 		}
@@ -38,7 +38,7 @@
 		}
 		convey.Convey("that was draining can be ready in its next life", func() {
 			next := targetIn(directory.Ready)
-			next.Born = 2
+			next.StartMs = 2
 			got, _ := directory.New(targetIn(directory.Draining)).With(next).Target("a")
 			convey.So(got.State, convey.ShouldEqual, directory.Ready)
 		})
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -255,7 +255,7 @@
 // which is about to be dropped has the shortest time there is: 0 says not expired.
 func targetMessage(now time.Time, t directory.Target) message.ViewTarget {
 	m := message.ViewTarget{
-		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.Born),
+		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.StartMs),
 		Draining: t.State == directory.Draining,
 	}
 	switch t.State {
@@ -273,7 +273,7 @@
 
 // targetOf is a target that a member described.
 func targetOf(now time.Time, t message.ViewTarget) directory.Target {
-	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int32(t.Slots), Born: int64(t.Born)}
+	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int32(t.Slots), StartMs: int64(t.Born)}
 	switch {
 	case t.Draining:
 		target.State = directory.Draining
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -13,7 +13,7 @@
 
 // engine returns an engine with the given start time.
 func engine(id string, born int64) directory.Target {
-	return directory.Target{ID: id, Service: "s", Address: "10.0.0.1:1", DataCentre: "d", Slots: 8, Born: born}
+	return directory.Target{ID: id, Service: "s", Address: "10.0.0.1:1", DataCentre: "d", Slots: 8, StartMs: born}
 }
 
 // TestRestartedTarget verifies that the state of a target is discarded when the target
@@ -58,7 +58,7 @@
 		p.RecordPrefill(now, "3", true)
 		for i := range engines {
 			if engines[i].ID == first.ID {
-				engines[i].Born = 2
+				engines[i].StartMs = 2
 			}
 		}
 		prompt.Request, prompt.Exclude = "4", nil
