--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -23,8 +23,8 @@
 const (
 	// Repeatable requests may run more than once.
 	Repeatable Kind = iota
-	// Once requests run at most once per client attempt.
-	Once
+	// AtMostOnce requests run at most once per client attempt.
+	AtMostOnce
 	// Stream requests are answered with a stream of events.
 	Stream
 )
--- a/internal/gateway/catalog/catalog_test.go
+++ b/internal/gateway/catalog/catalog_test.go
@@ -57,10 +57,10 @@
 		want  bool
 	}{
 		{"repeatable may", catalog.Route{Kind: catalog.Repeatable}, true},
-		{"run at most once may not", catalog.Route{Kind: catalog.Once}, false},
+		{"run at most once may not", catalog.Route{Kind: catalog.AtMostOnce}, false},
 		{"a stream may not", catalog.Route{Kind: catalog.Stream}, false},
 		{"a resumable stream may", catalog.Route{Kind: catalog.Stream, Resumable: true}, true},
-		{"run at most once may not even if resumable", catalog.Route{Kind: catalog.Once, Resumable: true}, false},
+		{"run at most once may not even if resumable", catalog.Route{Kind: catalog.AtMostOnce, Resumable: true}, false},
 	}
 	convey.Convey("A request that is", t, func() {
 		for _, c := range cases {
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -13,7 +13,7 @@
 
 func TestOnce(t *testing.T) {
 	convey.Convey("A request that must not run twice", t, func() {
-		f, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+		f, s := setup(&catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1}, false)
 		out := &fakeClient{}
 		convey.Convey("is not sent again when it may have run, and its client is told so", func() {
 			f.replies = []fakeReply{lostConnection()}
@@ -49,7 +49,7 @@
 
 func TestLate(t *testing.T) {
 	convey.Convey("A request whose deadline has passed is not sent, and is refused with a time to retry", t, func() {
-		_, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+		_, s := setup(&catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1}, false)
 		late := request()
 		late.Arrived = late.Arrived.Add(-late.Timeout)
 		err := s.Serve(t.Context(), late, &fakeClient{})
@@ -121,7 +121,7 @@
 func TestStop(t *testing.T) {
 	convey.Convey("A stopping node abandons requests without a response, and reports those that were sent as may have run", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			f, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+			f, s := setup(&catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1}, false)
 			f.replies = []fakeReply{{hangs: true}}
 			time.AfterFunc(time.Second, s.Stop)
 			began := time.Now()
--- a/internal/gateway/relay/targetended_test.go
+++ b/internal/gateway/relay/targetended_test.go
@@ -12,7 +12,7 @@
 )
 
 // onceRoute returns a route whose requests must not run twice.
-func onceRoute() *catalog.Route { return &catalog.Route{Kind: catalog.Once, MaxAttempts: 1} }
+func onceRoute() *catalog.Route { return &catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1} }
 
 // reportedEnds returns the targets that were reported as crashed.
 func (f *fakePorts) reportedEnds() []relay.TargetEnded {
