--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -21,8 +21,8 @@
 
 // Kinds of routes.
 const (
-	// Repeatable requests may run more than once.
-	Repeatable Kind = iota
+	// Idempotent requests may run more than once.
+	Idempotent Kind = iota
 	// AtMostOnce requests run at most once per client attempt.
 	AtMostOnce
 	// Stream requests are answered with a stream of events.
@@ -82,7 +82,7 @@
 
 // MayRepeat reports whether a request of the route may run more than once.
 func (r *Route) MayRepeat() bool {
-	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
+	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
 // Service returns the name of the service that a request with the given hash is routed
--- a/internal/gateway/relay/evacuated_test.go
+++ b/internal/gateway/relay/evacuated_test.go
@@ -58,7 +58,7 @@
 // announces that it is leaving or pausing before the first byte is written.
 func TestHeldBackTarget(t *testing.T) {
 	convey.Convey("A request goes to another target when the chosen one is held back", t, func() {
-		f, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
+		f, s := setup(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2}, false)
 		f.heldBack = map[string]bool{"t0": true, "t1": true}
 		convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
 		convey.So(f.calls, convey.ShouldHaveLength, 1)
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -84,7 +84,7 @@
 		convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
 	})
 	convey.Convey("A repeatable request goes to no third target, and its client is told that it may have run", t, func() {
-		f, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, false)
+		f, s := setup(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 4}, false)
 		f.ended = allCrashed()
 		f.failDelay = 10 * time.Millisecond
 		f.replies = []fakeReply{lostConnection(), lostConnection(), lostConnection(), lostConnection()}
@@ -129,14 +129,14 @@
 func TestTrial(t *testing.T) {
 	convey.Convey("A trial is sent, and its response forwarded", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Trial{}, held: true}
-		f, s := setupWithQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
+		f, s := setupWithQuarantine(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 4}, q)
 		convey.So(s.Serve(t.Context(), request(), &fakeClient{}), convey.ShouldBeNil)
 		convey.So(f.calls, convey.ShouldHaveLength, 1)
 		convey.So(q.answered, convey.ShouldEqual, 1)
 	})
 	convey.Convey("A trial that fails is not sent to another target", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Trial{}, held: true}
-		f, s := setupWithQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
+		f, s := setupWithQuarantine(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 4}, q)
 		f.replies = []fakeReply{lostConnection(), lostConnection()}
 		err := s.Serve(t.Context(), request(), &fakeClient{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -61,7 +61,7 @@
 
 func TestRepeatable(t *testing.T) {
 	convey.Convey("A repeatable request goes to another target, as often as its route allows", t, func() {
-		f, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
+		f, s := setup(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2}, false)
 		out := &fakeClient{}
 		for name, first := range map[string]fakeReply{"lost": lostConnection(), "failed": {status: 500}, "cut": {status: 200, body: "w", cut: true}} {
 			convey.Convey("after an attempt that is "+name, func() {
