--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -80,8 +80,8 @@
 	Resumable bool
 }
 
-// MayRepeat reports whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool {
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
--- a/internal/gateway/catalog/catalog_test.go
+++ b/internal/gateway/catalog/catalog_test.go
@@ -65,7 +65,7 @@
 	convey.Convey("A request that is", t, func() {
 		for _, c := range cases {
 			convey.Convey(c.why+" run more than once", func() {
-				convey.So(c.route.MayRepeat(), convey.ShouldEqual, c.want)
+				convey.So(c.route.Retryable(), convey.ShouldEqual, c.want)
 			})
 		}
 	})
--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -44,7 +44,7 @@
 func (s *sender) responseInput(reply *Reply, possibleRuns int) rules.Response {
 	return rules.Response{
 		Status: reply.Status, Succeeded: reply.Succeeded, Started: s.response.started.Load(),
-		Retryable: s.route.MayRepeat(), PossibleRuns: possibleRuns, MaxAttempts: s.route.MaxAttempts,
+		Retryable: s.route.Retryable(), PossibleRuns: possibleRuns, MaxAttempts: s.route.MaxAttempts,
 		Budget: s.budgets.remaining(s.service.Name), Left: s.times.ResponseDeadline.Sub(s.now()), Objective: s.route.Objective,
 	}
 }
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -82,7 +82,7 @@
 		next := rules.AfterFailure(rules.Failure{
 			Verdict: err.Verdict(), Reason: err.Reason(), Ended: ctx.Err() != nil,
 			Resends: d.resends, Refusals: d.refusals, PossibleRuns: d.possibleRuns,
-			Retryable: d.route.MayRepeat(), MaxAttempts: d.route.MaxAttempts,
+			Retryable: d.route.Retryable(), MaxAttempts: d.route.MaxAttempts,
 		})
 		if _, ok := next.(rules.Resend); ok {
 			d.resends++
@@ -125,7 +125,7 @@
 	if hold, held := d.hold(); held && err.Reason() == verdict.ReasonQuarantined {
 		err = quarantinedError(hold, d.now())
 	}
-	err = rules.FinalVerdict(err, d.possibleRuns, d.route.MayRepeat())
+	err = rules.FinalVerdict(err, d.possibleRuns, d.route.Retryable())
 	if err.Verdict() == verdict.NotRun && err.RetryAfter() == 0 {
 		own := retryAfter(d.times.ResponseDeadline.Sub(d.now()))
 		err = err.WithRetryAfter(rules.RetryAfterPauses(own, d.chooser.targetPauses(), rand.Float64()))
--- a/internal/gateway/relay/oracle_test.go
+++ b/internal/gateway/relay/oracle_test.go
@@ -30,7 +30,7 @@
 		}
 		out := &fakeClient{}
 		err := s.Serve(context.Background(), request(1, 2, 3), out)
-		may := r.MayRepeat()
+		may := r.Retryable()
 		switch {
 		case !may && f.ran > 1:
 			t.Fatalf("a request that must not run twice ran %d times", f.ran)
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -92,7 +92,7 @@
 		return
 	}
 	ended := TargetEnded{Target: target.ID, Digest: s.digest, Events: events, Took: attempt.Took}
-	if !s.route.MayRepeat() {
+	if !s.route.Retryable() {
 		go s.checkEnded(target, sent, ended)
 		return
 	}
@@ -137,7 +137,7 @@
 
 func (s *sender) startTimer(cancel context.CancelCauseFunc, possibleRuns int) attemptTimer {
 	limit, limited := rules.AttemptTimeout(rules.Attempt{
-		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), PossibleRuns: possibleRuns, MaxAttempts: s.route.MaxAttempts,
+		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.Retryable(), PossibleRuns: possibleRuns, MaxAttempts: s.route.MaxAttempts,
 		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
 	})
 	if !limited {
