--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -158,9 +158,9 @@
 	Batch  *Batch
 	// WarmUp limits the load of the service's targets while they are cold.
 	WarmUp WarmUp
-	// CopyTime is the time in which an engine copies one cached token from another engine
+	// CopyTimePerToken is the time in which an engine copies one cached token from another engine
 	// in its data centre; 0 if unknown, or if engines do not copy tokens.
-	CopyTime time.Duration
+	CopyTimePerToken time.Duration
 }
 
 // Organisation is a customer, whose callers authenticate with its keys.
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -73,7 +73,7 @@
 	defer p.mu.Unlock()
 	c := p.chooser(service)
 	s := v.Service(service)
-	c.SetCopyTime(s.CopyTime)
+	c.SetCopyTime(s.CopyTimePerToken)
 	c.SetWarmUp(p.margin.Bound(s.WarmUp))
 	q.MayAssign = p.members.settled
 	placed, ok := c.Place(p.now(), v.Directory.Service(service), q)
