--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -140,9 +140,9 @@
 type WarmUp struct {
 	// Time is how long a target stays cold after its start.
 	Time time.Duration
-	// PerSecond is the request rate that a cold target can handle, summed over all nodes;
+	// RequestsPerSecond is the request rate that a cold target can handle, summed over all nodes;
 	// 0 means unlimited.
-	PerSecond float64
+	RequestsPerSecond float64
 }
 
 // Service is a group of interchangeable targets.
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -16,7 +16,7 @@
 // margin and service limit cold targets that sustain 10 requests a second to 20 a second.
 var (
 	margin  = warmup.Margin{Overshoot: 1.5, Tolerance: 5}
-	service = catalog.WarmUp{Time: 3 * time.Second, PerSecond: 10}
+	service = catalog.WarmUp{Time: 3 * time.Second, RequestsPerSecond: 10}
 )
 
 func cold(id string) directory.Target {
@@ -67,7 +67,7 @@
 		convey.So(newLimiter(bound).Allows(start, directory.Target{ID: "a"}, never), convey.ShouldBeTrue)
 	})
 	convey.Convey("A cold target gets no requests if the limit is too small for six members", t, func() {
-		l := newLimiter(warmup.Margin{Overshoot: 1}.Bound(catalog.WarmUp{PerSecond: 3}))
+		l := newLimiter(warmup.Margin{Overshoot: 1}.Bound(catalog.WarmUp{RequestsPerSecond: 3}))
 		convey.So(sendAllowed(l, cold("a"), time.Second), convey.ShouldEqual, 0)
 	})
 	convey.Convey("Prune removes the buckets of targets that are no longer listed and keeps the others", t, func() {
