--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -138,8 +138,8 @@
 // WarmUp describes targets that are cold when they start or become cold later. The zero
 // value describes targets that are never cold.
 type WarmUp struct {
-	// Time is how long a target stays cold after its start.
-	Time time.Duration
+	// Duration is how long a target stays cold after its start.
+	Duration time.Duration
 	// RequestsPerSecond is the request rate that a cold target can handle, summed over all nodes;
 	// 0 means unlimited.
 	RequestsPerSecond float64
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -14,7 +14,7 @@
 
 // coldBound limits cold engines that sustain 10 requests a second to 20 requests a second,
 // summed over all nodes.
-var coldBound = warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{Time: 3 * time.Second, RequestsPerSecond: 10})
+var coldBound = warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{Duration: 3 * time.Second, RequestsPerSecond: 10})
 
 // coldEngines returns n engines. Those for which cold returns true are cold for a minute.
 func coldEngines(n int, cold func(i int) bool) []directory.Target {
--- a/internal/gateway/relay/fakes_test.go
+++ b/internal/gateway/relay/fakes_test.go
@@ -253,7 +253,7 @@
 	}
 	r.Host, r.Prefix, r.Split = "h", "/", []catalog.Share{{Service: "s", Weight: 1}}
 	r.Timeout, r.Objective, r.PauseLimit = 10*time.Second, 2*time.Second, 400*time.Millisecond
-	services := []*catalog.Service{{Name: "s", WarmUp: catalog.WarmUp{Time: 3 * time.Second, RequestsPerSecond: 10}}}
+	services := []*catalog.Service{{Name: "s", WarmUp: catalog.WarmUp{Duration: 3 * time.Second, RequestsPerSecond: 10}}}
 	if engine {
 		services[0].Engine = true
 	}
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -16,7 +16,7 @@
 // margin and service limit cold targets that sustain 10 requests a second to 20 a second.
 var (
 	margin  = warmup.Margin{Overshoot: 1.5, Tolerance: 5}
-	service = catalog.WarmUp{Time: 3 * time.Second, RequestsPerSecond: 10}
+	service = catalog.WarmUp{Duration: 3 * time.Second, RequestsPerSecond: 10}
 )
 
 func cold(id string) directory.Target {
@@ -59,7 +59,7 @@
 	})
 	convey.Convey("Warm targets and targets of a service without a limit are not limited", t, func() {
 		convey.So(sendAllowed(newLimiter(bound), directory.Target{ID: "a"}, time.Second), convey.ShouldEqual, 1000)
-		convey.So(sendAllowed(newLimiter(margin.Bound(catalog.WarmUp{Time: time.Second})), cold("a"), time.Second), convey.ShouldEqual, 1000)
+		convey.So(sendAllowed(newLimiter(margin.Bound(catalog.WarmUp{Duration: time.Second})), cold("a"), time.Second), convey.ShouldEqual, 1000)
 		convey.So((*warmup.Limiter)(nil).Allows(start, cold("a"), never), convey.ShouldBeTrue)
 	})
 	convey.Convey("A member that does not assign the requests of a cold target sends it none", t, func() {
