--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -31,7 +31,7 @@
 	callers      *callers
 	coordinators *coordinators
 	metrics      *metrics
-	quarantine   *quarantine.Keeper
+	quarantine   *quarantine.Tracker
 	backpressure *backpressure.Tracker
 }
 
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -34,7 +34,7 @@
 	// margin widens what cold targets get.
 	margin warmup.Margin
 	// quarantine hears of the items that targets ended with.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	// backpressure knows what targets ask for.
 	backpressure *backpressure.Tracker
 	// permit is called just before the first byte of a call to a target is written;
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,7 +54,7 @@
 	joining      *joining
 	coordinators *coordinators
 	prompts      *prompts
-	quarantine   *quarantine.Keeper
+	quarantine   *quarantine.Tracker
 	backpressure *backpressure.Tracker
 	relay        *relay.Server
 	callers      *callers
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -40,7 +40,7 @@
 	health    *sourceHealth
 	departure *departure
 	// quarantine knows the requests that end their targets, which members report to each other.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	// backpressure knows what targets ask for, which members report to each other too.
 	backpressure *backpressure.Tracker
 	log          zerolog.Logger
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -19,7 +19,7 @@
 )
 
 // newQuarantine returns a keeper that nobody hears of.
-func newQuarantine() *quarantine.Keeper {
+func newQuarantine() *quarantine.Tracker {
 	return quarantine.NewKeeper(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -22,7 +22,7 @@
 	gossip       *gossip
 	coordinators *coordinators
 	prompts      *prompts
-	quarantine   *quarantine.Keeper
+	quarantine   *quarantine.Tracker
 }
 
 func (s *peerServer) handler() http.Handler {
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -30,9 +30,9 @@
 	OwnsRole func(role string) bool
 }
 
-// Keeper adds to a Table a lock, the admission of requests, the conversion of entries to
+// Tracker adds to a Table a lock, the admission of requests, the conversion of entries to
 // and from messages, and logging. It is safe for concurrent use.
-type Keeper struct {
+type Tracker struct {
 	cfg Config
 
 	mu    sync.Mutex
@@ -42,7 +42,7 @@
 }
 
 // NewKeeper returns a keeper with an empty table.
-func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, table: NewTable()} }
+func NewKeeper(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: NewTable()} }
 
 // Admission is the result of Keeper.Admit: Free, Trial or Refused.
 type Admission interface{ isAdmission() }
@@ -61,14 +61,14 @@
 func (Refused) isAdmission() {}
 
 // Empty reports whether the table is empty, so that no request needs to be checked.
-func (k *Keeper) Empty() bool {
+func (k *Tracker) Empty() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Len() == 0
 }
 
 // Admit decides whether a request may run, before any work for it starts.
-func (k *Keeper) Admit(d Digest) Admission {
+func (k *Tracker) Admit(d Digest) Admission {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	hold, held := k.table.Held(d)
@@ -85,7 +85,7 @@
 
 // Suspected reports whether targets crashed while they had a request and none has answered
 // it since. Suspected requests are sent to different targets.
-func (k *Keeper) Suspected(d Digest) bool {
+func (k *Tracker) Suspected(d Digest) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Suspected(d)
@@ -93,24 +93,24 @@
 
 // Held returns the hold on a request, and whether there is one. It is called just before
 // the request is sent.
-func (k *Keeper) Held(d Digest) (Hold, bool) {
+func (k *Tracker) Held(d Digest) (Hold, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Held(d)
 }
 
 // RecordCrash records that a target crashed while it had a request from this node.
-func (k *Keeper) RecordCrash(d Digest, c Crash) {
+func (k *Tracker) RecordCrash(d Digest, c Crash) {
 	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordCrash(now, d, c) })
 }
 
 // RecordAnswer records that a target answered a request, even with an error of its own.
-func (k *Keeper) RecordAnswer(d Digest) {
+func (k *Tracker) RecordAnswer(d Digest) {
 	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordAnswer(now, d) })
 }
 
 // Merge merges the entries that a member reported.
-func (k *Keeper) Merge(member string, list []message.SuspectRequest) {
+func (k *Tracker) Merge(member string, list []message.SuspectRequest) {
 	if len(list) == 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 // the next regular rounds of gossip: a crash leaves dozens of suspects, nearly all of them
 // innocent, and extra rounds for them would raise processor time and traffic of 59 nodes by
 // a quarter on days with many crashes.
-func (k *Keeper) update(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
+func (k *Tracker) update(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := make([]bool, len(digests))
@@ -150,7 +150,7 @@
 
 // logChange logs that a request is now held or released. before is whether it was held
 // before the change. The caller must hold the lock.
-func (k *Keeper) logChange(d Digest, from string, before bool) {
+func (k *Tracker) logChange(d Digest, from string, before bool) {
 	hold, held := k.table.Held(d)
 	switch {
 	case held && !before:
@@ -167,7 +167,7 @@
 
 // Recent returns what to report to members: the entries that changed recently, and the hash
 // of the held requests, which is empty if none is held.
-func (k *Keeper) Recent() (list []message.SuspectRequest, heldSum string) {
+func (k *Tracker) Recent() (list []message.SuspectRequest, heldSum string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
@@ -177,7 +177,7 @@
 
 // NeedsSync reports whether to request all held entries from a member that reports the given
 // hash. It records the request.
-func (k *Keeper) NeedsSync(heldSum string) bool {
+func (k *Tracker) NeedsSync(heldSum string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
@@ -189,7 +189,7 @@
 }
 
 // HeldRequests returns the requests that this node holds, with the remaining time of each hold.
-func (k *Keeper) HeldRequests() message.SuspectList {
+func (k *Tracker) HeldRequests() message.SuspectList {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -13,7 +13,7 @@
 
 // testKeeper is a keeper with a manual clock, which records calls of Changed.
 type testKeeper struct {
-	*Keeper
+	*Tracker
 	now      time.Time
 	log      bytes.Buffer
 	changes  int
@@ -23,7 +23,7 @@
 
 func newTestKeeper() *testKeeper {
 	k := &testKeeper{now: start}
-	k.Keeper = NewKeeper(Config{
+	k.Tracker = NewKeeper(Config{
 		Now: func() time.Time { return k.now }, Log: zerolog.New(&k.log),
 		OnChange:  func(held int) { k.changes, k.held = k.changes+1, held },
 		OwnsRole: func(string) bool { return k.ownsRole },
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -160,7 +160,7 @@
 }
 
 // newKeeper returns a keeper that notifies no one and runs no trials.
-func newKeeper() *quarantine.Keeper {
+func newKeeper() *quarantine.Tracker {
 	return quarantine.NewKeeper(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
