--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -107,7 +107,7 @@
 		source: g.ports.Source, views: g.views, members: g.members, health: g.health, peers: peers,
 		metrics: g.metrics, log: g.log, now: g.now,
 	}
-	g.quarantine = quarantine.NewKeeper(quarantine.Config{
+	g.quarantine = quarantine.NewTracker(quarantine.Config{
 		Now: g.now, Log: g.log, OnChange: g.quarantineChanged, OwnsRole: g.members.givesOut,
 	})
 	g.backpressure = backpressure.NewKeeper(backpressure.Config{Now: g.now, Log: g.log, Changed: g.limitsChanged, Rank: g.members.rank})
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -20,7 +20,7 @@
 
 // newQuarantine returns a keeper that nobody hears of.
 func newQuarantine() *quarantine.Tracker {
-	return quarantine.NewKeeper(quarantine.Config{
+	return quarantine.NewTracker(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -41,8 +41,8 @@
 	lastSync time.Time
 }
 
-// NewKeeper returns a keeper with an empty table.
-func NewKeeper(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: NewTable()} }
+// NewTracker returns a keeper with an empty table.
+func NewTracker(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: NewTable()} }
 
 // Admission is the result of Keeper.Admit: Free, Trial or Refused.
 type Admission interface{ isAdmission() }
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -23,7 +23,7 @@
 
 func newTestKeeper() *testKeeper {
 	k := &testKeeper{now: start}
-	k.Tracker = NewKeeper(Config{
+	k.Tracker = NewTracker(Config{
 		Now: func() time.Time { return k.now }, Log: zerolog.New(&k.log),
 		OnChange:  func(held int) { k.changes, k.held = k.changes+1, held },
 		OwnsRole: func(string) bool { return k.ownsRole },
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -161,7 +161,7 @@
 
 // newKeeper returns a keeper that notifies no one and runs no trials.
 func newKeeper() *quarantine.Tracker {
-	return quarantine.NewKeeper(quarantine.Config{
+	return quarantine.NewTracker(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
