--- a/internal/gateway/directory/edit.go
+++ b/internal/gateway/directory/edit.go
@@ -20,10 +20,11 @@
 // Edit returns an empty set of changes to the directory.
 func (d *Directory) Edit() *Edit { return &Edit{base: d, evacuated: d.evacuated} }
 
-// Put adds or replaces a target. Within one life, the later ColdUntil wins, a Draining
-// target does not become ready again, and a Returned one stays so until StateUntil, since
-// a source that was restored from an older copy lists outdated states. If t has no start,
-// the known one is kept: members of an earlier version forward targets without it.
+// Put adds or replaces a target. Within one incarnation, the later ColdUntil wins, a
+// Draining target does not become ready again, and a Returned one stays so until
+// StateUntil, since a source that was restored from an older copy lists outdated states. If
+// t has no start, the known one is kept: members of an earlier version forward targets
+// without it.
 func (e *Edit) Put(t Target) {
 	if known, is := e.lookup(t.ID); is {
 		if t.StartMs == 0 {
@@ -92,7 +93,7 @@
 func (e *Edit) Evacuate(dataCentres map[string]bool) {
 	if !maps.Equal(e.evacuated, dataCentres) {
 		e.evacuated = dataCentres
-		e.mutableTargets()
+		e.mutableTargets() // marks the directory as changed
 	}
 }
 
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/life.go
@@ -28,11 +28,11 @@
 
 // String returns the identity, followed by the start if that is known or if the identity
 // itself contains the separator.
-func (l Incarnation) String() string {
-	if l.StartMs == 0 && !strings.Contains(l.ID, startSeparator) {
-		return l.ID
+func (i Incarnation) String() string {
+	if i.StartMs == 0 && !strings.Contains(i.ID, startSeparator) {
+		return i.ID
 	}
-	return l.ID + startSeparator + strconv.FormatInt(l.StartMs, startBase)
+	return i.ID + startSeparator + strconv.FormatInt(i.StartMs, startBase)
 }
 
 // ParseIncarnation parses the result of String. A text without a valid start is an identity.
@@ -41,15 +41,15 @@
 	if i < 0 {
 		return Incarnation{ID: s}
 	}
-	born, err := strconv.ParseInt(s[i+len(startSeparator):], startBase, 64)
+	startMs, err := strconv.ParseInt(s[i+len(startSeparator):], startBase, 64)
 	if err != nil {
 		return Incarnation{ID: s}
 	}
-	return Incarnation{ID: s[:i], StartMs: born}
+	return Incarnation{ID: s[:i], StartMs: startMs}
 }
 
 // IsCurrent reports whether the directory has a target with this identity and start.
-func (d *Directory) IsCurrent(l Incarnation) bool {
-	t, known := d.targets[l.ID]
-	return known && t.StartMs == l.StartMs
+func (d *Directory) IsCurrent(i Incarnation) bool {
+	t, known := d.targets[i.ID]
+	return known && t.StartMs == i.StartMs
 }
--- a/internal/gateway/directory/returned_test.go
+++ b/internal/gateway/directory/returned_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestStatesPersist guards against new work for targets that have left: an older list, or
-// a member with older knowledge, may report them as ready within the same life.
+// a member with older knowledge, may report them as ready within the same
+// incarnation.
 func TestStatesPersist(t *testing.T) {
 	targetIn := func(s directory.State) directory.Target {
 		known := directory.Target{ID: "a", StartMs: 1, Service: "s", State: s}
@@ -36,7 +37,7 @@
 				convey.So(got.State, convey.ShouldEqual, c.want)
 			})
 		}
-		convey.Convey("that was draining can be ready in its next life", func() {
+		convey.Convey("that was draining can be ready in its next incarnation", func() {
 			next := targetIn(directory.Ready)
 			next.StartMs = 2
 			got, _ := directory.New(targetIn(directory.Draining)).With(next).Target("a")
--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -10,7 +10,7 @@
 // Crash records that a target crashed while it had a request. Times are by this node's
 // clock.
 type Crash struct {
-	// Target identifies the process of the target, not just the target.
+	// Target is the text form of the target's directory.Incarnation.
 	Target string
 	// SentAt is when the request was sent to the target, and BrokenAt when the connection broke.
 	SentAt, BrokenAt time.Time
