--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -140,8 +140,8 @@
 type WarmUp struct {
 	// Duration is how long a target stays cold after its start.
 	Duration time.Duration
-	// RequestsPerSecond is the request rate that a cold target can handle, summed over all nodes;
-	// 0 means unlimited.
+	// RequestsPerSecond is the request rate that a cold target can handle, summed over all
+	// nodes; 0 means unlimited.
 	RequestsPerSecond float64
 }
 
@@ -158,8 +158,8 @@
 	Batch  *Batch
 	// WarmUp limits the load of the service's targets while they are cold.
 	WarmUp WarmUp
-	// CopyTimePerToken is the time in which an engine copies one cached token from another engine
-	// in its data centre; 0 if unknown, or if engines do not copy tokens.
+	// CopyTimePerToken is the time in which an engine copies one cached token from another
+	// engine in its data centre; 0 if unknown, or if engines do not copy tokens.
 	CopyTimePerToken time.Duration
 }
 
--- a/internal/gateway/catalog/catalog_test.go
+++ b/internal/gateway/catalog/catalog_test.go
@@ -56,7 +56,7 @@
 		route catalog.Route
 		want  bool
 	}{
-		{"repeatable may", catalog.Route{Kind: catalog.Idempotent}, true},
+		{"idempotent may", catalog.Route{Kind: catalog.Idempotent}, true},
 		{"run at most once may not", catalog.Route{Kind: catalog.AtMostOnce}, false},
 		{"a stream may not", catalog.Route{Kind: catalog.Stream}, false},
 		{"a resumable stream may", catalog.Route{Kind: catalog.Stream, Resumable: true}, true},
--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -38,9 +38,9 @@
 // Target is one replica of a service.
 type Target struct {
 	// ID is the target's identity. Most replicas get a new one when they restart; some keep
-	// it (see Life).
+	// it (see Incarnation).
 	ID string
-	// StartMs is the start of the process, as in Life.
+	// StartMs is the start of the process, as in Incarnation.
 	StartMs int64
 	// Service is the name of the target's service.
 	Service string
@@ -83,8 +83,8 @@
 	return d.buildIndex()
 }
 
-// buildIndex rebuilds the index by service, marks the evacuated targets and returns d. It may
-// only be called before the directory is shared.
+// buildIndex rebuilds the index by service, marks the evacuated targets and returns d. It
+// may only be called before the directory is shared.
 func (d *Directory) buildIndex() *Directory {
 	d.services = make(map[string][]Target)
 	for id, t := range d.targets {
@@ -138,22 +138,22 @@
 	return known && t.Usable(now)
 }
 
-// Usable reports whether the target accepts new work at the given time: it must be Open
-// and, if Lapsed, its StateUntil must not have passed. It does not cover targets that this
-// node avoids because they fail (placement.TargetTable.Ejected).
+// Usable reports whether the target accepts new work at the given time: it must be
+// Schedulable and, if Lapsed, its StateUntil must not have passed. It does not cover
+// targets that this node avoids because they fail (placement.TargetTable.Ejected).
 func (t Target) Usable(now time.Time) bool {
 	return t.Schedulable() && (t.State != Lapsed || now.Before(t.StateUntil))
 }
 
-// Schedulable reports whether the target accepts new work while it is listed or lapsed: it is
-// neither Draining nor Returned, and its data centre is not evacuated.
+// Schedulable reports whether the target accepts new work while it is listed or lapsed: it
+// is neither Draining nor Returned, and its data centre is not evacuated.
 func (t Target) Schedulable() bool { return t.State != Draining && t.State != Returned && !t.Evacuated }
 
 // Cold reports whether the target is still warming up at the given time.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// AllEvacuated reports whether a service has no open target because of evacuations: at
-// least one target would accept new work if its data centre were not evacuated.
+// AllEvacuated reports whether a service has no schedulable target because of evacuations:
+// at least one target would accept new work if its data centre were not evacuated.
 func (d *Directory) AllEvacuated(service string) bool {
 	evacuated := false
 	for _, t := range d.services[service] {
--- a/internal/gateway/directory/edit.go
+++ b/internal/gateway/directory/edit.go
@@ -140,7 +140,8 @@
 	return t, known
 }
 
-// mutableTargets returns the map of targets to modify. The first call copies the base's map.
+// mutableTargets returns the map of targets to modify. The first call copies the base's
+// map.
 func (e *Edit) mutableTargets() map[string]Target {
 	if e.targets == nil {
 		e.targets = maps.Clone(e.base.targets)
--- a/internal/gateway/directory/life.go
+++ b/internal/gateway/directory/incarnation.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Incarnation identifies one process of a target by the target's identity and the start of the
-// process. A target may restart under the same identity, which loses its state. State kept
-// about a target is keyed by its Incarnation, so that it is discarded after a restart.
+// Incarnation identifies one process of a target by the target's identity and the start of
+// the process. A target may restart under the same identity, which loses its state. State
+// kept about a target is keyed by its Incarnation, so that it is discarded after a restart.
 type Incarnation struct {
 	// ID is the target's identity.
 	ID string
@@ -17,13 +17,14 @@
 }
 
 const (
-	// startSeparator separates the identity from the start in the text form of a Life.
+	// startSeparator separates the identity from the start in the text form of an
+	// Incarnation.
 	startSeparator = "@"
 	// startBase is the number base of the start, decimal like the times in logs.
 	startBase = 10
 )
 
-// Incarnation returns the target's current life.
+// Incarnation returns the target's current incarnation.
 func (t Target) Incarnation() Incarnation { return Incarnation{ID: t.ID, StartMs: t.StartMs} }
 
 // String returns the identity, followed by the start if that is known or if the identity
@@ -35,7 +36,8 @@
 	return i.ID + startSeparator + strconv.FormatInt(i.StartMs, startBase)
 }
 
-// ParseIncarnation parses the result of String. A text without a valid start is an identity.
+// ParseIncarnation parses the result of String. A text without a valid start is an
+// identity.
 func ParseIncarnation(s string) Incarnation {
 	i := strings.LastIndex(s, startSeparator)
 	if i < 0 {
--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -12,7 +12,8 @@
 type Crash struct {
 	// Target is the text form of the target's directory.Incarnation.
 	Target string
-	// SentAt is when the request was sent to the target, and BrokenAt when the connection broke.
+	// SentAt is when the request was sent to the target, and BrokenAt when the connection
+	// broke.
 	SentAt, BrokenAt time.Time
 	// Silent is set if no part of an answer had arrived.
 	Silent bool
@@ -73,7 +74,9 @@
 	if len(crashes) <= maxCrashes {
 		return crashes
 	}
-	oldest := slices.MinFunc(crashes, func(a, b Crash) int { return cmp.Or(a.BrokenAt.Compare(b.BrokenAt), strings.Compare(a.Target, b.Target)) })
+	oldest := slices.MinFunc(crashes, func(a, b Crash) int {
+		return cmp.Or(a.BrokenAt.Compare(b.BrokenAt), strings.Compare(a.Target, b.Target))
+	})
 	return slices.DeleteFunc(crashes, func(c Crash) bool { return c.Target == oldest.Target })
 }
 
--- a/internal/gateway/quarantine/rule_test.go
+++ b/internal/gateway/quarantine/rule_test.go
@@ -89,7 +89,7 @@
 	began := rapid.IntRange(0, 2000).Draw(t, "began")
 	return Crash{
 		Target: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "target"),
-		SentAt:  at(began), BrokenAt: at(began + rapid.IntRange(0, 500).Draw(t, "took")), Silent: rapid.Bool().Draw(t, "silent"),
+		SentAt: at(began), BrokenAt: at(began + rapid.IntRange(0, 500).Draw(t, "took")), Silent: rapid.Bool().Draw(t, "silent"),
 	}
 }
 
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/tracker.go
@@ -18,12 +18,12 @@
 // request's digest follows.
 const trialRolePrefix = "try/"
 
-// Config configures a Keeper.
+// Config configures a Tracker.
 type Config struct {
 	Now func() time.Time
 	Log zerolog.Logger
-	// OnChange is called after a change that members should receive at once, with the number
-	// of held requests. It must not call the keeper.
+	// OnChange is called after a change that members should receive at once, with the
+	// number of held requests. It must not call the tracker.
 	OnChange func(held int)
 	// OwnsRole reports whether this node has a role that one member has for the whole
 	// fleet.
@@ -41,10 +41,10 @@
 	lastSync time.Time
 }
 
-// NewTracker returns a keeper with an empty table.
+// NewTracker returns a tracker with an empty table.
 func NewTracker(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: NewTable()} }
 
-// Admission is the result of Keeper.Admit: Free, Trial or Refused.
+// Admission is the result of Tracker.Admit: Allowed, Trial or Refused.
 type Admission interface{ isAdmission() }
 
 // Allowed admits a request that is not held.
@@ -56,28 +56,28 @@
 // Refused rejects a held request.
 type Refused struct{ Hold Hold }
 
-func (Allowed) isAdmission()    {}
+func (Allowed) isAdmission() {}
 func (Trial) isAdmission()   {}
 func (Refused) isAdmission() {}
 
 // Empty reports whether the table is empty, so that no request needs to be checked.
-func (k *Tracker) Empty() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Len() == 0
+func (tr *Tracker) Empty() bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.table.Len() == 0
 }
 
 // Admit decides whether a request may run, before any work for it starts.
-func (k *Tracker) Admit(d Digest) Admission {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	hold, held := k.table.Held(d)
+func (tr *Tracker) Admit(d Digest) Admission {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	hold, held := tr.table.Held(d)
 	if !held {
 		return Allowed{}
 	}
-	mayTry := func() bool { return k.cfg.OwnsRole(trialRolePrefix + d.String()) }
-	if k.table.StartTrial(k.cfg.Now(), d, mayTry) {
-		k.cfg.Log.Info().Str("digest", d.String()).Int("ends", len(hold.Crashes)).Msg("quarantine: sending held request as a trial")
+	mayTry := func() bool { return tr.cfg.OwnsRole(trialRolePrefix + d.String()) }
+	if tr.table.StartTrial(tr.cfg.Now(), d, mayTry) {
+		tr.cfg.Log.Info().Str("digest", d.String()).Int("ends", len(hold.Crashes)).Msg("quarantine: sending held request as a trial")
 		return Trial{}
 	}
 	return Refused{Hold: hold}
@@ -85,41 +85,41 @@
 
 // Suspected reports whether targets crashed while they had a request and none has answered
 // it since. Suspected requests are sent to different targets.
-func (k *Tracker) Suspected(d Digest) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Suspected(d)
+func (tr *Tracker) Suspected(d Digest) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.table.Suspected(d)
 }
 
 // Held returns the hold on a request, and whether there is one. It is called just before
 // the request is sent.
-func (k *Tracker) Held(d Digest) (Hold, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Held(d)
+func (tr *Tracker) Held(d Digest) (Hold, bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.table.Held(d)
 }
 
 // RecordCrash records that a target crashed while it had a request from this node.
-func (k *Tracker) RecordCrash(d Digest, c Crash) {
-	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordCrash(now, d, c) })
+func (tr *Tracker) RecordCrash(d Digest, c Crash) {
+	tr.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordCrash(now, d, c) })
 }
 
 // RecordAnswer records that a target answered a request, even with an error of its own.
-func (k *Tracker) RecordAnswer(d Digest) {
-	k.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordAnswer(now, d) })
+func (tr *Tracker) RecordAnswer(d Digest) {
+	tr.update("", []Digest{d}, func(t *Table, now time.Time) bool { return t.RecordAnswer(now, d) })
 }
 
 // Merge merges the entries that a member reported.
-func (k *Tracker) Merge(member string, list []message.SuspectRequest) {
+func (tr *Tracker) Merge(member string, list []message.SuspectRequest) {
 	if len(list) == 0 {
 		return
 	}
-	entries := fromMessages(k.cfg.Now(), list)
+	entries := fromMessages(tr.cfg.Now(), list)
 	digests := make([]Digest, len(entries))
 	for i, e := range entries {
 		digests[i] = e.Digest
 	}
-	k.update(member, digests, func(t *Table, now time.Time) bool { return t.Merge(now, entries) })
+	tr.update(member, digests, func(t *Table, now time.Time) bool { return t.Merge(now, entries) })
 }
 
 // update applies a change to some requests and logs those that it holds or releases. Only
@@ -127,75 +127,76 @@
 // the next regular rounds of gossip: a crash leaves dozens of suspects, nearly all of them
 // innocent, and extra rounds for them would raise processor time and traffic of 59 nodes by
 // a quarter on days with many crashes.
-func (k *Tracker) update(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (tr *Tracker) update(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	before := make([]bool, len(digests))
 	for i, d := range digests {
-		_, before[i] = k.table.Held(d)
+		_, before[i] = tr.table.Held(d)
 	}
-	if !apply(k.table, k.cfg.Now()) {
+	if !apply(tr.table, tr.cfg.Now()) {
 		return
 	}
 	urgent := false
 	for i, d := range digests {
-		k.logChange(d, from, before[i])
-		_, held := k.table.Held(d)
+		tr.logChange(d, from, before[i])
+		_, held := tr.table.Held(d)
 		urgent = urgent || held || before[i]
 	}
 	if urgent {
-		k.cfg.OnChange(len(k.table.AllHeld()))
+		tr.cfg.OnChange(len(tr.table.AllHeld()))
 	}
 }
 
 // logChange logs that a request is now held or released. before is whether it was held
 // before the change. The caller must hold the lock.
-func (k *Tracker) logChange(d Digest, from string, before bool) {
-	hold, held := k.table.Held(d)
+func (tr *Tracker) logChange(d Digest, from string, before bool) {
+	hold, held := tr.table.Held(d)
 	switch {
 	case held && !before:
 		targets := make([]string, len(hold.Crashes))
 		for i, c := range hold.Crashes {
 			targets[i] = c.Target
 		}
-		k.cfg.Log.Warn().Str("digest", d.String()).Strs("targets", targets).Dur("held", hold.Until.Sub(k.cfg.Now())).Str("from", from).
+		tr.cfg.Log.Warn().Str("digest", d.String()).Strs("targets", targets).Dur("held", hold.Until.Sub(tr.cfg.Now())).Str("from", from).
 			Msg("quarantine: request held after target crashes")
 	case before && !held:
-		k.cfg.Log.Info().Str("digest", d.String()).Str("from", from).Msg("quarantine: request released after an answer")
+		tr.cfg.Log.Info().Str("digest", d.String()).Str("from", from).Msg("quarantine: request released after an answer")
 	}
 }
 
 // Recent returns what to report to members: the entries that changed recently, and the hash
 // of the held requests, which is empty if none is held.
-func (k *Tracker) Recent() (list []message.SuspectRequest, heldSum string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.cfg.Now()
-	k.table.Prune(now)
-	return toMessages(now, k.table.Recent(now)), formatSum(k.table.HeldSum())
+func (tr *Tracker) Recent() (list []message.SuspectRequest, heldSum string) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.cfg.Now()
+	tr.table.Prune(now)
+	return toMessages(now, tr.table.Recent(now)), formatSum(tr.table.HeldSum())
 }
 
-// NeedsSync reports whether to request all held entries from a member that reports the given
-// hash. It records the request.
-func (k *Tracker) NeedsSync(heldSum string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.cfg.Now()
-	if heldSum == "" || heldSum == formatSum(k.table.HeldSum()) || now.Sub(k.lastSync) < syncInterval {
+// NeedsSync reports whether to request all held entries from a member that reports the
+// given hash. It records the request.
+func (tr *Tracker) NeedsSync(heldSum string) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.cfg.Now()
+	if heldSum == "" || heldSum == formatSum(tr.table.HeldSum()) || now.Sub(tr.lastSync) < syncInterval {
 		return false
 	}
-	k.lastSync = now
+	tr.lastSync = now
 	return true
 }
 
-// HeldRequests returns the requests that this node holds, with the remaining time of each hold.
-func (k *Tracker) HeldRequests() message.SuspectList {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.cfg.Now()
-	list := toMessages(now, k.table.AllHeld())
-	for i, e := range k.table.AllHeld() {
-		hold, _ := k.table.Held(e.Digest)
+// HeldRequests returns the requests that this node holds, with the remaining time of each
+// hold.
+func (tr *Tracker) HeldRequests() message.SuspectList {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.cfg.Now()
+	list := toMessages(now, tr.table.AllHeld())
+	for i, e := range tr.table.AllHeld() {
+		hold, _ := tr.table.Held(e.Digest)
 		list[i].HeldMs = max(int(hold.Until.Sub(now).Milliseconds()), 0)
 	}
 	return message.SuspectList{Requests: list}
