--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -107,17 +107,17 @@
 	InputBytes map[string]int64
 	// Subset limits the targets of plain calls.
 	Subset Subset
-	// Limits limits the request rate of cold targets. GivesOut reports whether this node
+	// Limits limits the request rate of cold targets. MayAssign reports whether this node
 	// assigns the requests of a cold target.
-	Limits   *warmup.Limits
-	GivesOut func(target string) bool
+	Limits    *warmup.Limits
+	MayAssign func(target string) bool
 }
 
 // filter returns a function that reports whether a target may get another request under the
 // limits for cold targets.
 func (q Query) filter(now time.Time) filter {
 	return func(t directory.Target) bool {
-		return q.Limits.Allows(now, t, func() bool { return q.GivesOut(t.ID) })
+		return q.Limits.Allows(now, t, func() bool { return q.MayAssign(t.ID) })
 	}
 }
 
--- a/internal/gateway/placement/shortlist_test.go
+++ b/internal/gateway/placement/shortlist_test.go
@@ -118,7 +118,7 @@
 		placed, ok := f.chooser.Place(now, f.engines, prompt("a", 7))
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(placed.ID, convey.ShouldEqual, "t00077")
-		byPrefix, ok := placement.NewTargetTable().ByPrefix(now, f.engines, placement.Query{Key: 7, SharedTokens: 100, GivesOut: func(string) bool { return true }})
+		byPrefix, ok := placement.NewTargetTable().ByPrefix(now, f.engines, placement.Query{Key: 7, SharedTokens: 100, MayAssign: func(string) bool { return true }})
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(byPrefix.ID, convey.ShouldEqual, "t00077")
 	})
--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -129,11 +129,11 @@
 // own chooses a target by what this node knows alone.
 func (c *chooser) own(inputs map[string]int64, exclude []string) (directory.Target, bool) {
 	list := c.view().Directory.Service(c.service.Name)
-	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, GivesOut: c.givesOut}
+	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, MayAssign: c.givesOut}
 	if c.service.Engine {
 		// Nodes that choose on their own at one moment are many, as after the loss of the
 		// Placer, and do not know of each other's prompts.
-		q.GivesOut = func(string) bool { return false }
+		q.MayAssign = func(string) bool { return false }
 	}
 	for _, part := range sharedParts(c.req.Parts) {
 		q.Key = part.Key
