--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -56,9 +56,9 @@
 	// Suspect reports whether engines have crashed during earlier attempts of the request.
 	// Such a prompt goes to an engine that has no other such prompt pending, if there is one.
 	Suspect bool
-	// GivesOut reports whether this member assigns the requests of cold engines. It is called
+	// MayAssign reports whether this member assigns the requests of cold engines. It is called
 	// at most once, and only if an engine is cold.
-	GivesOut func() bool
+	MayAssign func() bool
 }
 
 // sessionKey returns the key of the last shared part, which only prompts of the same
@@ -227,8 +227,8 @@
 // filter returns a function that reports whether an engine may get another prompt under the
 // limits for cold engines.
 func (p *EngineChooser) filter(now time.Time, q Prompt) filter {
-	givesOut := sync.OnceValue(q.GivesOut)
-	return func(e directory.Target) bool { return p.limits.Allows(now, e, givesOut) }
+	mayAssign := sync.OnceValue(q.MayAssign)
+	return func(e directory.Target) bool { return p.limits.Allows(now, e, mayAssign) }
 }
 
 // engineLoad is the state of an engine when a prompt arrives, in tokens.
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -34,7 +34,7 @@
 	for i := range perSecond {
 		at := now.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
 		q := prompt(string(rune('a'+i)), 7)
-		q.GivesOut = func() bool { return mayAssign }
+		q.MayAssign = func() bool { return mayAssign }
 		placed, found := p.Place(at, list, q)
 		if !found {
 			refused++
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -43,7 +43,7 @@
 		p := placement.NewEngineChooser()
 		prompt := placement.Prompt{
 			Request: "1", Shared: []placement.SharedPart{{Key: 7, Tokens: 5000}}, Tokens: 5100, Slack: time.Second,
-			GivesOut: func() bool { return true },
+			MayAssign: func() bool { return true },
 		}
 		engines := []directory.Target{engine("a", 1), engine("b", 1)}
 		first, _ := p.Place(now, engines, prompt)
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -75,7 +75,7 @@
 	s := v.Service(service)
 	c.SetCopyTime(s.CopyTime)
 	c.SetWarmUp(p.margin.Bound(s.WarmUp))
-	q.GivesOut = p.members.settled
+	q.MayAssign = p.members.settled
 	placed, ok := c.Place(p.now(), v.Directory.Service(service), q)
 	return relay.Placed{Engine: placed.ID, CopyFrom: placed.CopyFrom}, ok
 }
