--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -42,7 +42,7 @@
 	// evacuated says that all targets are in evacuated data centres.
 	evacuated bool
 	// limits bound the calls to cold targets.
-	limits *warmup.Limits
+	limits *warmup.Limiter
 	// gate says what targets ask for.
 	gate      Gate
 	budget    *retrybudget.Budget
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -109,7 +109,7 @@
 	Subset Subset
 	// Limits limits the request rate of cold targets. MayAssign reports whether this node
 	// assigns the requests of a cold target.
-	Limits    *warmup.Limits
+	Limits    *warmup.Limiter
 	MayAssign func(target string) bool
 }
 
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -44,7 +44,7 @@
 	// milliseconds. 0 means unknown.
 	copyMsPerToken float64
 	// limits limits the request rate of cold engines.
-	limits *warmup.Limits
+	limits *warmup.Limiter
 }
 
 // pendingPrompt is a prompt whose prefill has not completed.
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -87,7 +87,7 @@
 // TestColdTargetsWithoutCoordinator verifies that a node that selects targets on its own
 // only sends to a cold target if it assigns the requests of that target.
 func TestColdTargetsWithoutCoordinator(t *testing.T) {
-	limits := func() *warmup.Limits {
+	limits := func() *warmup.Limiter {
 		l := warmup.New()
 		l.SetBound(coldBound)
 		return l
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -20,17 +20,17 @@
 	mu    sync.Mutex
 	table *placement.TargetTable
 	// limits bound what cold targets get, by service.
-	limits map[string]*warmup.Limits
+	limits map[string]*warmup.Limiter
 	// isolated are the targets that have a suspected request of this node.
 	isolated map[string]bool
 }
 
 func newTargets(now func() time.Time, margin warmup.Margin) *targets {
-	return &targets{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
+	return &targets{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limiter), isolated: make(map[string]bool)}
 }
 
 // limitsOf returns the limits of a service; the caller holds the lock.
-func (t *targets) limitsOf(service *catalog.Service) *warmup.Limits {
+func (t *targets) limitsOf(service *catalog.Service) *warmup.Limiter {
 	limits := t.limits[service.Name]
 	if limits == nil {
 		limits = warmup.New()
--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -39,7 +39,7 @@
 type modelNode struct {
 	*membership.Roster
 	address    string
-	limits     *warmup.Limits
+	limits     *warmup.Limiter
 	nextGossip time.Time
 	down       bool
 	// frozen nodes neither act nor respond. partition is the network partition of the node. It
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -85,19 +85,19 @@
 	return rate.NewLimiter(rate.Limit(share-burst), int(burst))
 }
 
-// Limits holds the token buckets of one member for the cold targets of one service. Create
-// it with New. A nil *Limits imposes no limit. It is not safe for concurrent use.
-type Limits struct {
+// Limiter holds the token buckets of one member for the cold targets of one service. Create
+// it with New. A nil *Limiter imposes no limit. It is not safe for concurrent use.
+type Limiter struct {
 	bound   Bound
 	buckets map[directory.Life]*rate.Limiter
 }
 
-// New returns Limits that impose no limit until SetBound is called.
-func New() *Limits { return &Limits{buckets: make(map[directory.Life]*rate.Limiter)} }
+// New returns a Limiter that imposes no limit until SetBound is called.
+func New() *Limiter { return &Limiter{buckets: make(map[directory.Life]*rate.Limiter)} }
 
 // SetBound sets the limit. If it differs from the previous one, all buckets are replaced by
 // full ones.
-func (l *Limits) SetBound(b Bound) {
+func (l *Limiter) SetBound(b Bound) {
 	if b == l.bound {
 		return
 	}
@@ -108,7 +108,7 @@
 // Allows reports whether a target may get a request now. It may if it is warm, if its
 // service has no limit, or if its bucket has a token and this member assigns the requests of
 // the target. mayAssign reports the latter and is only called for cold targets.
-func (l *Limits) Allows(now time.Time, t directory.Target, mayAssign func() bool) bool {
+func (l *Limiter) Allows(now time.Time, t directory.Target, mayAssign func() bool) bool {
 	if !l.applies(now, t) {
 		return true
 	}
@@ -117,7 +117,7 @@
 }
 
 // Sent takes a token for a request that is sent to a target.
-func (l *Limits) Sent(now time.Time, t directory.Target) {
+func (l *Limiter) Sent(now time.Time, t directory.Target) {
 	if !l.applies(now, t) {
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 // Prune removes the buckets of targets that are warm or no longer listed.
-func (l *Limits) Prune(now time.Time, d *directory.Directory) {
+func (l *Limiter) Prune(now time.Time, d *directory.Directory) {
 	for life := range l.buckets {
 		if t, known := d.Target(life.ID); !known || t.Life() != life || !t.Cold(now) {
 			delete(l.buckets, life)
@@ -136,13 +136,13 @@
 }
 
 // applies reports whether the target is cold and has a limit.
-func (l *Limits) applies(now time.Time, t directory.Target) bool {
+func (l *Limiter) applies(now time.Time, t directory.Target) bool {
 	return l != nil && l.bound.PerSecond > 0 && t.Cold(now)
 }
 
 // bucket returns the bucket of a target, or nil if the share of a member is too small to
 // assign any request.
-func (l *Limits) bucket(life directory.Life) *rate.Limiter {
+func (l *Limiter) bucket(life directory.Life) *rate.Limiter {
 	bucket, known := l.buckets[life]
 	if !known {
 		bucket = l.bound.limiter()
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -23,7 +23,7 @@
 	return directory.Target{ID: id, ColdUntil: start.Add(time.Minute)}
 }
 
-func newLimiter(b warmup.Bound) *warmup.Limits {
+func newLimiter(b warmup.Bound) *warmup.Limiter {
 	l := warmup.New()
 	l.SetBound(b)
 	return l
@@ -35,7 +35,7 @@
 
 // sendAllowed sends a target as many requests as are allowed within d and returns their
 // number.
-func sendAllowed(l *warmup.Limits, t directory.Target, d time.Duration) int {
+func sendAllowed(l *warmup.Limiter, t directory.Target, d time.Duration) int {
 	n := 0
 	for at := start; at.Before(start.Add(d)); at = at.Add(time.Millisecond) {
 		if l.Allows(at, t, always) {
@@ -60,7 +60,7 @@
 	convey.Convey("Warm targets and targets of a service without a limit are not limited", t, func() {
 		convey.So(sendAllowed(newLimiter(bound), directory.Target{ID: "a"}, time.Second), convey.ShouldEqual, 1000)
 		convey.So(sendAllowed(newLimiter(margin.Bound(catalog.WarmUp{Time: time.Second})), cold("a"), time.Second), convey.ShouldEqual, 1000)
-		convey.So((*warmup.Limits)(nil).Allows(start, cold("a"), never), convey.ShouldBeTrue)
+		convey.So((*warmup.Limiter)(nil).Allows(start, cold("a"), never), convey.ShouldBeTrue)
 	})
 	convey.Convey("A member that does not assign the requests of a cold target sends it none", t, func() {
 		convey.So(newLimiter(bound).Allows(start, cold("a"), never), convey.ShouldBeFalse)
