--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -75,7 +75,7 @@
 	t.running = b
 	c.pool.sort(t)
 	t.memory.reserve(items)
-	c.limits.Sent(now, t.Target)
+	c.limits.Take(now, t.Target)
 	c.gate.Take(t.Life())
 	c.stats.Batches++
 	c.stats.Items += int64(n)
--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -116,7 +116,7 @@
 		return Placement{}, false
 	}
 	engine := engines[chosen.index]
-	p.limits.Sent(now, engine)
+	p.limits.Take(now, engine)
 	placed := Placement{Target: engine}
 	cached := s.cached[chosen.index]
 	if source, ok := p.copySource(now, engines, s.cached, chosen.index, q); ok {
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -124,7 +124,7 @@
 // countSent counts a request against the limit of the selected target, if found is true.
 func (q Query) countSent(now time.Time, t directory.Target, found bool) (directory.Target, bool) {
 	if found {
-		q.Limits.Sent(now, t)
+		q.Limits.Take(now, t)
 	}
 	return t, found
 }
--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -145,7 +145,7 @@
 	if !placer.limits.Allows(m.now, m.target, func() bool { return placer.Settled(m.now) }) {
 		return
 	}
-	placer.limits.Sent(m.now, m.target)
+	placer.limits.Take(m.now, m.target)
 	if delay > modelPlaceTimeout {
 		return
 	}
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -116,8 +116,8 @@
 	return bucket != nil && bucket.TokensAt(now) >= 1 && mayAssign()
 }
 
-// Sent takes a token for a request that is sent to a target.
-func (l *Limiter) Sent(now time.Time, t directory.Target) {
+// Take takes a token for a request that is sent to a target.
+func (l *Limiter) Take(now time.Time, t directory.Target) {
 	if !l.applies(now, t) {
 		return
 	}
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -39,7 +39,7 @@
 	n := 0
 	for at := start; at.Before(start.Add(d)); at = at.Add(time.Millisecond) {
 		if l.Allows(at, t, always) {
-			l.Sent(at, t)
+			l.Take(at, t)
 			n++
 		}
 	}
