--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -78,7 +78,7 @@
 		items:   map[Token]*queuedItem{},
 		running: map[BatchID]*batch{},
 		plans:   plans{},
-		limits:  warmup.New(),
+		limits:  warmup.NewLimiter(),
 		budget:  retrybudget.New(budget),
 	}
 	for _, opt := range opts {
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -64,7 +64,7 @@
 func NewEngineChooser() *EngineChooser {
 	return &EngineChooser{
 		cache: newPrefixCache(), pending: map[string]pendingPrompt{}, prefillMsPerToken: initialPrefillMsPerToken,
-		limits: warmup.New(),
+		limits: warmup.NewLimiter(),
 	}
 }
 
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -88,7 +88,7 @@
 // only sends to a cold target if it assigns the requests of that target.
 func TestColdTargetsWithoutCoordinator(t *testing.T) {
 	limits := func() *warmup.Limiter {
-		l := warmup.New()
+		l := warmup.NewLimiter()
 		l.SetBound(coldBound)
 		return l
 	}
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -33,7 +33,7 @@
 func (t *targets) limitsOf(service *catalog.Service) *warmup.Limiter {
 	limits := t.limits[service.Name]
 	if limits == nil {
-		limits = warmup.New()
+		limits = warmup.NewLimiter()
 		t.limits[service.Name] = limits
 	}
 	limits.SetBound(t.margin.Bound(service.WarmUp))
--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -89,7 +89,7 @@
 	last := len(m.nodes) - 1
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
-	n.limits = warmup.New()
+	n.limits = warmup.NewLimiter()
 	n.limits.SetBound(margin.Bound(service))
 	n.nextGossip = m.now.Add(time.Duration(m.rng.Int64N(int64(modelGossipInterval))))
 	n.down = false
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -86,14 +86,14 @@
 }
 
 // Limiter holds the token buckets of one member for the cold targets of one service. Create
-// it with New. A nil *Limiter imposes no limit. It is not safe for concurrent use.
+// it with NewLimiter. A nil *Limiter imposes no limit. It is not safe for concurrent use.
 type Limiter struct {
 	bound   Bound
 	buckets map[directory.Life]*rate.Limiter
 }
 
-// New returns a Limiter that imposes no limit until SetBound is called.
-func New() *Limiter { return &Limiter{buckets: make(map[directory.Life]*rate.Limiter)} }
+// NewLimiter returns a Limiter that imposes no limit until SetBound is called.
+func NewLimiter() *Limiter { return &Limiter{buckets: make(map[directory.Life]*rate.Limiter)} }
 
 // SetBound sets the limit. If it differs from the previous one, all buckets are replaced by
 // full ones.
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -24,7 +24,7 @@
 }
 
 func newLimiter(b warmup.Bound) *warmup.Limiter {
-	l := warmup.New()
+	l := warmup.NewLimiter()
 	l.SetBound(b)
 	return l
 }
