--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -107,9 +107,9 @@
 	InputBytes map[string]int64
 	// Subset limits the targets of plain calls.
 	Subset Subset
-	// Limits limits the request rate of cold targets. MayAssign reports whether this node
+	// Limiter limits the request rate of cold targets. MayAssign reports whether this node
 	// assigns the requests of a cold target.
-	Limits    *warmup.Limiter
+	Limiter   *warmup.Limiter
 	MayAssign func(target string) bool
 }
 
@@ -117,14 +117,14 @@
 // limits for cold targets.
 func (q Query) filter(now time.Time) filter {
 	return func(t directory.Target) bool {
-		return q.Limits.Allows(now, t, func() bool { return q.MayAssign(t.ID) })
+		return q.Limiter.Allows(now, t, func() bool { return q.MayAssign(t.ID) })
 	}
 }
 
 // countSent counts a request against the limit of the selected target, if found is true.
 func (q Query) countSent(now time.Time, t directory.Target, found bool) (directory.Target, bool) {
 	if found {
-		q.Limits.Take(now, t)
+		q.Limiter.Take(now, t)
 	}
 	return t, found
 }
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -107,7 +107,7 @@
 		convey.Convey("If a node selects "+name+" on its own", t, func() {
 			table := placement.NewTargetTable()
 			convey.Convey("it skips cold targets whose requests another member assigns", func() {
-				q := placement.Query{Key: 7, Limits: limits(), MayAssign: mayAssign(false)}
+				q := placement.Query{Key: 7, Limiter: limits(), MayAssign: mayAssign(false)}
 				for range 20 {
 					got, found := choose(table, list, q)
 					convey.So(found, convey.ShouldBeTrue)
@@ -117,7 +117,7 @@
 				convey.So(found, convey.ShouldBeFalse)
 			})
 			convey.Convey("it limits cold targets whose requests it assigns to its share", func() {
-				q := placement.Query{Key: 7, Limits: limits(), MayAssign: mayAssign(true)}
+				q := placement.Query{Key: 7, Limiter: limits(), MayAssign: mayAssign(true)}
 				n := 0
 				for range 20 {
 					if _, found := choose(table, allCold[:1], q); found {
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -20,7 +20,7 @@
 // restarts with the same ID.
 func TestRestartedTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	query := placement.Query{DataCentre: "d", MayAssign: func(string) bool { return true }, Limits: warmup.NewLimiter()}
+	query := placement.Query{DataCentre: "d", MayAssign: func(string) bool { return true }, Limiter: warmup.NewLimiter()}
 	convey.Convey("Ejection, failures and outstanding calls from before the restart are discarded", t, func() {
 		table := placement.NewTargetTable()
 		old, other := engine("a", 1), engine("b", 1)
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -46,7 +46,7 @@
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q.Limits = t.limitsOf(service)
+	q.Limiter = t.limitsOf(service)
 	if service.Engine {
 		return t.table.ByPrefix(now, list, q)
 	}
