--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -171,7 +171,7 @@
 		c.items[item.Token] = q
 		c.queue = append(c.queue, q)
 		c.plans.remove(item.Request, item.Stage)
-		c.budget.First(now)
+		c.budget.RecordRequest(now)
 	}
 }
 
--- a/internal/gateway/retrybudget/retrybudget.go
+++ b/internal/gateway/retrybudget/retrybudget.go
@@ -63,8 +63,8 @@
 // New returns a budget with no retries spent.
 func New(p Policy) *Budget { return &Budget{policy: p} }
 
-// First records the first attempt of a request.
-func (b *Budget) First(now time.Time) {
+// RecordRequest records the first attempt of a request.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.trim(now)
 	b.firstAttempts = append(b.firstAttempts, now)
 }
--- a/internal/gateway/retrybudget/retrybudget_test.go
+++ b/internal/gateway/retrybudget/retrybudget_test.go
@@ -27,7 +27,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "first") {
-				n.First(now)
+				n.RecordRequest(now)
 				firsts = append(firsts, now)
 			} else if n.Spend(now) {
 				retries = append(retries, now)
@@ -62,8 +62,8 @@
 	if b.Spend(now) {
 		t.Error("node with an unknown number of peers has a share of the extra retries")
 	}
-	b.First(now)
-	b.First(now)
+	b.RecordRequest(now)
+	b.RecordRequest(now)
 	if !b.Spend(now) {
 		t.Error("retry within the ratio of the node's own requests was rejected")
 	}
@@ -101,7 +101,7 @@
 			convey.Convey(c.name, func() {
 				b := retrybudget.New(c.policy)
 				for range c.requests {
-					b.First(now)
+					b.RecordRequest(now)
 				}
 				spent := 0
 				for b.Spend(now.Add(c.after)) {
