--- a/internal/gateway/relay/budgets.go
+++ b/internal/gateway/relay/budgets.go
@@ -48,5 +48,5 @@
 func (b *retryBudgets) left(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Left(b.now())
+	return b.of(service).Remaining(b.now())
 }
--- a/internal/gateway/retrybudget/retrybudget.go
+++ b/internal/gateway/retrybudget/retrybudget.go
@@ -76,16 +76,16 @@
 // and on the current number of nodes. Allowing too much adds load to a failing service;
 // allowing too little rejects requests that another target would have answered.
 func (b *Budget) Spend(now time.Time) bool {
-	if b.Left(now) < 1 {
+	if b.Remaining(now) < 1 {
 		return false
 	}
 	b.retries = append(b.retries, now)
 	return true
 }
 
-// Left returns the number of retries that are currently allowed, which may be
+// Remaining returns the number of retries that are currently allowed, which may be
 // fractional. It is negative if the number of nodes has grown since retries were spent.
-func (b *Budget) Left(now time.Time) float64 {
+func (b *Budget) Remaining(now time.Time) float64 {
 	b.trim(now)
 	return b.policy.Ratio*float64(len(b.firstAttempts)) + b.policy.share() - float64(len(b.retries))
 }
--- a/internal/gateway/retrybudget/retrybudget_test.go
+++ b/internal/gateway/retrybudget/retrybudget_test.go
@@ -125,6 +125,6 @@
 		b.Spend(now)
 		b.Spend(now)
 		nodes = 32
-		convey.So(b.Left(now), convey.ShouldEqual, -1)
+		convey.So(b.Remaining(now), convey.ShouldEqual, -1)
 	})
 }
