--- a/internal/gateway/placement/bench_test.go
+++ b/internal/gateway/placement/bench_test.go
@@ -16,9 +16,9 @@
 	table := placement.NewTargetTable()
 	for i, e := range engines(n) {
 		for range i % 5 {
-			table.Sent(e.Life())
+			table.RecordStart(e.Life())
 		}
-		table.Sent(e.Life())
+		table.RecordStart(e.Life())
 		table.Ended(now, e.Life(), time.Duration(50+i)*time.Millisecond, i%7 == 0)
 		table.Report(now, e.Life(), placement.Load{Running: i % 4, Waiting: i % 3, Slots: 8})
 	}
--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -12,7 +12,7 @@
 
 // recordCall records a call from start to end.
 func recordCall(table *placement.TargetTable, at time.Time, id string, took time.Duration, failed bool) {
-	table.Sent(life(id))
+	table.RecordStart(life(id))
 	table.Ended(at, life(id), took, failed)
 }
 
@@ -49,7 +49,7 @@
 			recordCall(table, now, "t1", 9*time.Millisecond, false)
 		}, engines(2), placement.Query{DataCentre: "d0"}, "t0"},
 		{
-			"the one with fewer outstanding calls", func(table *placement.TargetTable) { table.Sent(life("t0")) },
+			"the one with fewer outstanding calls", func(table *placement.TargetTable) { table.RecordStart(life("t0")) },
 			pair(directory.Ready),
 			placement.Query{DataCentre: "d0"},
 			"t1",
@@ -65,10 +65,10 @@
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
 		{"a healthy one, however slow, rather than one without free connections", func(table *placement.TargetTable) {
 			recordCall(table, now, "t1", time.Minute, false)
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0", MaxInflight: 1}, "t1"},
 		{
-			"one without free connections rather than a lapsed one", func(table *placement.TargetTable) { table.Sent(life("t1")) },
+			"one without free connections rather than a lapsed one", func(table *placement.TargetTable) { table.RecordStart(life("t1")) },
 			pair(directory.Lapsed),
 			placement.Query{DataCentre: "d0", MaxInflight: 1},
 			"t1",
@@ -141,8 +141,8 @@
 			table := placement.NewTargetTable()
 			list := pair(directory.Ready)
 			list[0].Slots, list[1].Slots = 0, int32(slots)
-			table.Sent(life("t0"))
-			table.Sent(life("t1"))
+			table.RecordStart(life("t0"))
+			table.RecordStart(life("t1"))
 			got, _ := table.LeastLoaded(now, list, q)
 			convey.So(got.ID, convey.ShouldEqual, want)
 		}
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -26,7 +26,7 @@
 		old, other := engine("a", 1), engine("b", 1)
 		table.Eject(now, old.Life())
 		for range 20 {
-			table.Sent(old.Life())
+			table.RecordStart(old.Life())
 		}
 		convey.So(table.Ejected(now, directory.New(old, other)), convey.ShouldResemble, []string{"a"})
 		fresh := engine("a", 2)
--- a/internal/gateway/placement/outlier_test.go
+++ b/internal/gateway/placement/outlier_test.go
@@ -63,13 +63,13 @@
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
 		})
 		convey.Convey("it stays ejected while one call probes it", func() {
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeTrue)
 		})
 		convey.Convey("a successful probe ends the ejection and resets the failures", func() {
 			probe(time.Second, false)
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
 		})
 		convey.Convey("failed probes eject it again, for 2 s and then for 4 s each", func() {
@@ -85,7 +85,7 @@
 		convey.Convey("failures of calls sent before the ejection double its duration too", func() {
 			table := placement.NewTargetTable()
 			for range 3 {
-				table.Sent(life("t0"))
+				table.RecordStart(life("t0"))
 			}
 			for range 3 {
 				table.Ended(now, life("t0"), time.Millisecond, true)
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -45,7 +45,7 @@
 		q := placement.Query{Key: 7, SharedTokens: 500}
 		first, _ := table.ByPrefix(now, engines(3), q)
 		for range 8 {
-			table.Sent(first.Life())
+			table.RecordStart(first.Life())
 		}
 		second, _ := table.ByPrefix(now, engines(3), q)
 		convey.So(second.ID, convey.ShouldNotEqual, first.ID)
@@ -56,7 +56,7 @@
 	q := placement.Query{DataCentre: "d0"}
 	convey.Convey("A target that fails is ejected and probed", t, func() {
 		table := placement.NewTargetTable()
-		table.Sent(life("t0"))
+		table.RecordStart(life("t0"))
 		table.Ended(now, life("t0"), time.Millisecond, true)
 		table.Eject(now, life("t0"))
 		for range 5 {
@@ -70,9 +70,9 @@
 		})
 		convey.Convey("by one request after the ejection, which readmits it if successful", func() {
 			later := now.Add(time.Minute)
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 			table.Ended(later, life("t0"), time.Millisecond, false)
-			table.Sent(life("t1"))
+			table.RecordStart(life("t1"))
 			got, _ := table.LeastLoaded(later, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -79,8 +79,8 @@
 	return s
 }
 
-// Sent records that a call is sent to a target.
-func (t *TargetTable) Sent(l directory.Life) {
+// RecordStart records that a call is sent to a target.
+func (t *TargetTable) RecordStart(l directory.Life) {
 	s := t.statsOf(l)
 	s.inflight++
 	s.sentSinceLoad++
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -88,7 +88,7 @@
 func (t *targets) sent(l directory.Life) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.table.Sent(l)
+	t.table.RecordStart(l)
 }
 
 // attemptEnd is how an attempt at a target ended.
