--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -13,7 +13,7 @@
 // recordCall records a call from start to end.
 func recordCall(table *placement.TargetTable, at time.Time, id string, took time.Duration, failed bool) {
 	table.RecordStart(life(id))
-	table.Ended(at, life(id), took, failed)
+	table.RecordEnd(at, life(id), took, failed)
 }
 
 // pair returns targets t0 and t1 in the same data centre. t0 has the given state.
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -34,7 +34,7 @@
 		got, _ := table.LeastLoaded(now, []directory.Target{fresh, other}, query)
 		convey.So(got.ID, convey.ShouldEqual, "a")
 		convey.Convey("and the end of a call from before the restart does not affect it", func() {
-			table.Ended(now, old.Life(), time.Second, true)
+			table.RecordEnd(now, old.Life(), time.Second, true)
 			got, _ := table.LeastLoaded(now, []directory.Target{fresh, other}, query)
 			convey.So(got.ID, convey.ShouldEqual, "a")
 		})
--- a/internal/gateway/placement/outlier_test.go
+++ b/internal/gateway/placement/outlier_test.go
@@ -88,7 +88,7 @@
 				table.RecordStart(life("t0"))
 			}
 			for range 3 {
-				table.Ended(now, life("t0"), time.Millisecond, true)
+				table.RecordEnd(now, life("t0"), time.Millisecond, true)
 			}
 			convey.So(ejectedAfter(table, 1999*time.Millisecond), convey.ShouldBeTrue)
 			convey.So(ejectedAfter(table, 2*time.Second), convey.ShouldBeFalse)
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -57,7 +57,7 @@
 	convey.Convey("A target that fails is ejected and probed", t, func() {
 		table := placement.NewTargetTable()
 		table.RecordStart(life("t0"))
-		table.Ended(now, life("t0"), time.Millisecond, true)
+		table.RecordEnd(now, life("t0"), time.Millisecond, true)
 		table.Eject(now, life("t0"))
 		for range 5 {
 			got, _ := table.LeastLoaded(now, engines(2), q)
@@ -71,7 +71,7 @@
 		convey.Convey("by one request after the ejection, which readmits it if successful", func() {
 			later := now.Add(time.Minute)
 			table.RecordStart(life("t0"))
-			table.Ended(later, life("t0"), time.Millisecond, false)
+			table.RecordEnd(later, life("t0"), time.Millisecond, false)
 			table.RecordStart(life("t1"))
 			got, _ := table.LeastLoaded(later, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t0")
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -87,10 +87,10 @@
 	s.outlier.sent()
 }
 
-// Ended records the end of a call and its duration. A call counts as failed only if the target
+// RecordEnd records the end of a call and its duration. A call counts as failed only if the target
 // is at fault: it did not respond, its response was incomplete or invalid, or its response
 // reports a problem of the target.
-func (t *TargetTable) Ended(now time.Time, l directory.Life, took time.Duration, failed bool) {
+func (t *TargetTable) RecordEnd(now time.Time, l directory.Life, took time.Duration, failed bool) {
 	s := t.statsOf(l)
 	s.inflight--
 	s.failureRate *= decayFactor(now, s.updatedAt)
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -110,7 +110,7 @@
 	if e.load != nil {
 		t.table.Report(now, e.target, *e.load)
 	}
-	t.table.Ended(now, e.target, e.took, e.fault)
+	t.table.RecordEnd(now, e.target, e.took, e.fault)
 	if e.unreachable {
 		t.table.Eject(now, e.target)
 	}
