--- a/internal/gateway/placement/bench_test.go
+++ b/internal/gateway/placement/bench_test.go
@@ -20,7 +20,7 @@
 		}
 		table.RecordStart(e.Life())
 		table.RecordEnd(now, e.Life(), time.Duration(50+i)*time.Millisecond, i%7 == 0)
-		table.Report(now, e.Life(), placement.Load{Running: i % 4, Waiting: i % 3, Slots: 8})
+		table.RecordLoad(now, e.Life(), placement.Load{Running: i % 4, Waiting: i % 3, Slots: 8})
 	}
 	return table
 }
--- a/internal/gateway/placement/byprefix_test.go
+++ b/internal/gateway/placement/byprefix_test.go
@@ -49,7 +49,7 @@
 		{"its engine is full but has long parts cached", sent(8), placement.Query{Key: 7, SharedTokens: 8000}, first},
 		{"its engine is more than full", sent(11), placement.Query{Key: 7, SharedTokens: 8000}, other},
 		{"its engine reported calls from other nodes", func(table *placement.TargetTable) {
-			table.Report(now, first.Life(), placement.Load{Running: 6, Slots: 8})
+			table.RecordLoad(now, first.Life(), placement.Load{Running: 6, Slots: 8})
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine has failed", func(table *placement.TargetTable) {
 			recordCall(table, now, first.ID, time.Millisecond, true)
--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -61,7 +61,7 @@
 		{"the faster one with more load if it is still expected to respond first", func(table *placement.TargetTable) {
 			recordCall(table, now, "t0", 10*time.Millisecond, false)
 			recordCall(table, now, "t1", 40*time.Millisecond, false)
-			table.Report(now, life("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
+			table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
 		{"a healthy one, however slow, rather than one without free connections", func(table *placement.TargetTable) {
 			recordCall(table, now, "t1", time.Minute, false)
@@ -117,7 +117,7 @@
 	}
 	convey.Convey("A reported load counts for 500 ms", t, func() {
 		table := placement.NewTargetTable()
-		table.Report(now, life("t0"), placement.Load{Running: 8, Slots: 8})
+		table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Slots: 8})
 		convey.So(chosen(table, 500*time.Millisecond), convey.ShouldEqual, "t1")
 		convey.So(chosen(table, 501*time.Millisecond), convey.ShouldEqual, "t0")
 	})
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -85,7 +85,7 @@
 	})
 	convey.Convey("A load report counts until it expires", t, func() {
 		table := placement.NewTargetTable()
-		table.Report(now, life("t0"), placement.Load{Running: 8, Waiting: 30, Slots: 8})
+		table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Waiting: 30, Slots: 8})
 		got, _ := table.LeastLoaded(now, engines(2), q)
 		convey.So(got.ID, convey.ShouldEqual, "t1")
 		got, _ = table.LeastLoaded(now.Add(time.Second), engines(2), q)
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -107,8 +107,8 @@
 	s.outlier.ended(now, failed, s.failureRate)
 }
 
-// Report records the load that a target reported.
-func (t *TargetTable) Report(now time.Time, l directory.Life, load Load) {
+// RecordLoad records the load that a target reported.
+func (t *TargetTable) RecordLoad(now time.Time, l directory.Life, load Load) {
 	s := t.statsOf(l)
 	s.load = load
 	s.loadAt = now
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -108,7 +108,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e.load != nil {
-		t.table.Report(now, e.target, *e.load)
+		t.table.RecordLoad(now, e.target, *e.load)
 	}
 	t.table.RecordEnd(now, e.target, e.took, e.fault)
 	if e.unreachable {
