--- a/internal/gateway/placement/bench_test.go
+++ b/internal/gateway/placement/bench_test.go
@@ -91,7 +91,7 @@
 			Request: fmt.Sprint("r", n), Tokens: 3000, Slack: time.Second,
 			Shared: []placement.SharedPart{{Key: uint64(session%largeFirstParts + 1), Tokens: 300}, {Key: uint64(session + 1000), Tokens: 700}},
 		})
-		chooser.Prefilled(at, fmt.Sprint("r", n-100), true)
+		chooser.RecordPrefill(at, fmt.Sprint("r", n-100), true)
 	}
 	for range 15_000 {
 		place()
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -77,11 +77,11 @@
 // SetWarmUp sets the maximum request rate of a cold engine, summed over all nodes.
 func (p *EngineChooser) SetWarmUp(b warmup.Bound) { p.limits.SetBound(b) }
 
-// Prefilled records that a prompt has its first event or that its request has ended. A
+// RecordPrefill records that a prompt has its first event or that its request has ended. A
 // prompt updates the prefill time per token only if the engine had no other backlog and
 // prefilled the prompt completely, which whole reports. Unknown requests are ignored: they
 // were placed by another member or have expired.
-func (p *EngineChooser) Prefilled(now time.Time, request string, whole bool) {
+func (p *EngineChooser) RecordPrefill(now time.Time, request string, whole bool) {
 	r, known := p.pending[request]
 	if !known {
 		return
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -40,7 +40,7 @@
 			refused++
 			continue
 		}
-		p.Prefilled(at, q.Request, true)
+		p.RecordPrefill(at, q.Request, true)
 		got[placed.ID]++
 	}
 	return got, refused
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -47,15 +47,15 @@
 		}
 		engines := []directory.Target{engine("a", 1), engine("b", 1)}
 		first, _ := p.Place(now, engines, prompt)
-		p.Prefilled(now, "1", true)
+		p.RecordPrefill(now, "1", true)
 		prompt.Request = "2"
 		again, _ := p.Place(now, engines, prompt)
 		convey.So(again.ID, convey.ShouldEqual, first.ID)
-		p.Prefilled(now, "2", true)
+		p.RecordPrefill(now, "2", true)
 		// Cache the part on the other engine too, then restart the first one.
 		prompt.Request, prompt.Exclude = "3", []string{first.ID}
 		second, _ := p.Place(now, engines, prompt)
-		p.Prefilled(now, "3", true)
+		p.RecordPrefill(now, "3", true)
 		for i := range engines {
 			if engines[i].ID == first.ID {
 				engines[i].Born = 2
--- a/internal/gateway/placement/shortlist_test.go
+++ b/internal/gateway/placement/shortlist_test.go
@@ -54,7 +54,7 @@
 		Shared:     []placement.SharedPart{{Key: uint64(session%3 + 1), Tokens: 500}, {Key: uint64(session + 1000), Tokens: 4800}},
 		InputBytes: map[string]int64{fmt.Sprint("d", session%6): 2e6},
 	})
-	f.chooser.Prefilled(f.at, fmt.Sprint("r", f.n-fleetPrompts/5), true)
+	f.chooser.RecordPrefill(f.at, fmt.Sprint("r", f.n-fleetPrompts/5), true)
 	return placed
 }
 
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -101,7 +101,7 @@
 func (p *prompts) prefilledLocally(service, request string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chooser(service).Prefilled(p.now(), request, whole)
+	p.chooser(service).RecordPrefill(p.now(), request, whole)
 }
 
 // prune forgets what is known of engines that are gone.
