--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -32,7 +32,7 @@
 	coordinators *coordinators
 	metrics      *metrics
 	quarantine   *quarantine.Keeper
-	backpressure *backpressure.Keeper
+	backpressure *backpressure.Tracker
 }
 
 func (s *adminServer) handler() http.Handler {
--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -14,14 +14,14 @@
 // Gate determines which targets a component of a node may send to. It is safe for concurrent
 // use.
 type Gate struct {
-	keeper *Keeper
+	keeper *Tracker
 	share  shareFunc
 }
 
 // Requests returns the gate for requests that this node relays. Only the members ranked
 // first for a limited target may send to it. While the limit is unconfirmed, one more member
 // substitutes for them, the next one after each confirmTimeout.
-func (k *Keeper) Requests() Gate {
+func (k *Tracker) Requests() Gate {
 	return Gate{keeper: k, share: func(target directory.Life, l Limit, unconfirmedFor time.Duration) (float64, bool) {
 		before, members := k.cfg.Rank(limitRolePrefix + target.String())
 		if members == 0 {
@@ -35,7 +35,7 @@
 
 // Calls returns the gate for the calls that a coordinator makes. The coordinator is the only
 // sender for all targets of its service, as long as coordinates returns true.
-func (k *Keeper) Calls(coordinates func() bool) Gate {
+func (k *Tracker) Calls(coordinates func() bool) Gate {
 	return Gate{keeper: k, share: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
 		return l.ratePerSender(1), coordinates()
 	}}
--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -24,21 +24,21 @@
 	limitRolePrefix = "limit/"
 )
 
-// Config configures a Keeper.
+// Config configures a Tracker.
 type Config struct {
 	Now func() time.Time
 	Log zerolog.Logger
 	// Changed is called with the number of limited targets if other members should learn of
-	// a change at once. It must not call the Keeper.
+	// a change at once. It must not call the Tracker.
 	Changed func(limited int)
 	// Rank returns the number of eligible members that rank before this node for a role, and
 	// the number of eligible members. The latter is 0 if this node is not eligible.
 	Rank func(role string) (before, members int)
 }
 
-// Keeper keeps the reports of targets, exchanges them with other members as messages, and
+// Tracker tracks the reports of targets, exchanges them with other members as messages, and
 // logs changes. It is safe for concurrent use.
-type Keeper struct {
+type Tracker struct {
 	cfg Config
 
 	mu    sync.Mutex
@@ -48,21 +48,21 @@
 	entryCount atomic.Int64
 }
 
-// NewKeeper returns a Keeper without any reports.
-func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, table: newTable()} }
+// NewKeeper returns a Tracker without any reports.
+func NewKeeper(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: newTable()} }
 
 // updateAndUnlock updates entryCount and releases the lock. It must be used instead of
 // mu.Unlock after any change to the table.
-func (k *Keeper) updateAndUnlock() {
+func (k *Tracker) updateAndUnlock() {
 	k.entryCount.Store(int64(len(k.table.entries)))
 	k.mu.Unlock()
 }
 
 // empty reports whether the table has no entries.
-func (k *Keeper) empty() bool { return k.entryCount.Load() == 0 }
+func (k *Tracker) empty() bool { return k.entryCount.Load() == 0 }
 
 // Heard records the signal in a target's response to this node.
-func (k *Keeper) Heard(target directory.Life, s Signal) {
+func (k *Tracker) Heard(target directory.Life, s Signal) {
 	if k.empty() && s.isEmpty() {
 		return
 	}
@@ -85,7 +85,7 @@
 
 // Holds returns the targets that told this node that they are leaving or want a pause,
 // sorted by name.
-func (k *Keeper) Holds() []message.TargetHold {
+func (k *Tracker) Holds() []message.TargetHold {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
@@ -103,7 +103,7 @@
 // limitChanged logs the changed limit of a target and notifies Config.Changed. from is
 // the member that reported the change, or empty if the target did. The caller must hold the
 // lock.
-func (k *Keeper) limitChanged(target directory.Life, from string) {
+func (k *Tracker) limitChanged(target directory.Life, from string) {
 	event := k.cfg.Log.Info().Str("target", target.String()).Str("from", from)
 	if l := k.table.limit(target); l.Set {
 		event.Float64("perSecond", l.PerSecond).Msg("backpressure: target set a request limit")
@@ -114,7 +114,7 @@
 }
 
 // Limits returns the targets with a limit, sorted by name.
-func (k *Keeper) Limits() []message.TargetLimit {
+func (k *Tracker) Limits() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := k.limitMessages(k.table.limited())
@@ -123,7 +123,7 @@
 }
 
 // Recent returns the newest limits and ends of limits for gossip with other members.
-func (k *Keeper) Recent() []message.TargetLimit {
+func (k *Tracker) Recent() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.updateAndUnlock()
 	k.table.pruneEnded(k.cfg.Now())
@@ -132,7 +132,7 @@
 
 // limitMessages returns the limits of targets as messages. Times are sent as ages,
 // because the clocks of members may differ. The caller must hold the lock.
-func (k *Keeper) limitMessages(targets []directory.Life) []message.TargetLimit {
+func (k *Tracker) limitMessages(targets []directory.Life) []message.TargetLimit {
 	now := k.cfg.Now()
 	list := make([]message.TargetLimit, len(targets))
 	for i, target := range targets {
@@ -145,7 +145,7 @@
 }
 
 // Merge merges limits that another member reported.
-func (k *Keeper) Merge(member string, list []message.TargetLimit) {
+func (k *Tracker) Merge(member string, list []message.TargetLimit) {
 	k.mu.Lock()
 	defer k.updateAndUnlock()
 	now := k.cfg.Now()
@@ -165,7 +165,7 @@
 }
 
 // Prune removes target incarnations that no longer exist.
-func (k *Keeper) Prune(d *directory.Directory) {
+func (k *Tracker) Prune(d *directory.Directory) {
 	k.mu.Lock()
 	defer k.updateAndUnlock()
 	before := len(k.table.limited())
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -51,7 +51,7 @@
 type modelNode struct {
 	*membership.Roster
 	address    string
-	keeper     *backpressure.Keeper
+	keeper     *backpressure.Tracker
 	gate       backpressure.Gate
 	nextGossip time.Time
 	down       bool
@@ -68,8 +68,8 @@
 type response struct {
 	node *modelNode
 	at   time.Time
-	// keeper is the Keeper of the node incarnation that sent the request.
-	keeper *backpressure.Keeper
+	// keeper is the Tracker of the node incarnation that sent the request.
+	keeper *backpressure.Tracker
 	signal backpressure.Signal
 }
 
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -36,7 +36,7 @@
 	// quarantine hears of the items that targets ended with.
 	quarantine *quarantine.Keeper
 	// backpressure knows what targets ask for.
-	backpressure *backpressure.Keeper
+	backpressure *backpressure.Tracker
 	// permit is called just before the first byte of a call to a target is written;
 	// an error forbids it.
 	permit func(target string) error
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 	coordinators *coordinators
 	prompts      *prompts
 	quarantine   *quarantine.Keeper
-	backpressure *backpressure.Keeper
+	backpressure *backpressure.Tracker
 	relay        *relay.Server
 	callers      *callers
 	admin        *adminServer
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -42,7 +42,7 @@
 	// quarantine knows the requests that end their targets, which members report to each other.
 	quarantine *quarantine.Keeper
 	// backpressure knows what targets ask for, which members report to each other too.
-	backpressure *backpressure.Keeper
+	backpressure *backpressure.Tracker
 	log          zerolog.Logger
 	// checkBehind catches up with a member that is ahead of this node.
 	checkBehind func(context.Context)
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -26,7 +26,7 @@
 }
 
 // newBackpressure returns a keeper of limits that nobody hears of.
-func newBackpressure() *backpressure.Keeper {
+func newBackpressure() *backpressure.Tracker {
 	return backpressure.NewKeeper(backpressure.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, Rank: func(string) (before, members int) { return 0, 1 },
 	})
