--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -48,8 +48,8 @@
 	entryCount atomic.Int64
 }
 
-// NewKeeper returns a Tracker without any reports.
-func NewKeeper(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: newTable()} }
+// NewTracker returns a Tracker without any reports.
+func NewTracker(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: newTable()} }
 
 // updateAndUnlock updates entryCount and releases the lock. It must be used instead of
 // mu.Unlock after any change to the table.
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -114,7 +114,7 @@
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
 	roster := n.Roster
-	n.keeper = backpressure.NewKeeper(backpressure.Config{
+	n.keeper = backpressure.NewTracker(backpressure.Config{
 		Now: func() time.Time { return m.now }, Log: zerolog.Nop(), Changed: func(int) {},
 		Rank: func(role string) (before, members int) {
 			if !roster.Settled(m.now) {
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -27,7 +27,7 @@
 
 // newBackpressure returns a keeper of limits that nobody hears of.
 func newBackpressure() *backpressure.Tracker {
-	return backpressure.NewKeeper(backpressure.Config{
+	return backpressure.NewTracker(backpressure.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, Rank: func(string) (before, members int) { return 0, 1 },
 	})
 }
