--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -61,8 +61,8 @@
 // empty reports whether the table has no entries.
 func (k *Tracker) empty() bool { return k.entryCount.Load() == 0 }
 
-// Heard records the signal in a target's response to this node.
-func (k *Tracker) Heard(target directory.Life, s Signal) {
+// Observe records the signal in a target's response to this node.
+func (k *Tracker) Observe(target directory.Life, s Signal) {
 	if k.empty() && s.isEmpty() {
 		return
 	}
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -182,7 +182,7 @@
 		case a.node.frozen || a.at.After(m.now):
 			inTransit = append(inTransit, a)
 		default:
-			a.keeper.Heard(m.target.Life(), a.signal)
+			a.keeper.Observe(m.target.Life(), a.signal)
 			if a.signal.Limit.Set && a.signal.Limit == m.limit && a.node.limitReceived.IsZero() {
 				a.node.limitReceived = m.now
 			}
@@ -348,14 +348,14 @@
 	n := m.nodes[0]
 	named := backpressure.Signal{Sent: m.now, Limit: backpressure.Limit{Set: true, PerSecond: 1}}
 	m.now = m.now.Add(time.Second)
-	n.keeper.Heard(m.target.Life(), named)
+	n.keeper.Observe(m.target.Life(), named)
 	m.now = m.now.Add(time.Millisecond)
-	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: start})
+	n.keeper.Observe(m.target.Life(), backpressure.Signal{Sent: start})
 	if len(n.keeper.Limits()) != 1 {
 		t.Error("response to an earlier request ended the limit")
 	}
 	m.now = m.now.Add(time.Second)
-	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: m.now})
+	n.keeper.Observe(m.target.Life(), backpressure.Signal{Sent: m.now})
 	if len(n.keeper.Limits()) != 0 {
 		t.Error("response without a limit did not end the limit")
 	}
@@ -367,7 +367,7 @@
 	m := newModel(1, 1)
 	n := m.nodes[0]
 	listed, unlisted := directory.New(m.target), directory.New()
-	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: m.now, Leaving: true})
+	n.keeper.Observe(m.target.Life(), backpressure.Signal{Sent: m.now, Leaving: true})
 	n.keeper.Prune(unlisted)
 	m.now = m.now.Add(5 * time.Second)
 	n.keeper.Prune(listed)
@@ -388,7 +388,7 @@
 func TestReportsAge(t *testing.T) {
 	const exchangeTime, duration = 100 * time.Millisecond, 10 * time.Second
 	m := newModel(1, 4)
-	m.nodes[0].keeper.Heard(m.target.Life(), backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 1}})
+	m.nodes[0].keeper.Observe(m.target.Life(), backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 1}})
 	named := m.now
 	for i := 0; m.now.Sub(named) < duration; i++ {
 		from, to := m.nodes[i%4], m.nodes[(i+1+i/4%3)%4]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -111,7 +111,7 @@
 		Now: g.now, Log: g.log, Changed: g.quarantineChanged, GivesOut: g.members.givesOut,
 	})
 	g.backpressure = backpressure.NewTracker(backpressure.Config{Now: g.now, Log: g.log, Changed: g.limitsChanged, Rank: g.members.rank})
-	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Heard(t.Life(), s) })
+	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Observe(t.Life(), s) })
 	g.gossip = &gossip{
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, health: g.health, departure: g.departure,
 		quarantine: g.quarantine, backpressure: g.backpressure,
