--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -122,8 +122,8 @@
 	return list
 }
 
-// Recent returns the newest limits and ends of limits for gossip with other members.
-func (k *Tracker) Recent() []message.TargetLimit {
+// RecentLimits returns the newest limits and ends of limits for gossip with other members.
+func (k *Tracker) RecentLimits() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.updateAndUnlock()
 	k.table.pruneEnded(k.cfg.Now())
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -201,9 +201,9 @@
 			continue
 		}
 		partner.Merge(m.now, n.Gossip(m.now))
-		partner.keeper.Merge(n.address, n.keeper.Recent())
+		partner.keeper.Merge(n.address, n.keeper.RecentLimits())
 		n.Merge(m.now, partner.Gossip(m.now))
-		n.keeper.Merge(address, partner.keeper.Recent())
+		n.keeper.Merge(address, partner.keeper.RecentLimits())
 		n.Contacted(m.now, address)
 	}
 }
@@ -392,7 +392,7 @@
 	named := m.now
 	for i := 0; m.now.Sub(named) < duration; i++ {
 		from, to := m.nodes[i%4], m.nodes[(i+1+i/4%3)%4]
-		reported := from.keeper.Recent()
+		reported := from.keeper.RecentLimits()
 		m.now = m.now.Add(exchangeTime)
 		to.keeper.Merge(from.address, reported)
 	}
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -132,7 +132,7 @@
 // limits.
 func (g *gossip) withReports(out message.Gossip) message.Gossip {
 	out.Suspects, out.HeldSum = g.quarantine.Recent()
-	out.Limits = g.backpressure.Recent()
+	out.Limits = g.backpressure.RecentLimits()
 	return out
 }
 
