--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -18,10 +18,10 @@
 	share  shareFunc
 }
 
-// Requests returns the gate for requests that this node relays. Only the members ranked
+// RequestGate returns the gate for requests that this node relays. Only the members ranked
 // first for a limited target may send to it. While the limit is unconfirmed, one more member
 // substitutes for them, the next one after each confirmTimeout.
-func (k *Tracker) Requests() Gate {
+func (k *Tracker) RequestGate() Gate {
 	return Gate{keeper: k, share: func(target directory.Life, l Limit, unconfirmedFor time.Duration) (float64, bool) {
 		before, members := k.cfg.Rank(limitRolePrefix + target.String())
 		if members == 0 {
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -123,7 +123,7 @@
 			return placement.Rank(role, roster.Eligible(m.now), n.address)
 		},
 	})
-	n.gate = n.keeper.Requests()
+	n.gate = n.keeper.RequestGate()
 	n.nextGossip = m.now.Add(time.Duration(m.rng.Int64N(int64(modelGossipInterval))))
 	n.down, n.limitReceived = false, time.Time{}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -135,7 +135,7 @@
 	g.relay = relay.New(relay.Config{
 		DataCentre: g.cfg.DataCentre, Node: g.PeerAddress(), View: g.views.load, AwaitCatalog: g.awaitFirstConfig, Upstream: g.ports.Targets, Batcher: batches, Placer: g.prompts,
 		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, Members: g.members.size,
-		WarmUp: margin, GivesOut: g.members.givesOutCold, Quarantine: g.quarantine, Gate: g.backpressure.Requests(),
+		WarmUp: margin, GivesOut: g.members.givesOutCold, Quarantine: g.quarantine, Gate: g.backpressure.RequestGate(),
 	})
 	g.wireServers()
 }
