--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -33,9 +33,9 @@
 	}}
 }
 
-// Calls returns the gate for the calls that a coordinator makes. The coordinator is the only
+// CallGate returns the gate for the calls that a coordinator makes. The coordinator is the only
 // sender for all targets of its service, as long as coordinates returns true.
-func (k *Tracker) Calls(coordinates func() bool) Gate {
+func (k *Tracker) CallGate(coordinates func() bool) Gate {
 	return Gate{keeper: k, share: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
 		return l.ratePerSender(1), coordinates()
 	}}
