--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -14,16 +14,16 @@
 // Gate determines which targets a component of a node may send to. It is safe for concurrent
 // use.
 type Gate struct {
-	keeper *Tracker
-	share  shareFunc
+	tracker *Tracker
+	share   shareFunc
 }
 
 // RequestGate returns the gate for requests that this node relays. Only the members ranked
 // first for a limited target may send to it. While the limit is unconfirmed, one more member
 // substitutes for them, the next one after each confirmTimeout.
-func (k *Tracker) RequestGate() Gate {
-	return Gate{keeper: k, share: func(target directory.Life, l Limit, unconfirmedFor time.Duration) (float64, bool) {
-		before, members := k.cfg.Rank(limitRolePrefix + target.String())
+func (t *Tracker) RequestGate() Gate {
+	return Gate{tracker: t, share: func(target directory.Life, l Limit, unconfirmedFor time.Duration) (float64, bool) {
+		before, members := t.cfg.Rank(limitRolePrefix + target.String())
 		if members == 0 {
 			return 0, false
 		}
@@ -35,21 +35,21 @@
 
 // CallGate returns the gate for the calls that a coordinator makes. The coordinator is the only
 // sender for all targets of its service, as long as coordinates returns true.
-func (k *Tracker) CallGate(coordinates func() bool) Gate {
-	return Gate{keeper: k, share: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
+func (t *Tracker) CallGate(coordinates func() bool) Gate {
+	return Gate{tracker: t, share: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
 		return l.ratePerSender(1), coordinates()
 	}}
 }
 
 // Blocked returns the IDs of the targets in d that may not get a request now.
 func (g Gate) Blocked(d *directory.Directory) []string {
-	if g.keeper.empty() {
+	if g.tracker.empty() {
 		return nil
 	}
-	g.keeper.mu.Lock()
-	defer g.keeper.mu.Unlock()
+	g.tracker.mu.Lock()
+	defer g.tracker.mu.Unlock()
 	var list []string
-	for _, target := range g.keeper.table.all() {
+	for _, target := range g.tracker.table.all() {
 		if d.Lives(target) && !g.allows(target) {
 			list = append(list, target.ID)
 		}
@@ -59,67 +59,67 @@
 
 // Allows reports whether a target may get a request now.
 func (g Gate) Allows(target directory.Life) bool {
-	if g.keeper.empty() {
+	if g.tracker.empty() {
 		return true
 	}
-	g.keeper.mu.Lock()
-	defer g.keeper.mu.Unlock()
+	g.tracker.mu.Lock()
+	defer g.tracker.mu.Unlock()
 	return g.allows(target)
 }
 
 // Take reports whether a target may get a request now. If so, it counts the request.
 func (g Gate) Take(target directory.Life) bool {
-	if g.keeper.empty() {
+	if g.tracker.empty() {
 		return true
 	}
-	g.keeper.mu.Lock()
-	defer g.keeper.mu.Unlock()
+	g.tracker.mu.Lock()
+	defer g.tracker.mu.Unlock()
 	if !g.allows(target) {
 		return false
 	}
-	g.keeper.table.takeToken(g.keeper.cfg.Now(), target)
+	g.tracker.table.takeToken(g.tracker.cfg.Now(), target)
 	return true
 }
 
 // HeldBack reports whether a target may get no requests from this node at all, including
 // requests that Take has already counted.
 func (g Gate) HeldBack(target directory.Life) bool {
-	if g.keeper.empty() {
+	if g.tracker.empty() {
 		return false
 	}
-	g.keeper.mu.Lock()
-	defer g.keeper.mu.Unlock()
-	return g.keeper.table.heldBack(g.keeper.cfg.Now(), target)
+	g.tracker.mu.Lock()
+	defer g.tracker.mu.Unlock()
+	return g.tracker.table.heldBack(g.tracker.cfg.Now(), target)
 }
 
 // PauseLeft returns the remaining pause that a target has asked this node for. It is 0 for a
 // target that is leaving or has not asked for a pause.
 func (g Gate) PauseLeft(target directory.Life) time.Duration {
-	if g.keeper.empty() {
+	if g.tracker.empty() {
 		return 0
 	}
-	g.keeper.mu.Lock()
-	defer g.keeper.mu.Unlock()
-	return g.keeper.table.pauseLeft(g.keeper.cfg.Now(), target)
+	g.tracker.mu.Lock()
+	defer g.tracker.mu.Unlock()
+	return g.tracker.table.pauseLeft(g.tracker.cfg.Now(), target)
 }
 
 // Bound returns the maximum number of requests a second that this node may send to a target
 // that is limited or held back, and false for any other target.
 func (g Gate) Bound(target directory.Life) (perSecond float64, limited bool) {
-	if g.keeper.empty() {
+	if g.tracker.empty() {
 		return 0, false
 	}
-	g.keeper.mu.Lock()
-	defer g.keeper.mu.Unlock()
-	if g.keeper.table.heldBack(g.keeper.cfg.Now(), target) {
+	g.tracker.mu.Lock()
+	defer g.tracker.mu.Unlock()
+	if g.tracker.table.heldBack(g.tracker.cfg.Now(), target) {
 		return 0, true
 	}
-	l := g.keeper.table.limit(target)
+	l := g.tracker.table.limit(target)
 	perSecond, _ = g.share(target, l, 0)
 	return perSecond, l.Set
 }
 
 // allows is like Allows. The caller must hold the lock.
 func (g Gate) allows(target directory.Life) bool {
-	return g.keeper.table.allows(g.keeper.cfg.Now(), target, g.share)
+	return g.tracker.table.allows(g.tracker.cfg.Now(), target, g.share)
 }
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -51,7 +51,7 @@
 type modelNode struct {
 	*membership.Roster
 	address    string
-	keeper     *backpressure.Tracker
+	tracker    *backpressure.Tracker
 	gate       backpressure.Gate
 	nextGossip time.Time
 	down       bool
@@ -68,9 +68,9 @@
 type response struct {
 	node *modelNode
 	at   time.Time
-	// keeper is the Tracker of the node incarnation that sent the request.
-	keeper *backpressure.Tracker
-	signal backpressure.Signal
+	// tracker is the Tracker of the node incarnation that sent the request.
+	tracker *backpressure.Tracker
+	signal  backpressure.Signal
 }
 
 // model simulates a cluster whose nodes all send to the same target.
@@ -114,7 +114,7 @@
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
 	roster := n.Roster
-	n.keeper = backpressure.NewTracker(backpressure.Config{
+	n.tracker = backpressure.NewTracker(backpressure.Config{
 		Now: func() time.Time { return m.now }, Log: zerolog.Nop(), Changed: func(int) {},
 		Rank: func(role string) (before, members int) {
 			if !roster.Settled(m.now) {
@@ -123,7 +123,7 @@
 			return placement.Rank(role, roster.Eligible(m.now), n.address)
 		},
 	})
-	n.gate = n.keeper.RequestGate()
+	n.gate = n.tracker.RequestGate()
 	n.nextGossip = m.now.Add(time.Duration(m.rng.Int64N(int64(modelGossipInterval))))
 	n.down, n.limitReceived = false, time.Time{}
 }
@@ -178,11 +178,11 @@
 	var inTransit []response
 	for _, a := range m.responses {
 		switch {
-		case a.node.down || a.node.keeper != a.keeper:
+		case a.node.down || a.node.tracker != a.tracker:
 		case a.node.frozen || a.at.After(m.now):
 			inTransit = append(inTransit, a)
 		default:
-			a.keeper.Observe(m.target.Life(), a.signal)
+			a.tracker.Observe(m.target.Life(), a.signal)
 			if a.signal.Limit.Set && a.signal.Limit == m.limit && a.node.limitReceived.IsZero() {
 				a.node.limitReceived = m.now
 			}
@@ -201,9 +201,9 @@
 			continue
 		}
 		partner.Merge(m.now, n.Gossip(m.now))
-		partner.keeper.Merge(n.address, n.keeper.RecentLimits())
+		partner.tracker.Merge(n.address, n.tracker.RecentLimits())
 		n.Merge(m.now, partner.Gossip(m.now))
-		n.keeper.Merge(address, partner.keeper.RecentLimits())
+		n.tracker.Merge(address, partner.tracker.RecentLimits())
 		n.Contacted(m.now, address)
 	}
 }
@@ -220,7 +220,7 @@
 	if m.limit.Set && n.partition == 0 && bounded {
 		m.boundedArrivals = append(m.boundedArrivals, at)
 	}
-	m.responses = append(m.responses, response{node: n, at: at.Add(delay()), keeper: n.keeper, signal: backpressure.Signal{Sent: m.now, Limit: m.limit}})
+	m.responses = append(m.responses, response{node: n, at: at.Add(delay()), tracker: n.tracker, signal: backpressure.Signal{Sent: m.now, Limit: m.limit}})
 }
 
 // checkBound verifies that the target did not get more requests than the bound in any window.
@@ -348,15 +348,15 @@
 	n := m.nodes[0]
 	named := backpressure.Signal{Sent: m.now, Limit: backpressure.Limit{Set: true, PerSecond: 1}}
 	m.now = m.now.Add(time.Second)
-	n.keeper.Observe(m.target.Life(), named)
+	n.tracker.Observe(m.target.Life(), named)
 	m.now = m.now.Add(time.Millisecond)
-	n.keeper.Observe(m.target.Life(), backpressure.Signal{Sent: start})
-	if len(n.keeper.Limits()) != 1 {
+	n.tracker.Observe(m.target.Life(), backpressure.Signal{Sent: start})
+	if len(n.tracker.Limits()) != 1 {
 		t.Error("response to an earlier request ended the limit")
 	}
 	m.now = m.now.Add(time.Second)
-	n.keeper.Observe(m.target.Life(), backpressure.Signal{Sent: m.now})
-	if len(n.keeper.Limits()) != 0 {
+	n.tracker.Observe(m.target.Life(), backpressure.Signal{Sent: m.now})
+	if len(n.tracker.Limits()) != 0 {
 		t.Error("response without a limit did not end the limit")
 	}
 }
@@ -367,17 +367,17 @@
 	m := newModel(1, 1)
 	n := m.nodes[0]
 	listed, unlisted := directory.New(m.target), directory.New()
-	n.keeper.Observe(m.target.Life(), backpressure.Signal{Sent: m.now, Leaving: true})
-	n.keeper.Prune(unlisted)
+	n.tracker.Observe(m.target.Life(), backpressure.Signal{Sent: m.now, Leaving: true})
+	n.tracker.Prune(unlisted)
 	m.now = m.now.Add(5 * time.Second)
-	n.keeper.Prune(listed)
+	n.tracker.Prune(listed)
 	if n.gate.Take(m.target.Life()) {
 		t.Error("leaving target got a request after it was listed again")
 	}
-	n.keeper.Prune(unlisted)
+	n.tracker.Prune(unlisted)
 	m.now = m.now.Add(2 * time.Minute)
-	n.keeper.Prune(unlisted)
-	if len(n.keeper.Holds()) != 0 {
+	n.tracker.Prune(unlisted)
+	if len(n.tracker.Holds()) != 0 {
 		t.Error("state of a target that is gone was not removed")
 	}
 }
@@ -388,16 +388,16 @@
 func TestReportsAge(t *testing.T) {
 	const exchangeTime, duration = 100 * time.Millisecond, 10 * time.Second
 	m := newModel(1, 4)
-	m.nodes[0].keeper.Observe(m.target.Life(), backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 1}})
+	m.nodes[0].tracker.Observe(m.target.Life(), backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 1}})
 	named := m.now
 	for i := 0; m.now.Sub(named) < duration; i++ {
 		from, to := m.nodes[i%4], m.nodes[(i+1+i/4%3)%4]
-		reported := from.keeper.RecentLimits()
+		reported := from.tracker.RecentLimits()
 		m.now = m.now.Add(exchangeTime)
-		to.keeper.Merge(from.address, reported)
+		to.tracker.Merge(from.address, reported)
 	}
 	for _, n := range m.nodes {
-		age := time.Duration(n.keeper.Limits()[0].AgoMs) * time.Millisecond
+		age := time.Duration(n.tracker.Limits()[0].AgoMs) * time.Millisecond
 		if age < duration-time.Second {
 			t.Errorf("report from %v ago has an age of %v", duration, age)
 		}
--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/tracker.go
@@ -52,46 +52,46 @@
 func NewTracker(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: newTable()} }
 
 // updateAndUnlock updates entryCount and releases the lock. It must be used instead of
-// mu.Unlock after any change to the table.
-func (k *Tracker) updateAndUnlock() {
-	k.entryCount.Store(int64(len(k.table.entries)))
-	k.mu.Unlock()
+// mu.Unlock after entries are added or removed.
+func (t *Tracker) updateAndUnlock() {
+	t.entryCount.Store(int64(len(t.table.entries)))
+	t.mu.Unlock()
 }
 
 // empty reports whether the table has no entries.
-func (k *Tracker) empty() bool { return k.entryCount.Load() == 0 }
+func (t *Tracker) empty() bool { return t.entryCount.Load() == 0 }
 
 // Observe records the signal in a target's response to this node.
-func (k *Tracker) Observe(target directory.Life, s Signal) {
-	if k.empty() && s.isEmpty() {
+func (t *Tracker) Observe(target directory.Life, s Signal) {
+	if t.empty() && s.isEmpty() {
 		return
 	}
-	k.mu.Lock()
-	defer k.updateAndUnlock()
-	now := k.cfg.Now()
-	if s.Leaving && k.table.markLeaving(now, target) {
-		k.cfg.Log.Info().Str("target", target.String()).Msg("backpressure: target is leaving")
+	t.mu.Lock()
+	defer t.updateAndUnlock()
+	now := t.cfg.Now()
+	if s.Leaving && t.table.markLeaving(now, target) {
+		t.cfg.Log.Info().Str("target", target.String()).Msg("backpressure: target is leaving")
 	}
-	if s.Pause > 0 && k.table.pause(now, target, s.Pause) {
-		k.cfg.Log.Info().Str("target", target.String()).Dur("pause", s.Pause).Msg("backpressure: target requested a pause")
+	if s.Pause > 0 && t.table.pause(now, target, s.Pause) {
+		t.cfg.Log.Info().Str("target", target.String()).Dur("pause", s.Pause).Msg("backpressure: target requested a pause")
 	}
-	if !s.Limit.Set && !k.table.endsLimit(target, s.Sent) {
+	if !s.Limit.Set && !t.table.endsLimit(target, s.Sent) {
 		return
 	}
-	if k.table.merge(target, report{Limit: s.Limit, at: now}) {
-		k.limitChanged(target, "")
+	if t.table.merge(target, report{Limit: s.Limit, at: now}) {
+		t.limitChanged(target, "")
 	}
 }
 
 // Holds returns the targets that told this node that they are leaving or want a pause,
 // sorted by name.
-func (k *Tracker) Holds() []message.TargetHold {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.cfg.Now()
+func (t *Tracker) Holds() []message.TargetHold {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.cfg.Now()
 	list := []message.TargetHold{}
-	for _, target := range k.table.held(now) {
-		e := k.table.entries[target]
+	for _, target := range t.table.held(now) {
+		e := t.table.entries[target]
 		list = append(list, message.TargetHold{
 			Target: target.String(), Leaving: e.leaving, PauseMs: max(int(e.pausedUntil.Sub(now).Milliseconds()), 0),
 		})
@@ -103,40 +103,40 @@
 // limitChanged logs the changed limit of a target and notifies Config.Changed. from is
 // the member that reported the change, or empty if the target did. The caller must hold the
 // lock.
-func (k *Tracker) limitChanged(target directory.Life, from string) {
-	event := k.cfg.Log.Info().Str("target", target.String()).Str("from", from)
-	if l := k.table.limit(target); l.Set {
+func (t *Tracker) limitChanged(target directory.Life, from string) {
+	event := t.cfg.Log.Info().Str("target", target.String()).Str("from", from)
+	if l := t.table.limit(target); l.Set {
 		event.Float64("perSecond", l.PerSecond).Msg("backpressure: target set a request limit")
 	} else {
 		event.Msg("backpressure: target removed its request limit")
 	}
-	k.cfg.Changed(len(k.table.limited()))
+	t.cfg.Changed(len(t.table.limited()))
 }
 
 // Limits returns the targets with a limit, sorted by name.
-func (k *Tracker) Limits() []message.TargetLimit {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := k.limitMessages(k.table.limited())
+func (t *Tracker) Limits() []message.TargetLimit {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	list := t.limitMessages(t.table.limited())
 	slices.SortFunc(list, func(a, b message.TargetLimit) int { return strings.Compare(a.Target, b.Target) })
 	return list
 }
 
 // RecentLimits returns the newest limits and ends of limits for gossip with other members.
-func (k *Tracker) RecentLimits() []message.TargetLimit {
-	k.mu.Lock()
-	defer k.updateAndUnlock()
-	k.table.pruneEnded(k.cfg.Now())
-	return k.limitMessages(k.table.newest(maxReportsPerExchange))
+func (t *Tracker) RecentLimits() []message.TargetLimit {
+	t.mu.Lock()
+	defer t.updateAndUnlock()
+	t.table.pruneEnded(t.cfg.Now())
+	return t.limitMessages(t.table.newest(maxReportsPerExchange))
 }
 
 // limitMessages returns the limits of targets as messages. Times are sent as ages,
 // because the clocks of members may differ. The caller must hold the lock.
-func (k *Tracker) limitMessages(targets []directory.Life) []message.TargetLimit {
-	now := k.cfg.Now()
+func (t *Tracker) limitMessages(targets []directory.Life) []message.TargetLimit {
+	now := t.cfg.Now()
 	list := make([]message.TargetLimit, len(targets))
 	for i, target := range targets {
-		e := k.table.entries[target]
+		e := t.table.entries[target]
 		list[i] = message.TargetLimit{
 			Target: target.String(), PerSecond: e.PerSecond, Ended: !e.Set, AgoMs: int(now.Sub(e.at).Milliseconds()),
 		}
@@ -145,10 +145,10 @@
 }
 
 // Merge merges limits that another member reported.
-func (k *Tracker) Merge(member string, list []message.TargetLimit) {
-	k.mu.Lock()
-	defer k.updateAndUnlock()
-	now := k.cfg.Now()
+func (t *Tracker) Merge(member string, list []message.TargetLimit) {
+	t.mu.Lock()
+	defer t.updateAndUnlock()
+	now := t.cfg.Now()
 	for _, m := range list {
 		r := report{at: now.Add(-time.Duration(max(m.AgoMs, 0)) * time.Millisecond)}
 		if !m.Ended {
@@ -158,19 +158,19 @@
 			continue
 		}
 		target := directory.ParseLife(m.Target)
-		if !k.table.isDuplicate(target, r) && k.table.merge(target, r) {
-			k.limitChanged(target, member)
+		if !t.table.isDuplicate(target, r) && t.table.merge(target, r) {
+			t.limitChanged(target, member)
 		}
 	}
 }
 
 // Prune removes target incarnations that no longer exist.
-func (k *Tracker) Prune(d *directory.Directory) {
-	k.mu.Lock()
-	defer k.updateAndUnlock()
-	before := len(k.table.limited())
-	k.table.pruneUnlisted(k.cfg.Now(), d)
-	if after := len(k.table.limited()); after != before {
-		k.cfg.Changed(after)
+func (t *Tracker) Prune(d *directory.Directory) {
+	t.mu.Lock()
+	defer t.updateAndUnlock()
+	before := len(t.table.limited())
+	t.table.pruneUnlisted(t.cfg.Now(), d)
+	if after := len(t.table.limited()); after != before {
+		t.cfg.Changed(after)
 	}
 }
--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -116,7 +116,7 @@
 		return Placement{}, false
 	}
 	engine := engines[chosen.index]
-	p.limits.Take(now, engine)
+	p.limiter.Take(now, engine)
 	placed := Placement{Target: engine}
 	cached := s.cached[chosen.index]
 	if source, ok := p.copySource(now, engines, s.cached, chosen.index, q); ok {
@@ -228,7 +228,7 @@
 // limits for cold engines.
 func (p *EngineChooser) filter(now time.Time, q Prompt) filter {
 	mayAssign := sync.OnceValue(q.MayAssign)
-	return func(e directory.Target) bool { return p.limits.Allows(now, e, mayAssign) }
+	return func(e directory.Target) bool { return p.limiter.Allows(now, e, mayAssign) }
 }
 
 // engineLoad is the state of an engine when a prompt arrives, in tokens.
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -43,8 +43,8 @@
 	// copyMsPerToken is the time in which an engine copies a cached token from another engine, in
 	// milliseconds. 0 means unknown.
 	copyMsPerToken float64
-	// limits limits the request rate of cold engines.
-	limits *warmup.Limiter
+	// limiter limits the request rate of cold engines.
+	limiter *warmup.Limiter
 }
 
 // pendingPrompt is a prompt whose prefill has not completed.
@@ -64,7 +64,7 @@
 func NewEngineChooser() *EngineChooser {
 	return &EngineChooser{
 		cache: newPrefixCache(), pending: map[string]pendingPrompt{}, prefillMsPerToken: initialPrefillMsPerToken,
-		limits: warmup.NewLimiter(),
+		limiter: warmup.NewLimiter(),
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // SetWarmUp sets the maximum request rate of a cold engine, summed over all nodes.
-func (p *EngineChooser) SetWarmUp(b warmup.Bound) { p.limits.SetBound(b) }
+func (p *EngineChooser) SetWarmUp(b warmup.Bound) { p.limiter.SetBound(b) }
 
 // RecordPrefill records that a prompt has its first event or that its request has ended. A
 // prompt updates the prefill time per token only if the engine had no other backlog and
@@ -97,7 +97,7 @@
 // engines that are warm or not in the directory.
 func (p *EngineChooser) Prune(now time.Time, d *directory.Directory) {
 	p.cache.prune(d)
-	p.limits.Prune(now, d)
+	p.limiter.Prune(now, d)
 }
 
 // add records a prompt as pending on an engine that has to prefill the given number of
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -87,7 +87,7 @@
 // TestColdTargetsWithoutCoordinator verifies that a node that selects targets on its own
 // only sends to a cold target if it assigns the requests of that target.
 func TestColdTargetsWithoutCoordinator(t *testing.T) {
-	limits := func() *warmup.Limiter {
+	newLimiter := func() *warmup.Limiter {
 		l := warmup.NewLimiter()
 		l.SetBound(coldBound)
 		return l
@@ -107,7 +107,7 @@
 		convey.Convey("If a node selects "+name+" on its own", t, func() {
 			table := placement.NewTargetTable()
 			convey.Convey("it skips cold targets whose requests another member assigns", func() {
-				q := placement.Query{Key: 7, Limiter: limits(), MayAssign: mayAssign(false)}
+				q := placement.Query{Key: 7, Limiter: newLimiter(), MayAssign: mayAssign(false)}
 				for range 20 {
 					got, found := choose(table, list, q)
 					convey.So(found, convey.ShouldBeTrue)
@@ -117,7 +117,7 @@
 				convey.So(found, convey.ShouldBeFalse)
 			})
 			convey.Convey("it limits cold targets whose requests it assigns to its share", func() {
-				q := placement.Query{Key: 7, Limiter: limits(), MayAssign: mayAssign(true)}
+				q := placement.Query{Key: 7, Limiter: newLimiter(), MayAssign: mayAssign(true)}
 				n := 0
 				for range 20 {
 					if _, found := choose(table, allCold[:1], q); found {
--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -39,7 +39,7 @@
 type modelNode struct {
 	*membership.Roster
 	address    string
-	limits     *warmup.Limiter
+	limiter    *warmup.Limiter
 	nextGossip time.Time
 	down       bool
 	// frozen nodes neither act nor respond. partition is the network partition of the node. It
@@ -89,8 +89,8 @@
 	last := len(m.nodes) - 1
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
-	n.limits = warmup.NewLimiter()
-	n.limits.SetBound(margin.Bound(service))
+	n.limiter = warmup.NewLimiter()
+	n.limiter.SetBound(margin.Bound(service))
 	n.nextGossip = m.now.Add(time.Duration(m.rng.Int64N(int64(modelGossipInterval))))
 	n.down = false
 }
@@ -142,10 +142,10 @@
 		return
 	}
 	delay := time.Duration(m.rng.Int64N(int64(2 * modelPlaceTimeout)))
-	if !placer.limits.Allows(m.now, m.target, func() bool { return placer.Settled(m.now) }) {
+	if !placer.limiter.Allows(m.now, m.target, func() bool { return placer.Settled(m.now) }) {
 		return
 	}
-	placer.limits.Take(m.now, m.target)
+	placer.limiter.Take(m.now, m.target)
 	if delay > modelPlaceTimeout {
 		return
 	}
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -74,9 +74,9 @@
 // target.
 func (b Bound) Share() float64 { return (b.PerSecond*b.Overshoot + b.Tolerance) / maxAssigners }
 
-// limiter returns a token bucket that allows at most Share requests in any second, or nil
+// newBucket returns a token bucket that allows at most Share requests in any second, or nil
 // if Share is less than one.
-func (b Bound) limiter() *rate.Limiter {
+func (b Bound) newBucket() *rate.Limiter {
 	share := b.Share()
 	if share < 1 {
 		return nil
@@ -145,7 +145,7 @@
 func (l *Limiter) bucket(life directory.Life) *rate.Limiter {
 	bucket, known := l.buckets[life]
 	if !known {
-		bucket = l.bound.limiter()
+		bucket = l.bound.newBucket()
 		l.buckets[life] = bucket
 	}
 	return bucket
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -46,7 +46,7 @@
 	return n
 }
 
-func TestLimits(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	bound := margin.Bound(service)
 	convey.Convey("Six members together stay within the limit in a second", t, func() {
 		convey.So(6*sendAllowed(newLimiter(bound), cold("a"), time.Second), convey.ShouldBeBetweenOrEqual, 12, 20)
