--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -79,15 +79,15 @@
 
 // RecordPrefill records that a prompt has its first event or that its request has ended. A
 // prompt updates the prefill time per token only if the engine had no other backlog and
-// prefilled the prompt completely, which whole reports. Unknown requests are ignored: they
+// prefilled the prompt completely, which complete reports. Unknown requests are ignored: they
 // were placed by another member or have expired.
-func (p *EngineChooser) RecordPrefill(now time.Time, request string, whole bool) {
+func (p *EngineChooser) RecordPrefill(now time.Time, request string, complete bool) {
 	r, known := p.pending[request]
 	if !known {
 		return
 	}
 	delete(p.pending, request)
-	if whole && r.engineIdle && r.tokens >= minSampleTokens {
+	if complete && r.engineIdle && r.tokens >= minSampleTokens {
 		elapsedMs := float64(now.Sub(r.placed).Milliseconds()) - firstEventDelayMs
 		p.prefillMsPerToken += prefillWeight * (max(elapsedMs, 0)/float64(r.tokens) - p.prefillMsPerToken)
 	}
