--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -227,8 +227,8 @@
 // filter returns a function that reports whether an engine may get another prompt under the
 // limits for cold engines.
 func (p *EngineChooser) filter(now time.Time, q Prompt) filter {
-	givesOut := sync.OnceValue(q.MayAssign)
-	return func(e directory.Target) bool { return p.limiter.Allows(now, e, givesOut) }
+	mayAssign := sync.OnceValue(q.MayAssign)
+	return func(e directory.Target) bool { return p.limiter.Allows(now, e, mayAssign) }
 }
 
 // engineLoad is the state of an engine when a prompt arrives, in tokens.
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -107,7 +107,7 @@
 	InputBytes map[string]int64
 	// Subset limits the targets of plain calls.
 	Subset Subset
-	// Limiter limits the request rate of cold targets. GivesOut reports whether this node
+	// Limiter limits the request rate of cold targets. MayAssign reports whether this node
 	// assigns the requests of a cold target.
 	Limiter   *warmup.Limiter
 	MayAssign func(target string) bool
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -43,7 +43,7 @@
 	// copyMsPerToken is the time in which an engine copies a cached token from another engine, in
 	// milliseconds. 0 means unknown.
 	copyMsPerToken float64
-	// limiter limiter the request rate of cold engines.
+	// limiter limits the request rate of cold engines.
 	limiter *warmup.Limiter
 }
 
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -86,13 +86,13 @@
 }
 
 // Limiter holds the token buckets of one member for the cold targets of one service. Create
-// it with New. A nil *Limiter imposes no limit. It is not safe for concurrent use.
+// it with NewLimiter. A nil *Limiter imposes no limit. It is not safe for concurrent use.
 type Limiter struct {
 	bound   Bound
 	buckets map[directory.Incarnation]*rate.Limiter
 }
 
-// NewLimiter returns Limits that impose no limit until SetBound is called.
+// NewLimiter returns a Limiter that imposes no limit until SetBound is called.
 func NewLimiter() *Limiter { return &Limiter{buckets: make(map[directory.Incarnation]*rate.Limiter)} }
 
 // SetBound sets the limit. If it differs from the previous one, all buckets are replaced by
