--- a/internal/gateway/backpressure/table.go
+++ b/internal/gateway/backpressure/table.go
@@ -60,7 +60,9 @@
 
 // table holds an entry for each target incarnation that is leaving, paused or limited, or
 // was limited recently. It is not safe for concurrent use.
-type table struct{ entries map[directory.Incarnation]*entry }
+type table struct {
+	entries map[directory.Incarnation]*entry
+}
 
 func newTable() *table { return &table{entries: map[directory.Incarnation]*entry{}} }
 
--- a/internal/gateway/relay/fakes_test.go
+++ b/internal/gateway/relay/fakes_test.go
@@ -229,7 +229,7 @@
 
 // Blocked, Take, HeldBack and PauseLeft let all targets get all requests, except for the
 // targets in heldBack.
-func (f *fakePorts) Blocked(*directory.Directory) []string  { return nil }
+func (f *fakePorts) Blocked(*directory.Directory) []string         { return nil }
 func (f *fakePorts) Take(directory.Incarnation) bool               { return true }
 func (f *fakePorts) HeldBack(target directory.Incarnation) bool    { return f.heldBack[target.ID] }
 func (f *fakePorts) PauseLeft(directory.Incarnation) time.Duration { return 0 }
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -113,7 +113,7 @@
 	answered  int
 }
 
-func (q *fakeQuarantine) Empty() bool                                   { return false }
+func (q *fakeQuarantine) Empty() bool                                  { return false }
 func (q *fakeQuarantine) Admit(quarantine.Digest) quarantine.Admission { return q.admission }
 
 func (q *fakeQuarantine) Suspected(quarantine.Digest) bool { return q.suspected }
@@ -122,7 +122,7 @@
 	return quarantine.Hold{}, q.held
 }
 func (q *fakeQuarantine) RecordCrash(quarantine.Digest, quarantine.Crash) {}
-func (q *fakeQuarantine) RecordAnswer(quarantine.Digest)                      { q.answered++ }
+func (q *fakeQuarantine) RecordAnswer(quarantine.Digest)                  { q.answered++ }
 
 // TestTrial checks that a trial is sent once, and that a request that is quarantined after
 // its admission is not sent.
--- a/internal/gateway/view/tombstones.go
+++ b/internal/gateway/view/tombstones.go
@@ -18,7 +18,9 @@
 
 // tombstones records recently removed targets by life. It is immutable; the zero value is
 // empty.
-type tombstones struct{ byLife map[directory.Incarnation]tombstone }
+type tombstones struct {
+	byLife map[directory.Incarnation]tombstone
+}
 
 // tombstone is one removed target.
 type tombstone struct {
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -68,7 +68,9 @@
 }
 
 // Bound returns the limit for cold targets of a service with the given warm-up settings.
-func (m Margin) Bound(w catalog.WarmUp) Bound { return Bound{PerSecond: w.RequestsPerSecond, Margin: m} }
+func (m Margin) Bound(w catalog.WarmUp) Bound {
+	return Bound{PerSecond: w.RequestsPerSecond, Margin: m}
+}
 
 // Share returns the maximum number of requests a second that one member may assign to a
 // target.
