--- a/internal/gateway/membership/eligibility.go
+++ b/internal/gateway/membership/eligibility.go
@@ -14,11 +14,11 @@
 	// capacities differ by a factor of ten (docs/decisions/0012).
 	eligibleShare = 0.5
 	// maxEligible limits the eligible members. Each exchange reports all of them (see
-	// Gossip), so that hundreds of members agree on them within two or three rounds.
-	// Reported at random, 300 members agree at no moment within ten seconds without
-	// faults (TestManyMembersAgree). The limit leaves two fifths of an exchange for the
-	// other members, and suffices to give each of a dozen coordinated services its own
-	// member.
+	// Gossip), so that hundreds of members agree on them within two or three rounds. If the
+	// reported members were all selected at random, 300 members would agree at no moment of
+	// ten seconds without faults (TestManyMembersAgree). The limit leaves two fifths of an
+	// exchange for the other members, and suffices to give each of a dozen coordinated
+	// services its own member.
 	maxEligible = 24
 	// eligibleCacheTTL is how long the list of eligible members is cached while the roster
 	// does not change. Every group of items and every prompt needs the list, which takes
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -17,7 +17,7 @@
 // silent member until they no longer consider it live, so dropTimeout must be many times
 // liveTimeout: such a report would make a member that is dropped earlier live again.
 const (
-	// liveTimeout is how long a member is considered live after its last sign of life.
+	// liveTimeout is how long a member is considered live after it was last seen.
 	// Doubling it doubles the time to detect a failed coordinator; halving it would take
 	// members for failed that missed two rounds.
 	liveTimeout = 2500 * time.Millisecond
@@ -43,7 +43,7 @@
 	minSettledShare = 1.0 / 3
 )
 
-// isLive reports whether a member gave a sign of life within liveTimeout, by this node's
+// isLive reports whether a member was last seen within liveTimeout, by this node's
 // clock. A false positive costs calls to a failed member, each of which times out. A false
 // negative hands the member's coordination to another one, so that two do the same work.
 func isLive(now time.Time, e rosterEntry) bool {
@@ -68,7 +68,7 @@
 	}
 }
 
-// LastContact returns the time of a member's last sign of life; zero if there was none.
+// LastContact returns the time at which a member was last seen; zero if it never was.
 func (r *Roster) LastContact(address string) time.Time { return r.others[address].lastSeen }
 
 // Prune drops the members that have been silent for longer than dropTimeout.
@@ -110,7 +110,7 @@
 }
 
 // Size returns the number of running members, including this one: those that are live or,
-// if one exchange cannot report all members, gave a sign of life within countTimeout.
+// if one exchange cannot report all members, were last seen within countTimeout.
 func (r *Roster) Size(now time.Time) int {
 	timeout := liveTimeout
 	if len(r.others) > maxReported {
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -32,8 +32,8 @@
 // rosterEntry is the state of one other member.
 type rosterEntry struct {
 	message.GossipMember
-	// lastSeen is the time of the member's last sign of life, by this node's clock: its
-	// counter increased, or it answered this node.
+	// lastSeen is the last time, by this node's clock, at which a report with a higher
+	// incarnation or counter arrived, or the member answered this node.
 	lastSeen time.Time
 	// suspectedUntil is the end of the member's suspicion; zero if it was never suspected.
 	suspectedUntil time.Time
@@ -95,7 +95,7 @@
 func (r *Roster) Heartbeat() { r.self.Beat++ }
 
 // Merge merges the gossip of another member. A report that is newer than the known one
-// is a sign of life and ends a suspicion.
+// updates lastSeen and ends a suspicion.
 func (r *Roster) Merge(now time.Time, g message.Gossip) {
 	r.invalidateCache()
 	if r.firstContact.IsZero() {
--- a/internal/gateway/quarantine/table.go
+++ b/internal/gateway/quarantine/table.go
@@ -130,7 +130,7 @@
 func (t *Table) Suspected(d Digest) bool { return len(t.entries[d].Crashes) > 0 }
 
 // Held returns the hold on a request, and whether there is one. A request stays held after
-// the end of its hold, until a trial has shown that targets survive it (Try).
+// the end of its hold, until a trial has shown that targets survive it (StartTrial).
 func (t *Table) Held(d Digest) (Hold, bool) {
 	e := t.entries[d].Entry
 	if !e.Held {
