--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// truncatedError returns the error for a truncated response. If the request itself had
-// ended, that is the reason.
+// truncatedError returns the error for a response that was truncated or is longer than
+// maxResponseBytes. If the request itself had ended, that is the reason.
 func truncatedError(ctx context.Context, cause error) *verdict.Error {
 	reason := verdict.ReasonCut
 	switch {
--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -29,7 +29,8 @@
 	nodeCount func() int
 	// sendsToCold reports whether this node sends requests to a cold target.
 	sendsToCold func(target string) bool
-	// tried are the targets that the request was already sent to.
+	// tried are the targets at which attempts failed, except for attempts that failed
+	// because inputs were missing. They do not get the request again.
 	tried      []string
 	quarantine Quarantine
 	gate       Gate
@@ -56,10 +57,8 @@
 // inputs in each data centre.
 //
 // Suspected requests do not share a target: if it crashes, one of them is the cause, and
-// the other would be quarantined as well although it is harmless. When two requests go to
-// the same targets, the harmless one is quarantined in three of four runs of
-// platform.TestRequestThatEndsItsTargets; with separate targets, in none of six. Suspected
-// requests share a target only if no other is left.
+// the other would be quarantined as well although it is harmless
+// (platform.TestRequestThatEndsItsTargets). They share one only if no other is left.
 func (c *chooser) chooseTarget(ctx context.Context, inputs map[string]int64) (destination, bool) {
 	if !c.quarantine.Suspected(c.digest) {
 		return c.chooseAllowed(ctx, inputs, c.tried, false)
@@ -147,8 +146,8 @@
 	return c.targets.choose(c.service, list, q)
 }
 
-// targetPauses returns the remaining pause of each target of the service that is not
-// leaving.
+// targetPauses returns the remaining pause of each usable target of the service, 0 for a
+// target without one. Targets that are held back because they are leaving are left out.
 func (c *chooser) targetPauses() []time.Duration {
 	now := c.now()
 	var list []time.Duration
--- a/internal/gateway/relay/fakes_test.go
+++ b/internal/gateway/relay/fakes_test.go
@@ -239,7 +239,7 @@
 
 // setupWithView returns a server for one route, with a view that change modifies.
 func setupWithView(r *catalog.Route, engine bool, bytesPerSecond float64, change func(*view.View) *view.View) (*fakePorts, *relay.Server) {
-	return setupServer(r, engine, bytesPerSecond, change, newKeeper())
+	return setupServer(r, engine, bytesPerSecond, change, newTracker())
 }
 
 // setupServer returns a server for one route, with a modified view and the given
--- a/internal/gateway/relay/inputs.go
+++ b/internal/gateway/relay/inputs.go
@@ -17,7 +17,8 @@
 
 func newMissingInputs() *missingInputs { return &missingInputs{last: map[string]time.Time{}} }
 
-// lastMissing returns when inputs of a service were last missing; zero for never.
+// lastMissing returns when inputs that had been released early were last missing at a
+// service; zero for never.
 func (m *missingInputs) lastMissing(service string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/relay/outcome.go
+++ b/internal/gateway/relay/outcome.go
@@ -47,7 +47,8 @@
 }
 
 // StageFailed is a stage that failed. If its inputs were lost, they are recomputed and the
-// stage runs again; otherwise the request ends.
+// stage runs again, unless that happened too often (rules.MayRecompute); otherwise the
+// request ends.
 type StageFailed struct {
 	Stage   int
 	Service string
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -12,7 +12,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// PromptPart is a part of a prompt; parts are shared between requests.
+// PromptPart is a part of a prompt. Requests can have parts in common.
 type PromptPart struct {
 	ID string
 	// Tokens is the length of the part.
@@ -30,7 +30,8 @@
 	Arrived time.Time
 	// Timeout is how long the client waits; 0 if unknown.
 	Timeout time.Duration
-	// Parts are the shared parts of the prompt, in order.
+	// Parts are the parts of the prompt, in order. All but the last may be shared with other
+	// requests.
 	Parts []PromptPart
 	// Tokens is the length of the whole prompt.
 	Tokens int
@@ -146,11 +147,10 @@
 	Cancel(request string, stages []PlannedStage)
 }
 
-// Quarantine tracks the requests that crash the targets that run them; quarantine.Keeper
+// Quarantine tracks the requests that crash the targets that run them; quarantine.Tracker
 // implements it. Its methods are called concurrently and must not block.
 type Quarantine interface {
-	// Empty reports whether no request is suspected, so that the other methods need not be
-	// called.
+	// Empty reports whether no request is suspected, so that Admit need not be called.
 	Empty() bool
 	// Admit decides about a request before any work for it starts.
 	Admit(d quarantine.Digest) quarantine.Admission
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -159,8 +159,8 @@
 	return setupServer(r, false, 0, keepView, q)
 }
 
-// newKeeper returns a keeper that notifies no one and runs no trials.
-func newKeeper() *quarantine.Tracker {
+// newTracker returns a tracker that notifies no one and runs no trials.
+func newTracker() *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -12,6 +12,10 @@
 // node chooses an engine by itself. If the Batcher or all targets fail, the request ends
 // with a verdict error that says whether it may have run.
 //
+// An engine is a target that generates from prompts. A plain service has no engines and
+// runs no items of stages. A cold target is still warming up and gets a limited rate of
+// requests. Package quarantine explains suspected and quarantined requests.
+//
 // The package is independent of protocols: clients and targets are ports, and an adapter
 // translates each.
 package relay
--- a/internal/gateway/relay/results.go
+++ b/internal/gateway/relay/results.go
@@ -54,8 +54,8 @@
 	return r
 }
 
-// inputsRead records that a stage has read its inputs, and releases those that no other
-// stage needs. A result that is released too early is recomputed.
+// inputsRead records that a stage has read its inputs, and releases those that have no
+// other reader. A result that is released too early is recomputed.
 func (r *stageResults) inputsRead(i int) {
 	r.mu.Lock()
 	known := r.read[i]
@@ -97,7 +97,7 @@
 	r.release(i, old)
 }
 
-// releaseUnused releases the results of a stage that no later stage still needs.
+// releaseUnused releases the results of a stage if they have no more readers.
 func (r *stageResults) releaseUnused(i int) {
 	r.mu.Lock()
 	unused := rules.ReleaseResults(r.readers[i])
--- a/internal/gateway/relay/stages.go
+++ b/internal/gateway/relay/stages.go
@@ -79,7 +79,8 @@
 	return firstError(errs)
 }
 
-// firstError returns the error that caused the others, which are cancellations.
+// firstError returns the first error that is not a cancellation, since the error of one
+// stage cancels the others. If there are cancellations only, it returns the first.
 func firstError(errs []*verdict.Error) *verdict.Error {
 	var first *verdict.Error
 	for _, err := range errs {
@@ -204,7 +205,8 @@
 }
 
 // engineDataCentre returns the data centre of the engine that will probably read the
-// results of a first stage; empty if they are small or are read by a later stage.
+// results of a first stage. It is empty if the results are small, are read by a later
+// stage or not by an engine, or if no engine is available.
 func (r *stageResults) engineDataCentre(i int) string {
 	runner := r.runner
 	if !slices.Contains(runner.route.LastStages(), i) || !runner.service.Engine {
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -21,7 +21,7 @@
 	table *placement.TargetTable
 	// limits are the request rate limits of cold targets, by service.
 	limits map[string]*warmup.Limiter
-	// isolated are the targets that a suspected request of this node was sent to.
+	// isolated are the targets that have a suspected request of this node at the moment.
 	isolated map[string]bool
 }
 
@@ -60,7 +60,8 @@
 	return t.table.Ejected(now, d)
 }
 
-// isolatedTargets returns the targets that a suspected request of this node was sent to.
+// isolatedTargets returns the targets that have a suspected request of this node at the
+// moment.
 func (t *targetStats) isolatedTargets() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
