--- a/internal/gateway/relay/rules/admission.go
+++ b/internal/gateway/relay/rules/admission.go
@@ -4,14 +4,13 @@
 
 const (
 	// planShare is the fraction of the time to the objective that the stages may be planned
-	// to take; the rest covers what the estimate leaves out. 0.72 refuses requests on an
-	// idle system; 0.95 with a larger priorityMargin makes no difference.
+	// to take; the rest covers what the estimate leaves out. A smaller fraction refuses
+	// requests on a nearly idle system; a larger one leaves less for that rest, and gains
+	// nothing with a larger priorityMargin.
 	planShare = 0.85
 	// priorityMargin is reserved for each step of a route's priority, so that less urgent
-	// requests are refused first. Without it credit is lower by 0.004 on 6 nodes, within
-	// the standard error. With 50 ms it is lower by 0.022 on 59 nodes: the least urgent
-	// requests earn 0.02 to 0.10 more of their credit and the most urgent, of the same
-	// chain of stages, 0.01 to 0.10 less (three days, one seed). 275 ms makes no difference.
+	// requests are refused first. With a smaller margin they take the room of the most
+	// urgent ones that use the same stages; a somewhat larger one has no further effect.
 	priorityMargin = 150 * time.Millisecond
 	// minWait is the wait for other requests that is always allowed, so that an idle
 	// system refuses no request, however short its objective: half a batch, which a request
@@ -74,9 +73,8 @@
 //
 // The case behind this is a route of chained stages at 2.4 times its usual rate for some
 // seconds, whose refused clients retry once. If retried requests may wait for a turn, for
-// up to half of their time, clients learn late what is known immediately: the median of
-// 1,877 such refusals took 1.0 s, and one in ten took over 2.5 s. Refusing them
-// immediately gains 0.009 credit on 59 nodes and 0.013 on 7
+// up to half of their time, clients learn late what is known immediately: half of such
+// refusals take 1.0 s or more, and one in ten takes over 2.5 s
 // (docs/design/heaviest-days.md).
 //
 // Without known backlogs every request is admitted. A wrong admission makes this request
--- a/internal/gateway/relay/rules/admission_test.go
+++ b/internal/gateway/relay/rules/admission_test.go
@@ -39,7 +39,7 @@
 		shouldAdmit(firstAttempt(bound))
 		shouldRefuse(firstAttempt(bound + 1))
 	})
-	convey.Convey("A request whose stages would fit the time left is refused if they exceed the bound", t, func() {
+	convey.Convey("A request whose stages would fit the time left is refused if its wait exceeds the bound", t, func() {
 		a := firstAttempt(1200 * time.Millisecond)
 		convey.So(a.Estimated, convey.ShouldBeLessThan, a.Left)
 		shouldRefuse(a)
@@ -78,14 +78,14 @@
 }
 
 func TestRetried(t *testing.T) {
-	convey.Convey("A request is a retry if its client has clearly less time than the route's clients usually have", t, func() {
+	convey.Convey("A request is a retry if its client has clearly less time than the longest that a client of the route had", t, func() {
 		for _, c := range []struct {
 			what             string
 			timeout, longest time.Duration
 			want             bool
 		}{
-			{"the usual time", 10 * time.Second, 10 * time.Second, false},
-			{"nearly the usual time", 9750 * time.Millisecond, 10 * time.Second, false},
+			{"the longest time", 10 * time.Second, 10 * time.Second, false},
+			{"nearly the longest time", 9750 * time.Millisecond, 10 * time.Second, false},
 			{"less time", 7 * time.Second, 10 * time.Second, true},
 			{"an unknown time", 0, 10 * time.Second, false},
 		} {
--- a/internal/gateway/relay/rules/answer_test.go
+++ b/internal/gateway/relay/rules/answer_test.go
@@ -29,7 +29,7 @@
 		{"a failure of a request that must not run twice", func(a *Response) { a.Retryable = false }},
 		{"a failure of the last attempt", func(a *Response) { a.PossibleRuns = 1 }},
 		{"a failure while the retry budget is exhausted", func(a *Response) { a.Budget = 0.9 }},
-		{"a failure when less than half of the objective is left", func(a *Response) { a.Left = time.Second }},
+		{"a failure when no more than half of the objective is left", func(a *Response) { a.Left = time.Second }},
 	} {
 		a := targetFailure()
 		c.change(&a)
--- a/internal/gateway/relay/rules/doc.go
+++ b/internal/gateway/relay/rules/doc.go
@@ -9,6 +9,5 @@
 // returns one type per outcome, which carries what the log prints about it.
 //
 // The constants of a rule are declared in one block above it, each with its unit and
-// the reason for its value. Where a comment gives the effect of a value as credit, that
-// is the fraction of the credit attainable by all requests.
+// the reason for its value: what it follows from, or what goes wrong with another value.
 package rules
--- a/internal/gateway/relay/rules/inputs.go
+++ b/internal/gateway/relay/rules/inputs.go
@@ -4,9 +4,9 @@
 
 const (
 	// inputsReadBase is the time that a call needs to fetch its inputs, on top of their
-	// transfer: the network delay and the target's own requests. Releasing after 25 ms
-	// instead of at the first event gains 0.015 credit at engines; 40 ms instead of
-	// 120 ms gains 0.007 at batches.
+	// transfer: the network delay and the target's own requests. With a smaller value
+	// inputs are released before they are fetched; with a larger one they occupy result
+	// memory for longer, which limits what their targets can compute.
 	inputsReadBase = 40 * time.Millisecond
 	// transferTimeFactor multiplies the transfer time that follows from the catalog's
 	// bandwidth: a transfer crosses two links, which carry other traffic too.
@@ -19,8 +19,8 @@
 	earlyReleaseBackoff = 10 * time.Second
 )
 
-// Transfer is the data that a call fetches from the target that holds most of its
-// inputs.
+// Transfer is the data that a call fetches from one target: the results of one stage that
+// the target holds.
 type Transfer struct {
 	Bytes int64
 	// BytesPerSecond is that target's bandwidth according to the catalog; 0 if unknown.
--- a/internal/gateway/relay/rules/inputs_test.go
+++ b/internal/gateway/relay/rules/inputs_test.go
@@ -14,7 +14,7 @@
 		want     time.Duration
 	}{
 		{"that are small take the base time", Transfer{Bytes: 0, BytesPerSecond: 1e9}, 40 * ms},
-		{"that are large take three times their transfer time more", Transfer{Bytes: 10e6, BytesPerSecond: 1e9}, 70 * ms},
+		{"that are large take the base time and three times their transfer time", Transfer{Bytes: 10e6, BytesPerSecond: 1e9}, 70 * ms},
 		{"over an unknown bandwidth take the default", Transfer{Bytes: 10}, 120 * ms},
 	}
 	convey.Convey("Inputs", t, func() {
--- a/internal/gateway/relay/rules/prefill.go
+++ b/internal/gateway/relay/rules/prefill.go
@@ -20,11 +20,11 @@
 )
 
 // PrefillRate estimates the time that a service's engines take to the first event of a
-// prompt, counting the parts that they have cached. It is an exponentially weighted moving
-// average over the prompts that this node sent, as old as the last of them. Stages meet
-// their due times more often with it than with a fixed lead (docs/decisions/0013). Too low
-// a rate makes long prompts late; too high a rate makes their stages take the turn of more
-// urgent ones.
+// prompt. The rate is per token of the whole prompt, including the parts that engines have
+// cached. It is an exponentially weighted moving average over the prompts that this node
+// sent; it does not change while none is sent. Requests whose stages are due by it are in
+// time more often than with a fixed lead (docs/decisions/0013). Too low a rate makes long
+// prompts late; too high a rate makes their stages take the turn of more urgent ones.
 type PrefillRate struct {
 	// perToken is the time per token in nanoseconds.
 	perToken float64
--- a/internal/gateway/relay/rules/results.go
+++ b/internal/gateway/relay/rules/results.go
@@ -9,11 +9,11 @@
 	minLocalityBytes = 100_000
 )
 
-// ReleaseResults reports whether a stage's results are released at their targets. users
+// ReleaseResults reports whether a stage's results are released at their targets. readers
 // counts the later stages and attempts of the request that still have to read them.
 // Results that are released too early are recomputed; results that are kept too long
 // occupy the result memory of other requests (docs/decisions/0012).
-func ReleaseResults(users int) bool { return users <= 0 }
+func ReleaseResults(readers int) bool { return readers <= 0 }
 
 // NeedsInput reports whether a stage's results must be computed before a stage that reads
 // them can run: it has items, and its results are not held because they were released or
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -49,8 +49,8 @@
 
 // Reasons to give up.
 const (
-	// RequestEnded means that the request's deadline has passed or its client has
-	// disconnected.
+	// RequestEnded means that the request's deadline has passed, its client has
+	// disconnected or the node is stopping.
 	RequestEnded GiveUpReason = "request ended"
 	// RefusalsSpent means that more than maxRefusals attempts did not run.
 	RefusalsSpent GiveUpReason = "refusals spent"
@@ -127,13 +127,13 @@
 	return own
 }
 
-// FinalVerdict decides what the client learns about whether its request ran. sends counts
-// the earlier attempts that may have run. If there are any and the route does not allow
+// FinalVerdict decides what the client learns about whether its request ran. possibleRuns
+// counts the attempts that may have run. If there are any and the route does not allow
 // the request to run twice, a last attempt that provably did not run proves nothing about
 // them; nor does it if the request is quarantined because of them. A wrong "not run" makes
 // the client run the request twice.
-func FinalVerdict(err *verdict.Error, sends int, retryable bool) *verdict.Error {
-	if sends > 0 && (!retryable || err.Reason() == verdict.ReasonQuarantined) {
+func FinalVerdict(err *verdict.Error, possibleRuns int, retryable bool) *verdict.Error {
+	if possibleRuns > 0 && (!retryable || err.Reason() == verdict.ReasonQuarantined) {
 		return err.WithVerdict(verdict.MayHaveRun)
 	}
 	return err
--- a/internal/gateway/relay/rules/retry_test.go
+++ b/internal/gateway/relay/rules/retry_test.go
@@ -90,8 +90,8 @@
 
 func TestFinalVerdict(t *testing.T) {
 	refused := verdict.New(verdict.NotRun, verdict.ReasonRefused, "full")
-	shouldSay := func(sends int, retryable bool, want verdict.Verdict) {
-		convey.So(FinalVerdict(refused, sends, retryable).Verdict(), convey.ShouldEqual, want)
+	shouldSay := func(possibleRuns int, retryable bool, want verdict.Verdict) {
+		convey.So(FinalVerdict(refused, possibleRuns, retryable).Verdict(), convey.ShouldEqual, want)
 	}
 	convey.Convey("A last refusal proves nothing about earlier attempts at a request that must not run twice", t, func() {
 		shouldSay(1, false, verdict.MayHaveRun)
--- a/internal/gateway/relay/rules/retryafter.go
+++ b/internal/gateway/relay/rules/retryafter.go
@@ -9,8 +9,7 @@
 	// retryAfterShare is the fraction of the client's remaining time after which it should
 	// retry. Clients wait at most a third of that time, a limit of the platform, and need
 	// the rest for the second attempt. The fraction does not depend on when capacity
-	// becomes free: half of it costs 0.009 credit on 59 nodes (three pairs, within two
-	// standard errors), and half as much again is lost to requests refused twice.
+	// becomes free: with a smaller one more clients return too early and are refused twice.
 	retryAfterShare = 0.28
 	// maxRetryAfter is the upper bound, so that clients with much time left return while
 	// most of it remains.
@@ -18,14 +17,14 @@
 	// minRetryAfter is the lower bound, so that clients without time left do not return in
 	// the same millisecond.
 	minRetryAfter = 50 * time.Millisecond
-	// jitterDivisor divides the delay: the last part of it is random jitter, so that
+	// jitterDivisor divides a delay into equal parts. One part is random jitter, so that
 	// clients refused together do not return together.
 	jitterDivisor = 4
 )
 
 // RetryAfter decides when a refused client should retry (docs/decisions/0013). left is
 // the time until its response is due, and jitter a random number in [0, 1). The delay is
-// a fraction of left, limited by the upper bound, with its last part random, and raised
+// a fraction of left, limited by the upper bound, with its last quarter random, and raised
 // to the lower bound. Too short a delay makes clients retry into the same overload; too
 // long a delay exceeds their timeout.
 func RetryAfter(left time.Duration, jitter float64) time.Duration {
--- a/internal/gateway/relay/rules/share.go
+++ b/internal/gateway/relay/rules/share.go
@@ -21,11 +21,11 @@
 	minTargets = 2
 )
 
-// TargetsPerNode decides how many of a service's targets a node sends plain calls to
-// while they are healthy; 0 means all. connections is the number that one target accepts
-// from all nodes (configuration), nodes the number of live nodes. With enough connections
-// for the nodes it is all targets. With too many targets per node, targets refuse
-// connections when nodes return; with too few, a node is left with targets that are busy.
+// TargetsPerNode decides how many targets of a plain service a node sends requests to while
+// they are healthy; 0 means all. connections is the number that one target accepts from all
+// nodes (configuration), nodes the number of live nodes. With enough connections for the
+// nodes it is all targets. With too many targets per node, targets refuse connections when
+// nodes return; with too few, a node is left with targets that are busy.
 func TargetsPerNode(connections, nodes, targets int) int {
 	if connections <= 0 {
 		return 0
--- a/internal/gateway/relay/rules/times.go
+++ b/internal/gateway/relay/rules/times.go
@@ -14,7 +14,7 @@
 	// engineLead is the least time planned from the last stage to an engine's first event.
 	// Admission plans with it alone, so that the stages of a long prompt are due earlier
 	// and the prompt is not refused earlier (docs/decisions/0013). Under light load on 295
-	// nodes the median prompt of each route takes 51 to 144 ms.
+	// nodes the median prompt takes 51 to 144 ms, depending on the route.
 	engineLead = 150 * time.Millisecond
 )
 
