--- a/internal/gateway/retrybudget/retrybudget_test.go
+++ b/internal/gateway/retrybudget/retrybudget_test.go
@@ -12,7 +12,9 @@
 )
 
 // TestSumOverNodes verifies that the retries of all nodes together stay within the limit
-// in every window, while the nodes send and retry independently of each other.
+// in every window, while the nodes send and retry independently of each other. The ratio
+// applies to the requests of two windows, because a retry at the start of one window may be
+// allowed on account of requests in the window before.
 func TestSumOverNodes(t *testing.T) {
 	const window = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -165,8 +165,8 @@
 	m.maxConcurrentAssigners = max(m.maxConcurrentAssigners, recent)
 }
 
-// maxInOneSecond returns the maximum number of requests that were sent and arrived within the
-// same second.
+// maxInOneSecond returns the maximum number of requests that were both sent and arrived within
+// the same second.
 func (m *model) maxInOneSecond() int {
 	slices.SortFunc(m.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
 	highest := 0
@@ -192,7 +192,7 @@
 	}
 	switch rapid.IntRange(0, 6).Draw(t, "fault") {
 	case 0:
-		for _, n := range sample("ended tenths", 10) {
+		for _, n := range sample("restarted tenths", 10) {
 			m.start(n)
 		}
 	case 1:
@@ -206,7 +206,7 @@
 			}
 		}
 	case 3:
-		partitions := rapid.IntRange(2, 4).Draw(t, "sides")
+		partitions := rapid.IntRange(2, 4).Draw(t, "partitions")
 		for _, n := range m.nodes {
 			n.partition = m.rng.IntN(partitions)
 		}
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -5,8 +5,8 @@
 //
 // The limit protects against two kinds of load. First, a prompt prefix shared by a third of
 // a route's requests sends 30 requests a second to one engine, which may turn cold during
-// a burst. Second, engines that return with empty caches, such as 22 at once, have no queued
-// prompts, so that every placement rule prefers them.
+// a burst. Second, engines that return, such as 22 at once, have no queued prompts, so that
+// every placement rule prefers them.
 //
 // The limit applies to the sum of the requests that all nodes send, without shared state.
 // It holds because each node applies three rules on its own:
@@ -14,9 +14,9 @@
 //   - Only one member assigns requests to a cold target: the member that places the prompts
 //     of the service, or for a plain service the member that rendezvous hashing selects for
 //     the target.
-//   - That member keeps a token bucket for each cold target, which is filled at a fraction
-//     1/maxAssigners of the limit (Bound.Share). Up to maxAssigners members that each consider
-//     themselves responsible stay within the limit together.
+//   - That member keeps a token bucket for each cold target, which allows a fraction
+//     1/maxAssigners of the limit in any second (Bound.Share). Up to maxAssigners members that
+//     each consider themselves responsible stay within the limit together.
 //   - A member that has just started, or has lost contact with most other members, assigns
 //     no requests (membership.Roster.Settled), because members in this state are the ones
 //     that disagree about who is responsible.
@@ -24,8 +24,9 @@
 // A target of a batching service runs one call at a time, sent by the coordinator of the
 // service. Its bucket limits calls instead of requests.
 //
-// If the bucket of a target is empty, the request goes to a warm target. If there is none,
-// the request is refused as not run, with a time after which to retry.
+// If the bucket of a target is empty, the request goes to a warm target, or to a cold one whose
+// bucket is not empty. If there is none, the request is refused as not run, with a time after
+// which to retry.
 //
 // The package keeps the buckets of one member. The directory determines which targets are
 // cold and until when. The package performs no I/O and does not read the clock.
@@ -43,9 +44,11 @@
 
 const (
 	// maxAssigners is the number of members that may assign requests to a cold target within one
-	// second without exceeding the limit. At most 6 members do so at once in 4,500 cases of
-	// TestBoundHolds, in which members start, stop, freeze and are partitioned repeatedly.
-	// A target limited to 20 requests a second gets 3.3 a second from one member.
+	// second without exceeding the limit. No more than 6 members have done so in TestBoundHolds,
+	// in which members start, stop, freeze and are partitioned repeatedly. With a smaller number
+	// members that disagree about who is responsible could exceed the limit together; a larger
+	// one gives cold targets fewer requests. With 6, a target limited to 20 requests a second
+	// gets 3.3 a second from one member.
 	maxAssigners = 6
 	// burstShare is the fraction of a member's share that may be used at once. The bucket
 	// refills at the rate of the rest, so that no second exceeds the share.
@@ -128,11 +131,11 @@
 	}
 }
 
-// Prune removes the buckets of targets that are warm or no longer listed.
+// Prune removes the buckets of targets that are warm, have restarted or are no longer listed.
 func (l *Limiter) Prune(now time.Time, d *directory.Directory) {
-	for life := range l.buckets {
-		if t, known := d.Target(life.ID); !known || t.Incarnation() != life || !t.Cold(now) {
-			delete(l.buckets, life)
+	for target := range l.buckets {
+		if t, known := d.Target(target.ID); !known || t.Incarnation() != target || !t.Cold(now) {
+			delete(l.buckets, target)
 		}
 	}
 }
@@ -144,11 +147,11 @@
 
 // bucket returns the bucket of a target, or nil if the share of a member is too small to
 // assign any request.
-func (l *Limiter) bucket(life directory.Incarnation) *rate.Limiter {
-	bucket, known := l.buckets[life]
+func (l *Limiter) bucket(target directory.Incarnation) *rate.Limiter {
+	bucket, known := l.buckets[target]
 	if !known {
 		bucket = l.bound.newBucket()
-		l.buckets[life] = bucket
+		l.buckets[target] = bucket
 	}
 	return bucket
 }
--- a/internal/gateway/warmup/warmup_test.go
+++ b/internal/gateway/warmup/warmup_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
-// margin and service limit cold targets that sustain 10 requests a second to 20 a second.
+// margin and service limit a cold target, which sustains 10 requests a second, to 20 requests
+// a second.
 var (
 	margin  = warmup.Margin{Overshoot: 1.5, Tolerance: 5}
 	service = catalog.WarmUp{Duration: 3 * time.Second, RequestsPerSecond: 10}
@@ -70,12 +71,16 @@
 		l := newLimiter(warmup.Margin{Overshoot: 1}.Bound(catalog.WarmUp{RequestsPerSecond: 3}))
 		convey.So(sendAllowed(l, cold("a"), time.Second), convey.ShouldEqual, 0)
 	})
-	convey.Convey("Prune removes the buckets of targets that are no longer listed and keeps the others", t, func() {
+	convey.Convey("Prune removes the buckets of targets that are warm or no longer listed and keeps the others", t, func() {
 		l := newLimiter(bound)
 		sendAllowed(l, cold("a"), time.Second)
 		l.Prune(start, directory.New(cold("a")))
 		convey.So(l.Allows(start, cold("a"), always), convey.ShouldBeFalse)
 		l.Prune(start, directory.New())
 		convey.So(l.Allows(start, cold("a"), always), convey.ShouldBeTrue)
+		sendAllowed(l, cold("a"), time.Second)
+		convey.So(l.Allows(start, cold("a"), always), convey.ShouldBeFalse)
+		l.Prune(start, directory.New(directory.Target{ID: "a"}))
+		convey.So(l.Allows(start, cold("a"), always), convey.ShouldBeTrue)
 	})
 }
