--- a/internal/gateway/backpressure/doc.go
+++ b/internal/gateway/backpressure/doc.go
@@ -19,8 +19,8 @@
 //     send (membership.Roster.Settled).
 //
 // Members pass on limits by gossip, so that nodes that do not send to a target learn of its
-// limit and of the end of the limit. If no member reports a confirmation of the limit, the
-// members ranked after the senders substitute for them, one at a time, for confirmTimeout
+// limit and of the end of the limit. While no member reports a confirmation of the limit, one
+// of the members ranked after the senders sends too, as their substitute, for confirmTimeout
 // each. The senders may have no requests for the target, or run a version that does not
 // support limits. If all members substituted at once, they would send a burst after a
 // period without load.
@@ -28,9 +28,11 @@
 // If the bucket of a target is empty, the request goes to another target. If there is none,
 // the request is refused as not run, with a time after which to retry.
 //
-// The package keeps the newest report for each target incarnation (directory.Life), and the
-// token buckets of this node. The caller reports the headers of every response, whether it
-// is a success, a failure or a refusal, exchanges reports with other members, and ranks the
-// members. The package performs no I/O and reads the clock through Config. A node that
-// starts has no reports and gets them from the first member that it exchanges with.
+// For each target incarnation (directory.Incarnation) the package keeps the newest report of
+// its limit, whether it is leaving, its pause, and the token bucket of this node. The caller
+// passes on the headers of every response, whether it is a success, a failure or a refusal,
+// exchanges reports with other members, and ranks the members. The package performs no I/O
+// and reads the clock through Config. A node that starts has no reports. It gets the limits
+// from the first member that it exchanges with; that a target is leaving or paused is only
+// known to the node that the target told.
 package backpressure
--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -19,8 +19,9 @@
 }
 
 // RequestGate returns the gate for requests that this node relays. Only the members ranked
-// first for a limited target may send to it. While the limit is unconfirmed, one more member
-// substitutes for them, the next one after each confirmTimeout.
+// first for a limited target may send to it. If the limit is not confirmed for confirmTimeout,
+// one more member may send too, as a substitute; after each further confirmTimeout the next one
+// takes its place.
 func (t *Tracker) RequestGate() Gate {
 	return Gate{tracker: t, share: func(target directory.Incarnation, l Limit, unconfirmedFor time.Duration) (float64, bool) {
 		before, members := t.cfg.Rank(limitRolePrefix + target.String())
@@ -104,7 +105,9 @@
 }
 
 // Bound returns the maximum number of requests a second that this node may send to a target
-// that is limited or held back, and false for any other target.
+// that is limited or held back, and false for any other target. It is 0 for a target that is
+// held back. For a limited target it is the rate of a sender, even if this node is not
+// currently one.
 func (g Gate) Bound(target directory.Incarnation) (perSecond float64, limited bool) {
 	if g.tracker.empty() {
 		return 0, false
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -34,9 +34,9 @@
 )
 
 // The bound on the requests that a limited target may get. In any boundWindow it may get
-// boundOvershoot times its limit plus boundTolerance requests. The bound applies from
-// boundGrace after the limit was first announced, and to nodes that received the limit more
-// than boundDelay ago.
+// boundOvershoot times its limit plus boundTolerance requests. The bound applies to requests
+// that arrive more than boundGrace after the limit was first announced, from nodes that
+// received the limit more than boundDelay before they sent the request.
 const (
 	boundWindow    = 4 * time.Second
 	boundOvershoot = 1.5
@@ -252,7 +252,7 @@
 	}
 	switch rapid.IntRange(0, 7).Draw(t, "fault") {
 	case 0:
-		for _, n := range sample("ended tenths", 10) {
+		for _, n := range sample("restarted tenths", 10) {
 			m.start(n)
 		}
 	case 1:
@@ -267,7 +267,7 @@
 		}
 	case 3:
 		for _, n := range m.nodes {
-			n.partition = 1 + m.rng.IntN(rapid.IntRange(2, 4).Draw(t, "sides"))
+			n.partition = 1 + m.rng.IntN(rapid.IntRange(2, 4).Draw(t, "partitions"))
 			n.exempt()
 		}
 	case 4:
--- a/internal/gateway/backpressure/table.go
+++ b/internal/gateway/backpressure/table.go
@@ -59,14 +59,15 @@
 }
 
 // table holds an entry for each target incarnation that is leaving, paused or limited, or
-// was limited recently. It is not safe for concurrent use.
+// was paused or limited recently. It is not safe for concurrent use.
 type table struct {
 	entries map[directory.Incarnation]*entry
 }
 
 func newTable() *table { return &table{entries: map[directory.Incarnation]*entry{}} }
 
-// merge records a report unless a newer one is known, and reports whether the limit changed.
+// merge records a report unless one that is at least as new is known, and reports whether the
+// limit changed.
 func (t *table) merge(target directory.Incarnation, r report) bool {
 	e := t.getOrCreate(target, r.at)
 	if !r.at.After(e.at) {
@@ -124,7 +125,8 @@
 // senders returns the number of nodes that may send to a target with limit l.
 func (l Limit) senders() int { return max(int(l.PerSecond/limitPerSender), 1) }
 
-// ratePerSender returns the rate of each of several senders, in requests a second.
+// ratePerSender returns the rate of each of several senders, in requests a second. It is at
+// least minSenderRate.
 func (l Limit) ratePerSender(senders int) float64 {
 	return max(usedShare*l.PerSecond/float64(senders), minSenderRate)
 }
--- a/internal/gateway/backpressure/tracker.go
+++ b/internal/gateway/backpressure/tracker.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// confirmTimeout is the time without a confirmation of a limit after which a member
-	// substitutes for the senders, and the time for which it does so.
+	// confirmTimeout is the time without a confirmation of a limit after which a further member
+	// substitutes for the senders (RequestGate), and the time for which it does so.
 	confirmTimeout = 5 * time.Second
 	// maxReportsPerExchange is the maximum number of targets in one exchange with a member.
 	maxReportsPerExchange = 64
@@ -164,7 +164,8 @@
 	}
 }
 
-// Prune removes target incarnations that no longer exist.
+// Prune removes target incarnations that have not been in the directory for
+// unlistedRetention.
 func (t *Tracker) Prune(d *directory.Directory) {
 	t.mu.Lock()
 	defer t.updateAndUnlock()
