--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -22,18 +22,21 @@
 	// in time is preferred.
 	lateCost = 600.0
 	// reprefillCostPerUnit is the cost of a thousand shared tokens that another engine has cached
-	// and this one has not. A cost of 160 lowers the benchmark score.
+	// and this one has not, if the engine prefills them again. With a larger value prompts
+	// queue on the engine that has the parts while others are idle; with a smaller one more
+	// engines prefill the same parts.
 	reprefillCostPerUnit = 90.0
 	// copyCostPerUnit is the cost of a thousand such tokens if the engine copies them from the
-	// other one. Copying raises the benchmark score by 0.019 with a cost of 15 and by 0.010
-	// with 50, and lowers it by 0.011 with reprefillCostPerUnit.
+	// other one. It is lower than reprefillCostPerUnit because a copy is faster than a prefill
+	// (copyAdvantage). With a larger value prompts queue on the engine that has the parts
+	// although a copy would be fast.
 	copyCostPerUnit = 15.0
 	// rankCost is the cost of a rank. It is small because it only decides between otherwise
 	// equal engines, in favour of the one that nodes would select on their own.
 	rankCost = 3.0
 	// firstEventDelayMs is the time from a prompt's arrival at an idle engine to its first
 	// event, excluding the prefill. It is the same for all engines, so that an error only
-	// affects which prompts count as late.
+	// affects which prompts count as late, and slightly the estimated prefill time.
 	firstEventDelayMs = 25.0
 )
 
@@ -100,12 +103,13 @@
 // and late and lapsed engines are compared by cost.
 //
 // Without any state the prompts of a session go to its first engine by rendezvous hashing. A
-// poor selection results in a late first event, or in a repeated prefill. The benchmark
-// score is 0.016 higher than with ByPrefix on each node. See docs/decisions/0014.
+// poor selection results in a late first event, or in a repeated prefill. See
+// docs/decisions/0014.
 //
 // If there are many engines, only a shortlist is scored (engineIndex). A second shortlist
-// is scored if the prompt would be late on all engines of the first one, and all engines
-// are scored only if no engine of either shortlist can be used.
+// is scored if no engine of the first one can be used, or if the best one costs lateCost or
+// more, for example because the prompt would be late on all of them. All engines are scored
+// only if no engine of either shortlist can be used.
 func (p *EngineChooser) Place(now time.Time, engines []directory.Target, q Prompt) (Placement, bool) {
 	p.removeExpired(now)
 	delete(p.pending, q.Request)
@@ -150,8 +154,8 @@
 		EngineChooser: p, now: now, engines: engines, q: q, allow: p.filter(now, q),
 		inputs: newInputLocation(q.InputBytes), backlogs: p.backlogs(), cached: map[int]int{},
 	}
-	for _, life := range p.cache.lastUsers(q.Shared) {
-		if i, listed := p.index.find(life); listed {
+	for _, engine := range p.cache.lastUsers(q.Shared) {
+		if i, listed := p.index.find(engine); listed {
 			s.lookUpCached(i)
 		}
 	}
@@ -240,8 +244,9 @@
 	cached, cachedElsewhere int
 }
 
-// promptCost returns the cost of the time to a prompt's first event on an engine, and of the
-// shared tokens that are copied or prefilled again there, in milliseconds.
+// promptCost returns the cost of the time to a prompt's first event on an engine, of its
+// lateness, and of the shared tokens that are copied or prefilled again there, in
+// milliseconds.
 func (p *EngineChooser) promptCost(q Prompt, e engineLoad) float64 {
 	costPerUnit, msPerToken := reprefillCostPerUnit, p.prefillMsPerToken
 	if p.copyIsFaster() {
@@ -258,5 +263,5 @@
 }
 
 // prefillTokens returns the number of tokens of the prompt that an engine has to prefill if
-// it has cached tokens of it cached.
+// it already has the given number of them cached.
 func (q Prompt) prefillTokens(cached int) int { return max(q.Tokens-cached, 0) }
--- a/internal/gateway/placement/byprefill_test.go
+++ b/internal/gateway/placement/byprefill_test.go
@@ -14,8 +14,9 @@
 // and when it moves to another engine. The prefill of 12,000 tokens initially takes 240 ms,
 // or 140 ms if 5,000 tokens are cached.
 func TestPlaceTable(t *testing.T) {
-	// place places a prompt after the shared part of the session has been cached on the first
-	// engine. pendingTokens is the backlog of that engine.
+	// place places a prompt on one of the listed engines, after the shared part of its session
+	// has been cached on the first engine of the session. pendingTokens is the backlog of that
+	// engine.
 	place := func(pendingTokens int, list []directory.Target, q placement.Prompt) (first, got placement.Placement) {
 		p := placement.NewEngineChooser()
 		first, _ = p.Place(now, engines(2), prompt("before", 7))
@@ -80,14 +81,14 @@
 // TestPrefillRate verifies which prompts update the prefill time per token. If slow prompts
 // do, a session that was in time behind a backlog of 20,000 tokens is late and moves.
 func TestPrefillRate(t *testing.T) {
-	moved := func(tokens int, alone, whole bool) bool {
+	moved := func(tokens int, idle, complete bool) bool {
 		p := placement.NewEngineChooser()
 		for range 20 {
-			if !alone {
+			if !idle {
 				p.Place(now, engines(1), placement.Prompt{Request: "beside", Tokens: 1})
 			}
 			p.Place(now, engines(1), placement.Prompt{Request: "slow", Tokens: tokens})
-			p.RecordPrefill(now.Add(4*time.Second), "slow", whole)
+			p.RecordPrefill(now.Add(4*time.Second), "slow", complete)
 		}
 		p.RecordPrefill(now, "beside", false)
 		first, _ := p.Place(now, engines(2), prompt("before", 7))
--- a/internal/gateway/placement/byprefix.go
+++ b/internal/gateway/placement/byprefix.go
@@ -12,7 +12,7 @@
 // the rank for the session.
 const (
 	// fullCost is the cost of an engine whose slots are all in use. The cost is proportional
-	// to the number of calls. It is about the time that a request waits for a slot.
+	// to the number of calls. It is about the time that a request waits there for a slot.
 	fullCost = 1500.0
 	// failureCost is the cost of an engine on which all calls fail. The cost is proportional
 	// to the failure rate. It exceeds the cost of a full engine, but not that of an engine
@@ -50,8 +50,12 @@
 //
 // Without any statistics the prompts of a session go to its first engine. A poor selection
 // results in a repeated prefill, or in a prompt that waits behind others for its first event.
-// If all nodes use only this rule, one prompt in ten waits 1,000 ms after its last stage, with
-// a median of 270 ms. See docs/decisions/0014.
+// If all nodes use only this rule, one prompt in ten waits 1,000 ms or more from the end of the
+// preceding step of its request to its first event, with a median of 270 ms. See
+// docs/decisions/0014.
+//
+// If there are many engines, only a shortlist is scored (engineIndex). All engines are scored
+// if no engine of the shortlist is healthy (tierHealthy).
 func (t *TargetTable) ByPrefix(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	if len(targets) == 0 {
 		return directory.Target{}, false
--- a/internal/gateway/placement/byprefix_test.go
+++ b/internal/gateway/placement/byprefix_test.go
@@ -81,7 +81,7 @@
 			table := placement.NewTargetTable()
 			got, _ := table.ByPrefix(now, engines(2), placement.Query{SharedTokens: 5000})
 			convey.So(got.ID, convey.ShouldEqual, "t0")
-			table.RecordStart(life("t0"))
+			table.RecordStart(incarnation("t0"))
 			got, _ = table.ByPrefix(now, engines(2), placement.Query{SharedTokens: 5000})
 			convey.So(got.ID, convey.ShouldEqual, "t1")
 		})
@@ -94,12 +94,12 @@
 			fourth := chosen(table, q)
 			for _, id := range q.Exclude {
 				for range 24 {
-					table.RecordStart(life(id))
+					table.RecordStart(incarnation(id))
 				}
 			}
 			q.Exclude = nil
 			convey.So(chosen(table, q), convey.ShouldEqual, fourth)
-			table.RecordStart(life(fourth))
+			table.RecordStart(incarnation(fourth))
 			convey.So(chosen(table, q), convey.ShouldNotEqual, fourth)
 		})
 		convey.Convey("no engine is left is none", func() {
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -24,8 +24,8 @@
 	// tierLapsed candidates may be gone. They vanished from the list during or soon after an
 	// outage of the source (directory.Lapsed).
 	tierLapsed
-	// tierEjected candidates failed recently (outlier). They are only used if all others are
-	// excluded or gone.
+	// tierEjected candidates failed recently (outlier). They are only used if no candidate of
+	// another tier can be used.
 	tierEjected
 )
 
@@ -105,7 +105,7 @@
 	// InputBytes is the number of bytes of results that the call reads from each data
 	// centre.
 	InputBytes map[string]int64
-	// Subset limits the targets of plain calls.
+	// Subset holds the targets that the node prefers for plain calls.
 	Subset Subset
 	// Limiter limits the request rate of cold targets. MayAssign reports whether this node
 	// assigns the requests of a cold target.
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -78,9 +78,9 @@
 func (p *EngineChooser) SetWarmUp(b warmup.Bound) { p.limiter.SetBound(b) }
 
 // RecordPrefill records that a prompt has its first event or that its request has ended. A
-// prompt updates the prefill time per token only if the engine had no other backlog and
-// prefilled the prompt completely, which complete reports. Unknown requests are ignored: they
-// were placed by another member or have expired.
+// prompt updates the prefill time per token only if the engine had no other backlog, had to
+// prefill at least minSampleTokens, and did so completely, which complete reports. Unknown
+// requests are ignored: they were placed by another member or have expired.
 func (p *EngineChooser) RecordPrefill(now time.Time, request string, complete bool) {
 	r, known := p.pending[request]
 	if !known {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Prune removes the cache state of engines that are not in the directory, and the limits of
-// engines that are warm or not in the directory.
+// Prune removes the cache state of engines that are not in the directory, and the token
+// buckets of engines that are warm or not in the directory.
 func (p *EngineChooser) Prune(now time.Time, d *directory.Directory) {
 	p.cache.prune(d)
 	p.limiter.Prune(now, d)
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -12,7 +12,7 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/warmup"
 )
 
-// coldBound limits cold engines that sustain 10 requests a second to 20 requests a second,
+// coldBound limits a cold engine, which sustains 10 requests a second, to 20 requests a second,
 // summed over all nodes.
 var coldBound = warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{Duration: 3 * time.Second, RequestsPerSecond: 10})
 
@@ -48,7 +48,7 @@
 
 // TestHotSessionAtAColdEngine verifies that a cold engine is not overloaded by 30 prompts a
 // second of one session. This happens if a third of the requests of a route share a prompt
-// prefix, and the engine that has it cached has just restarted.
+// prefix, and the engine to which they go has just come back.
 func TestHotSessionAtAColdEngine(t *testing.T) {
 	chooser := func() *placement.EngineChooser {
 		p := placement.NewEngineChooser()
@@ -56,7 +56,7 @@
 		return p
 	}
 	unlimited, _ := placeForOneSecond(chooser(), engines(4), 30, true)
-	convey.Convey("Without the limit one engine gets all prompts", t, func() {
+	convey.Convey("If no engine is cold, one engine gets all prompts", t, func() {
 		convey.So(unlimited, convey.ShouldHaveLength, 1)
 	})
 	first := ""
@@ -64,12 +64,12 @@
 		first = id
 	}
 	firstIsCold := coldEngines(4, func(i int) bool { return engines(4)[i].ID == first })
-	convey.Convey("It gets its share, and warm engines get the rest", t, func() {
+	convey.Convey("If that engine is cold, it gets its share, and warm engines get the rest", t, func() {
 		got, refused := placeForOneSecond(chooser(), firstIsCold, 30, true)
 		convey.So(refused, convey.ShouldEqual, 0)
 		convey.So(got[first], convey.ShouldBeBetweenOrEqual, 1, 4)
 	})
-	convey.Convey("It gets none from a member that assigns no requests of cold engines", t, func() {
+	convey.Convey("If that engine is cold, it gets none from a member that assigns no requests of cold engines", t, func() {
 		got, refused := placeForOneSecond(chooser(), firstIsCold, 30, false)
 		convey.So(refused, convey.ShouldEqual, 0)
 		convey.So(got[first], convey.ShouldEqual, 0)
--- a/internal/gateway/placement/copysource.go
+++ b/internal/gateway/placement/copysource.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// copyAdvantage is the factor by which a copy must be faster than a prefill according to
-	// the catalog. A copy to another data centre takes twice as long, and copies queue behind
-	// each other.
+	// copyAdvantage is the factor by which a copy must be faster than a prefill, given the copy
+	// time in the catalog and the estimated prefill time. The margin is needed because a copy
+	// to another data centre takes twice as long, and copies queue behind each other.
 	copyAdvantage = 2.0
 	// minCopyTokens is the minimum number of tokens for a copy. Their prefill takes about
 	// 1 ms at initialPrefillMsPerToken.
--- a/internal/gateway/placement/leastloaded.go
+++ b/internal/gateway/placement/leastloaded.go
@@ -13,7 +13,8 @@
 	// that each target is tried.
 	minLatencySeconds = 0.001
 	// failurePenalty is the additional cost of a target on which all calls fail, as a multiple
-	// of its latency. Without it a target that fails fast would be preferred.
+	// of the cost of its latency and load. Without it a target that fails fast would be
+	// preferred.
 	failurePenalty = 4
 	// otherDataCentreCostSeconds is the cost of a target in another data centre, in seconds.
 	// It is about the round-trip time. A lower cost causes unnecessary traffic between data
@@ -31,9 +32,10 @@
 // rate does not decay until the next call ends. Outstanding calls include those of other
 // nodes while the target's last report is not older than maxLoadAge.
 //
-// Without any statistics the first target in the node's own data centre is selected. A poor
-// selection costs the difference between the response times of two targets, or an attempt if
-// the target fails. See docs/decisions/0011.
+// Without any statistics the first target of the list in the node's own data centre is
+// selected. If there is a Subset, its targets come first. A poor selection costs the
+// difference between the response times of two targets, or an attempt if the target fails.
+// See docs/decisions/0011.
 func (t *TargetTable) LeastLoaded(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	subset := q.Subset.mask(targets, q.DataCentre)
 	i, found := best(now, targets, q.Exclude, q.filter(now), func(i int, c *directory.Target) score {
--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -12,8 +12,8 @@
 
 // recordCall records a call from start to end.
 func recordCall(table *placement.TargetTable, at time.Time, id string, took time.Duration, failed bool) {
-	table.RecordStart(life(id))
-	table.RecordEnd(at, life(id), took, failed)
+	table.RecordStart(incarnation(id))
+	table.RecordEnd(at, incarnation(id), took, failed)
 }
 
 // pair returns targets t0 and t1 in the same data centre. t0 has the given state.
@@ -49,7 +49,7 @@
 			recordCall(table, now, "t1", 9*time.Millisecond, false)
 		}, engines(2), placement.Query{DataCentre: "d0"}, "t0"},
 		{
-			"the one with fewer outstanding calls", func(table *placement.TargetTable) { table.RecordStart(life("t0")) },
+			"the one with fewer outstanding calls", func(table *placement.TargetTable) { table.RecordStart(incarnation("t0")) },
 			pair(directory.Ready),
 			placement.Query{DataCentre: "d0"},
 			"t1",
@@ -61,33 +61,33 @@
 		{"the faster one with more load if it is still expected to respond first", func(table *placement.TargetTable) {
 			recordCall(table, now, "t0", 10*time.Millisecond, false)
 			recordCall(table, now, "t1", 40*time.Millisecond, false)
-			table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
+			table.RecordLoad(now, incarnation("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
 		{"a healthy one, however slow, rather than one without free connections", func(table *placement.TargetTable) {
 			recordCall(table, now, "t1", time.Minute, false)
-			table.RecordStart(life("t0"))
+			table.RecordStart(incarnation("t0"))
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0", MaxInflight: 1}, "t1"},
 		{
-			"one without free connections rather than a lapsed one", func(table *placement.TargetTable) { table.RecordStart(life("t1")) },
+			"one without free connections rather than a lapsed one", func(table *placement.TargetTable) { table.RecordStart(incarnation("t1")) },
 			pair(directory.Lapsed),
 			placement.Query{DataCentre: "d0", MaxInflight: 1},
 			"t1",
 		},
 		{"a healthy one in another data centre rather than a lapsed one nearby", nil, lapsedAndRemote, placement.Query{DataCentre: "d0"}, "t1"},
 		{
-			"a lapsed one rather than an ejected one", func(table *placement.TargetTable) { table.Eject(now, life("t1")) },
+			"a lapsed one rather than an ejected one", func(table *placement.TargetTable) { table.Eject(now, incarnation("t1")) },
 			pair(directory.Lapsed),
 			placement.Query{DataCentre: "d0"},
 			"t0",
 		},
 		{
-			"an ejected one if the other was tried", func(table *placement.TargetTable) { table.Eject(now, life("t0")) },
+			"an ejected one if the other was tried", func(table *placement.TargetTable) { table.Eject(now, incarnation("t0")) },
 			pair(directory.Ready),
 			placement.Query{DataCentre: "d0", Exclude: []string{"t1"}},
 			"t0",
 		},
 		{
-			"an ejected one rather than a draining one", func(table *placement.TargetTable) { table.Eject(now, life("t1")) },
+			"an ejected one rather than a draining one", func(table *placement.TargetTable) { table.Eject(now, incarnation("t1")) },
 			pair(directory.Draining),
 			placement.Query{DataCentre: "d0"},
 			"t1",
@@ -117,7 +117,7 @@
 	}
 	convey.Convey("A reported load counts for 500 ms", t, func() {
 		table := placement.NewTargetTable()
-		table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Slots: 8})
+		table.RecordLoad(now, incarnation("t0"), placement.Load{Running: 8, Slots: 8})
 		convey.So(chosen(table, 500*time.Millisecond), convey.ShouldEqual, "t1")
 		convey.So(chosen(table, 501*time.Millisecond), convey.ShouldEqual, "t0")
 	})
@@ -141,8 +141,8 @@
 			table := placement.NewTargetTable()
 			list := pair(directory.Ready)
 			list[0].Slots, list[1].Slots = 0, int32(slots)
-			table.RecordStart(life("t0"))
-			table.RecordStart(life("t1"))
+			table.RecordStart(incarnation("t0"))
+			table.RecordStart(incarnation("t1"))
 			got, _ := table.LeastLoaded(now, list, q)
 			convey.So(got.ID, convey.ShouldEqual, want)
 		}
--- a/internal/gateway/placement/life_test.go
+++ b/internal/gateway/placement/life_test.go
@@ -12,8 +12,8 @@
 )
 
 // engine returns an engine with the given start time.
-func engine(id string, born int64) directory.Target {
-	return directory.Target{ID: id, Service: "s", Address: "10.0.0.1:1", DataCentre: "d", Slots: 8, StartMs: born}
+func engine(id string, startMs int64) directory.Target {
+	return directory.Target{ID: id, Service: "s", Address: "10.0.0.1:1", DataCentre: "d", Slots: 8, StartMs: startMs}
 }
 
 // TestRestartedTarget verifies that the state of a target is discarded when the target
--- a/internal/gateway/placement/outlier.go
+++ b/internal/gateway/placement/outlier.go
@@ -24,8 +24,8 @@
 // A target is ejected if its failure rate reaches ejectionThreshold, or immediately if a
 // failure proves that it is down (TargetTable.Eject). After the ejection one call probes
 // the target, while all other calls go elsewhere until the probe has ended. A success
-// resets the state. A failure ejects the target again for twice as long, even if the call
-// was sent before the ejection.
+// resets the state. A failure ejects the target again for twice as long (ejectionBackoff),
+// even if the call was sent before the ejection.
 //
 // Only the results of this node's own calls are considered. Nodes do not share them because
 // a target may be unreachable from a single node. An ejected target is still used if no other
@@ -33,7 +33,8 @@
 // the capacity of the target for a second; a missing ejection costs an attempt for each
 // request that is sent to the target.
 type outlier struct {
-	// ejectedUntil is the end of the ejection. It is zero if the target is not ejected.
+	// ejectedUntil is the end of the last ejection. It is zero if the target has not been
+	// ejected since the last success.
 	ejectedUntil time.Time
 	// ejections is the number of ejections since the last success.
 	ejections int
@@ -80,9 +81,9 @@
 // compared to the thousands in the directory.
 func (t *TargetTable) Ejected(now time.Time, d *directory.Directory) []string {
 	var list []string
-	for life, s := range t.targets {
-		if s.outlier.ejected(now) && d.IsCurrent(life) {
-			list = append(list, life.ID)
+	for target, s := range t.targets {
+		if s.outlier.ejected(now) && d.IsCurrent(target) {
+			list = append(list, target.ID)
 		}
 	}
 	slices.Sort(list)
--- a/internal/gateway/placement/outlier_test.go
+++ b/internal/gateway/placement/outlier_test.go
@@ -54,7 +54,7 @@
 func TestProbe(t *testing.T) {
 	convey.Convey("Given an ejected target", t, func() {
 		table := placement.NewTargetTable()
-		table.Eject(now, life("t0"))
+		table.Eject(now, incarnation("t0"))
 		probe := func(after time.Duration, failed bool) {
 			recordCall(table, now.Add(after), "t0", time.Millisecond, failed)
 		}
@@ -63,13 +63,13 @@
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
 		})
 		convey.Convey("it stays ejected while one call probes it", func() {
-			table.RecordStart(life("t0"))
+			table.RecordStart(incarnation("t0"))
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeTrue)
 		})
-		convey.Convey("a successful probe ends the ejection and resets the failures", func() {
+		convey.Convey("a successful probe ends the ejection, regardless of earlier failures", func() {
 			probe(time.Second, false)
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
-			table.RecordStart(life("t0"))
+			table.RecordStart(incarnation("t0"))
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
 		})
 		convey.Convey("failed probes eject it again, for 2 s and then for 4 s each", func() {
@@ -85,10 +85,10 @@
 		convey.Convey("failures of calls sent before the ejection double its duration too", func() {
 			table := placement.NewTargetTable()
 			for range 3 {
-				table.RecordStart(life("t0"))
+				table.RecordStart(incarnation("t0"))
 			}
 			for range 3 {
-				table.RecordEnd(now, life("t0"), time.Millisecond, true)
+				table.RecordEnd(now, incarnation("t0"), time.Millisecond, true)
 			}
 			convey.So(ejectedAfter(table, 1999*time.Millisecond), convey.ShouldBeTrue)
 			convey.So(ejectedAfter(table, 2*time.Second), convey.ShouldBeFalse)
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -56,9 +56,9 @@
 	q := placement.Query{DataCentre: "d0"}
 	convey.Convey("A target that fails is ejected and probed", t, func() {
 		table := placement.NewTargetTable()
-		table.RecordStart(life("t0"))
-		table.RecordEnd(now, life("t0"), time.Millisecond, true)
-		table.Eject(now, life("t0"))
+		table.RecordStart(incarnation("t0"))
+		table.RecordEnd(now, incarnation("t0"), time.Millisecond, true)
+		table.Eject(now, incarnation("t0"))
 		for range 5 {
 			got, _ := table.LeastLoaded(now, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t1")
@@ -70,9 +70,9 @@
 		})
 		convey.Convey("by one request after the ejection, which readmits it if successful", func() {
 			later := now.Add(time.Minute)
-			table.RecordStart(life("t0"))
-			table.RecordEnd(later, life("t0"), time.Millisecond, false)
-			table.RecordStart(life("t1"))
+			table.RecordStart(incarnation("t0"))
+			table.RecordEnd(later, incarnation("t0"), time.Millisecond, false)
+			table.RecordStart(incarnation("t1"))
 			got, _ := table.LeastLoaded(later, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
@@ -85,7 +85,7 @@
 	})
 	convey.Convey("A load report counts until it expires", t, func() {
 		table := placement.NewTargetTable()
-		table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Waiting: 30, Slots: 8})
+		table.RecordLoad(now, incarnation("t0"), placement.Load{Running: 8, Waiting: 30, Slots: 8})
 		got, _ := table.LeastLoaded(now, engines(2), q)
 		convey.So(got.ID, convey.ShouldEqual, "t1")
 		got, _ = table.LeastLoaded(now.Add(time.Second), engines(2), q)
@@ -107,5 +107,5 @@
 	})
 }
 
-// life returns the directory.Life of a target with an unknown start time.
-func life(id string) directory.Incarnation { return directory.Incarnation{ID: id} }
+// incarnation returns the incarnation of a target with an unknown start time.
+func incarnation(id string) directory.Incarnation { return directory.Incarnation{ID: id} }
--- a/internal/gateway/placement/prefixcache.go
+++ b/internal/gateway/placement/prefixcache.go
@@ -67,13 +67,13 @@
 
 // lastUsers returns the engines that used one of the parts last, without duplicates.
 func (c *prefixCache) lastUsers(parts []SharedPart) []directory.Incarnation {
-	var lives []directory.Incarnation
+	var engines []directory.Incarnation
 	for _, part := range parts {
-		if life, known := c.lastUser[part.Key]; known && !slices.Contains(lives, life) {
-			lives = append(lives, life)
+		if engine, known := c.lastUser[part.Key]; known && !slices.Contains(engines, engine) {
+			engines = append(engines, engine)
 		}
 	}
-	return lives
+	return engines
 }
 
 // lastUsed returns the time at which an engine last used the last of the parts.
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -14,10 +14,10 @@
 	// prompt, which takes about 20 µs.
 	shortlistThreshold = 64
 	// shortlistPerDataCentre is the number of engines of each data centre that are scored if
-	// there are more. They are the first ones for the session of the prompt. All eight are
-	// busy only if nearly all engines of the data centre are, and a ninth engine would be
-	// worse only by its rank, while engines with a low rank are likely to have the parts of
-	// the session cached.
+	// there are more than shortlistThreshold engines. They are the first ones for the session
+	// of the prompt. More are not needed: all eight are busy only if nearly all engines of the
+	// data centre are, and a ninth engine differs from them only by its higher rank, while it
+	// is the engines with a low rank that are likely to have the parts of the session cached.
 	shortlistPerDataCentre = 8
 )
 
@@ -39,8 +39,8 @@
 	dataCentreOf []int
 	// dataCentres is the number of data centres.
 	dataCentres int
-	// byLife maps each engine to its index. It is nil until find is called.
-	byLife map[directory.Incarnation]int
+	// byIncarnation maps each engine to its index. It is nil until find is called.
+	byIncarnation map[directory.Incarnation]int
 }
 
 // forEngines returns the index of a list of engines, which is x if it was built from the
@@ -70,14 +70,14 @@
 }
 
 // find returns the index of an engine, or false if it is not in the list.
-func (x *engineIndex) find(life directory.Incarnation) (int, bool) {
-	if x.byLife == nil {
-		x.byLife = make(map[directory.Incarnation]int, len(x.engines))
+func (x *engineIndex) find(incarnation directory.Incarnation) (int, bool) {
+	if x.byIncarnation == nil {
+		x.byIncarnation = make(map[directory.Incarnation]int, len(x.engines))
 		for i := range x.engines {
-			x.byLife[x.engines[i].Incarnation()] = i
+			x.byIncarnation[x.engines[i].Incarnation()] = i
 		}
 	}
-	i, listed := x.byLife[life]
+	i, listed := x.byIncarnation[incarnation]
 	return i, listed
 }
 
--- a/internal/gateway/placement/subset.go
+++ b/internal/gateway/placement/subset.go
@@ -9,8 +9,9 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/directory"
 )
 
-// Subset limits a node to a subset of the targets of a service. The zero value imposes no
-// limit.
+// Subset describes the targets of a service that a node prefers for plain calls. It uses the
+// others only if no target of the subset is healthy (tierOutsideSubset). The zero value
+// includes all targets.
 type Subset struct {
 	// Node is the name of the node. Different nodes get different subsets.
 	Node string
@@ -22,9 +23,9 @@
 //
 // Targets in the node's own data centre come first, followed by the others. Within each group
 // targets are ordered by rendezvous hashing with the name of the node, so that nodes spread
-// over the targets without communication, and adding or removing a target changes few
-// subsets. Targets are included regardless of their state: a failing target is avoided by its
-// tier, not by a different subset.
+// over the targets without communication, and adding or removing a target changes at most one
+// target of each subset. Targets are included regardless of their state: a failing target is
+// avoided by its tier, not by a different subset.
 func (s Subset) mask(targets []directory.Target, dataCentre string) []bool {
 	if s.Size <= 0 || s.Size >= len(targets) {
 		return nil
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -12,13 +12,13 @@
 	// latencyWeight is the weight of the newest response in the average latency. The last five
 	// responses make up two thirds of the average.
 	latencyWeight = 0.2
-	// failureWeight is the weight of the newest result in the failure rate. Two consecutive
-	// failures lead to an ejection.
+	// failureWeight is the weight of the newest result in the failure rate. Two failures in
+	// quick succession lead to an ejection (ejectionThreshold).
 	failureWeight = 2 * latencyWeight
 	// statsHalfLife is the half-life of a latency or failure rate, so that a target that was slow
-	// is tried again after a few seconds. The latency decays until each selection. The failure
-	// rate only decays when the next call ends, so that a target that failed keeps its failure
-	// rate while it is not called.
+	// is tried again after a few seconds. The latency is decayed to the time of each selection.
+	// The failure rate only decays when the next call ends, so that a target that failed keeps
+	// its failure rate while it is not called.
 	statsHalfLife = 3 * time.Second
 	// maxLoadAge is the maximum age of a load report. After that only this node's own calls
 	// are taken into account. A plain call takes about 20 ms, so that an older report does not
