--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -42,7 +42,7 @@
 }
 
 // merge merges two reports of one target's crash. The target may have had the request more
-// than once: the result covers the time of both, and is silent if either is.
+// than once: the result has the earlier SentAt and BrokenAt, and is silent if either is.
 func (c Crash) merge(other Crash) Crash {
 	if other.SentAt.Before(c.SentAt) {
 		c.SentAt = other.SentAt
@@ -54,7 +54,8 @@
 	return c
 }
 
-// withCrash returns the entry with a crash added, and updates Held.
+// withCrash returns the entry with a crash added, and sets Held if the crashes now
+// warrant a hold.
 func (e Entry) withCrash(c Crash) Entry {
 	i, known := slices.BinarySearchFunc(e.Crashes, c.Target, func(c Crash, target string) int { return strings.Compare(c.Target, target) })
 	crashes := slices.Clone(e.Crashes)
@@ -86,7 +87,8 @@
 }
 
 // merge merges the entries of two members. The one that was cleared more often wins; if
-// both were cleared equally often, the result has the crashes of both.
+// both were cleared equally often, the result has the crashes of both, and is held if
+// either is.
 func (e Entry) merge(other Entry) Entry {
 	switch {
 	case other.Cleared > e.Cleared:
--- a/internal/gateway/quarantine/fleet_test.go
+++ b/internal/gateway/quarantine/fleet_test.go
@@ -485,12 +485,12 @@
 	} {
 		cfg := usual
 		c.change(&cfg)
-		ends, late, refused, lost, innocent := 0, 0, 0, 0, 0
+		crashes, late, refused, lost, innocent := 0, 0, 0, 0, 0
 		for seed := range *fleetSeeds {
 			f := newFleet(cfg, uint64(seed))
 			f.run()
 			for _, b := range f.poison {
-				ends += b.crashes
+				crashes += b.crashes
 				late = max(late, b.lateArrivals)
 			}
 			refused, lost, innocent = refused+f.refused, lost+f.lost, innocent+f.innocent
@@ -499,7 +499,7 @@
 			}
 		}
 		t.Logf("%-36s crashes per poison request %.2f, maximum late arrivals %d, innocent attempts refused %d and lost %d of %d",
-			c.what, float64(ends)/float64(max(1, cfg.poisonCount**fleetSeeds)), late, refused, lost, innocent)
+			c.what, float64(crashes)/float64(max(1, cfg.poisonCount**fleetSeeds)), late, refused, lost, innocent)
 	}
 }
 
--- a/internal/gateway/quarantine/rule.go
+++ b/internal/gateway/quarantine/rule.go
@@ -13,11 +13,10 @@
 	// answer. A request that ran for a while is less likely to be the cause.
 	partialIncidentWeight = 1
 	// holdThreshold is the weight at which a request is held: two silent incidents, or four
-	// others. If three silent ones were required, a poison request would crash 3.1 targets
-	// instead of 2.1, and 1,392 instead of 802 of 140,000 attempts of innocent requests
-	// would be lost in the crashes, while none is refused in either case. With only four
-	// targets, 9,615 instead of 4,433 would be lost, and 5 instead of 126 refused
-	// (TestFleetOverSeeds with 200 seeds).
+	// others. If three silent ones were required, a poison request would crash one target
+	// more, and more attempts of innocent requests would be lost in the crashes. In return,
+	// fewer innocent requests would be refused where there are only a few targets; with
+	// more targets hardly any is refused in either case (TestFleetOverSeeds).
 	holdThreshold = 4
 	// silentCrashThreshold is the number of silent crashes at which a request is held even
 	// if all belong to one incident. Otherwise a poison request that arrives at many nodes
@@ -51,20 +50,22 @@
 // with the highest weight. The failure of a rack or data centre crashes targets whatever
 // they run, and a popular request may be at many of them. A poison request, in contrast,
 // crashes further targets when it is sent again after the first crash. If each crash
-// counted by itself, crashes of a quarter of all targets would cause 40 of 146,000 attempts
-// of innocent requests to be refused; with incidents there are none. The result does not
-// depend on the order, number or repetition of reports.
+// counted by itself, popular innocent requests would be refused after the simultaneous
+// crash of a quarter of all targets. The result does not depend on the order, number or
+// repetition of reports.
 //
-// A false positive refuses a harmless request as not run, for seconds up to a minute. A
-// false negative costs one more target.
+// A false positive refuses a harmless request for five seconds to a minute, as not run
+// (verdict.NotRun) if no attempt was sent before. A false negative crashes one more target.
 func warrantsHold(crashes []Crash) bool {
 	return totalWeight(crashes) >= holdThreshold || countSilent(crashes) >= silentCrashThreshold
 }
 
-// holdUntil returns the end of a held request's hold: singleIncidentHold after the last
-// crash if all belong to one incident, initialHold otherwise. Each crash after the end of a
-// hold is that of a failed trial, and multiplies the duration by holdBackoffFactor. This
-// excludes the first two crashes, which may be far apart.
+// holdUntil returns the end of a held request's hold. It lasts from the last crash for
+// initialHold, or for singleIncidentHold if the incidents do not reach holdThreshold, so
+// that the silent crashes of a single incident are the reason for the hold. A crash after
+// the end of a hold is that of a failed trial, and multiplies the duration by
+// holdBackoffFactor, up to maxHold. This excludes the first two crashes, which may be far
+// apart.
 func holdUntil(crashes []Crash) time.Time {
 	ordered := sortByTime(crashes)
 	duration := initialHold
--- a/internal/gateway/quarantine/rule_test.go
+++ b/internal/gateway/quarantine/rule_test.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// drawCrash draws a crash of one of six targets.
+// drawCrash draws a crash of one of six targets within 2.5 s after start.
 func drawCrash(t *rapid.T) Crash {
 	began := rapid.IntRange(0, 2000).Draw(t, "began")
 	return Crash{
--- a/internal/gateway/quarantine/table.go
+++ b/internal/gateway/quarantine/table.go
@@ -13,8 +13,9 @@
 const (
 	// maxEntries limits the requests in a table, of about 0.3 KB each with one crash and
 	// 1.5 KB with maxCrashes. It suffices for the requests of thirty targets that crash
-	// together. Beyond it, entries are evicted in the order in which they would expire, so
-	// that held ones go last.
+	// together. Beyond it, entries are evicted in the order in which they would expire:
+	// the suspected ones with the oldest last event first, and held ones last unless they
+	// are about to expire.
 	maxEntries = 1024
 	// evictionBatch is the number of entries that are evicted at once, so that the table is
 	// not sorted for every new entry.
--- a/internal/gateway/quarantine/tracker.go
+++ b/internal/gateway/quarantine/tracker.go
@@ -122,11 +122,11 @@
 	tr.update(member, digests, func(t *Table, now time.Time) bool { return t.Merge(now, entries) })
 }
 
-// update applies a change to some requests and logs those that it holds or releases. Only
-// these are reported to members at once. Requests that are merely suspected are reported in
-// the next regular rounds of gossip: a crash leaves dozens of suspects, nearly all of them
-// innocent, and extra rounds for them would raise processor time and traffic of 59 nodes by
-// a quarter on days with many crashes.
+// update applies a change to some requests and logs those that it holds or releases. The
+// change is reported to members at once if any of the requests is or was held. Requests that
+// are merely suspected are reported in the next regular rounds of gossip: a crash leaves
+// dozens of suspects, nearly all of them innocent, and when targets crash often, extra rounds
+// for them would noticeably raise the processor time and traffic of a large fleet.
 func (tr *Tracker) update(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -176,7 +176,7 @@
 }
 
 // NeedsSync reports whether to request all held entries from a member that reports the
-// given hash. It records the request.
+// given hash. If so, it records the time, and reports false for the next syncInterval.
 func (tr *Tracker) NeedsSync(heldSum string) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
