--- a/internal/gateway/membership/doc.go
+++ b/internal/gateway/membership/doc.go
@@ -11,6 +11,10 @@
 //   - newest.go: which member has the newest configuration and revision.
 //   - exchange.go: which members to exchange gossip with, and what to send them.
 //
+// The source is the store in which the configuration is published and targets register. Its
+// epoch increases when it is restored from an older copy of its data; members of an earlier
+// version do not distinguish epochs.
+//
 // The roster depends on gossip alone. An unreachable member is considered lost after
 // a timeout, and a node that reaches no other member serves, coordinates and reads
 // the source on its own. There is no leader election, so members on different sides
--- a/internal/gateway/membership/eligibility.go
+++ b/internal/gateway/membership/eligibility.go
@@ -9,16 +9,15 @@
 
 const (
 	// eligibleShare is the minimum capacity of an eligible member, relative to the
-	// strongest member. Weak members that coordinate fall behind and are taken for
-	// lost, which costs 0.08 and 0.27 of worth in two fleets of about 80 members whose
-	// capacities differ by a factor of ten (docs/decisions/0012).
+	// strongest member. If members' capacities differ by a factor of ten and the weak ones
+	// coordinate too, these fall behind and are taken for lost (docs/decisions/0012).
 	eligibleShare = 0.5
 	// maxEligible limits the eligible members. Each exchange reports all of them (see
 	// Gossip), so that hundreds of members agree on them within two or three rounds. If the
-	// reported members were all selected at random, 300 members would agree at no moment of
-	// ten seconds without faults (TestManyMembersAgree). The limit leaves two fifths of an
-	// exchange for the other members, and suffices to give each of a dozen coordinated
-	// services its own member.
+	// reported members were all selected at random, hundreds would practically never agree,
+	// even without faults (TestManyMembersAgree). The limit leaves two fifths of an exchange
+	// for the other members, and suffices to give each of a dozen coordinated services its
+	// own member.
 	maxEligible = 24
 	// eligibleCacheTTL is how long the list of eligible members is cached while the roster
 	// does not change. Every group of items and every prompt needs the list, which takes
--- a/internal/gateway/membership/exchange.go
+++ b/internal/gateway/membership/exchange.go
@@ -14,8 +14,9 @@
 const maxReported = 40
 
 // Gossip returns the message for an exchange with another member: this member and up
-// to maxReported others that are live or leaving. The strongest members, which do or just
-// did work for the fleet, are always included; the rest are chosen at random.
+// to maxReported others that are live or leaving. The strongest members (selectEligible) are
+// always included, because all members must soon know the state of those that do, or did
+// until now, work for the fleet. The rest are chosen at random.
 //
 // If the eligible members were chosen at random too, a heartbeat would need nine rounds
 // (4.3 s) to reach 300 members. That exceeds liveTimeout, so that at any moment many
--- a/internal/gateway/membership/readers.go
+++ b/internal/gateway/membership/readers.go
@@ -7,8 +7,8 @@
 
 // Number of members that read the source.
 const (
-	// maxAllReaders is the largest number of serving members of which all read. In so small
-	// a fleet, the loss of a few readers would delay changes.
+	// maxAllReaders is the largest number of serving members of which all read. If only some
+	// of so few members read, the loss of some readers would delay changes.
 	maxAllReaders = 9
 	// minReaders is the minimum number of readers in a larger fleet, so that the loss of
 	// two or three delays no change.
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -35,7 +35,7 @@
 	// lastSeen is the last time, by this node's clock, at which a report with a higher
 	// incarnation or counter arrived, or the member answered this node.
 	lastSeen time.Time
-	// suspectedUntil is the end of the member's suspicion; zero if it was never suspected.
+	// suspectedUntil is the end of the member's suspicion; zero for none.
 	suspectedUntil time.Time
 	// weight caches weightOf the member's address.
 	weight uint64
