--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -60,8 +60,9 @@
 	// Timeout limits the time from a request's arrival to the end of its response. If 0,
 	// the caller's own timeout applies.
 	Timeout time.Duration
-	// Objective is the latency objective, counted from the request's arrival: a response
-	// within it has full value. For a stream it is the time to the first event.
+	// Objective is the latency objective: the time from a request's arrival within which
+	// its response should arrive; for a stream, the time to the first event. A later
+	// response is of less use.
 	Objective time.Duration
 	// PauseLimit is the longest gap between two events of a stream that counts as on time.
 	PauseLimit time.Duration
@@ -256,7 +257,7 @@
 func (c *Catalog) Organisation(key string) *Organisation { return c.organisations[key] }
 
 // NeedsKeys reports whether routes that are not public require a key, which is the case
-// once the configuration has organisations.
+// if any organisation has one.
 func (c *Catalog) NeedsKeys() bool { return len(c.organisations) > 0 }
 
 // RouteCount returns the number of routes.
--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -3,7 +3,8 @@
 //
 // The package defines the states of a target and which targets accept new work
 // (Target.Usable). Package view interprets changes of the platform's list and decides
-// which data centres are evacuated. Without changes, targets keep their state.
+// which data centres are evacuated. The source is the store in which targets register and
+// from which the list is read. Without changes, targets keep their state.
 package directory
 
 import (
--- a/internal/gateway/directory/edit.go
+++ b/internal/gateway/directory/edit.go
@@ -21,9 +21,10 @@
 func (d *Directory) Edit() *Edit { return &Edit{base: d, evacuated: d.evacuated} }
 
 // Put adds or replaces a target. Within one incarnation, the later ColdUntil wins, a
-// Draining target does not become ready again, and a Returned one stays so until
-// StateUntil, since a source that was restored from an older copy lists outdated states. If
-// t has no start, the known one is kept: members of an earlier version forward targets
+// Draining target stays so, and a Returned one stays so until StateUntil unless it is now
+// Draining, since a source that was restored from an older copy lists outdated states. The
+// later ColdUntil also wins if the known start was 0, as t may be the same process. If t
+// has no start, the known one is kept: members of an earlier version forward targets
 // without it.
 func (e *Edit) Put(t Target) {
 	if known, is := e.lookup(t.ID); is {
--- a/internal/gateway/directory/returned_test.go
+++ b/internal/gateway/directory/returned_test.go
@@ -9,8 +9,7 @@
 )
 
 // TestStatesPersist guards against new work for targets that have left: an older list, or
-// a member with older knowledge, may report them as ready within the same
-// incarnation.
+// a member with older knowledge, may report them as ready within the same incarnation.
 func TestStatesPersist(t *testing.T) {
 	targetIn := func(s directory.State) directory.Target {
 		known := directory.Target{ID: "a", StartMs: 1, Service: "s", State: s}
