--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -157,7 +157,7 @@
 
 // addListed adds or updates a target from the service's target list.
 func (c *Core) addListed(listed directory.Target) {
-	t := c.pool.byLife[listed.Incarnation()]
+	t := c.pool.byIncarnation[listed.Incarnation()]
 	if t == nil {
 		t = newTarget(listed)
 		c.pool.add(t)
@@ -195,8 +195,8 @@
 	}
 }
 
-func (c *Core) release(now time.Time, life directory.Incarnation, handles []string) {
-	t := c.pool.byLife[life]
+func (c *Core) release(now time.Time, incarnation directory.Incarnation, handles []string) {
+	t := c.pool.byIncarnation[incarnation]
 	if t == nil || len(handles) == 0 {
 		return
 	}
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -190,7 +190,7 @@
 
 // recordInspection records a target's report, or that it gave none.
 func (c *Core) recordInspection(now time.Time, ev Inspected) {
-	t := c.pool.byLife[ev.Target]
+	t := c.pool.byIncarnation[ev.Target]
 	if t == nil {
 		return
 	}
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -7,8 +7,8 @@
 // docs/decisions/0012-batches.md and 0013-planning-stages.md.
 //
 // The items of one stage of one request form a group. A target that restarts under its ID
-// begins a new life (directory.Life). The results of finished items stay in the result
-// memory of their target until they are released or expire.
+// begins a new incarnation (directory.Incarnation). The results of finished items stay in
+// the result memory of their target until they are released or expire.
 //
 // The package owns the queue of one service, its running batches, its plans, and what was
 // observed of its targets: slowdown, use of result memory, backoff. There is one Core per
@@ -84,7 +84,8 @@
 type Result struct {
 	// Handle identifies the result at the target that stores it.
 	Handle string
-	// Target is the life of that target, in the form of directory.Life.String.
+	// Target is the incarnation of that target, in the form of
+	// directory.Incarnation.String.
 	Target string
 	// DataCentre is the data centre of that target.
 	DataCentre string
@@ -164,7 +165,7 @@
 
 // Release ends the use of results that have been read or are not needed.
 type Release struct {
-	// Target stores the results, which are lost when this life of it ends.
+	// Target stores the results, which are lost when this incarnation of it ends.
 	Target  directory.Incarnation
 	Handles []string
 }
--- a/internal/gateway/batching/life_test.go
+++ b/internal/gateway/batching/life_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestRestartedTarget checks that a target that restarts under its ID starts without the
-// results, backoff and batch of its earlier life.
+// results, backoff and batch of its earlier incarnation.
 func TestRestartedTarget(t *testing.T) {
 	convey.Convey("Given a target that holds results and restarts", t, func() {
 		c := newCore(1)
@@ -48,7 +48,7 @@
 		report := batching.Inspected{Target: restartedTargets(1)[0].Incarnation(), Report: batching.Report{FreeBytes: 1000}}
 		convey.So(sends(c.Handle(start, report)), convey.ShouldHaveLength, 1)
 	})
-	convey.Convey("The batch of the earlier life does not block the new one, and its items are retried when it ends", t, func() {
+	convey.Convey("The batch of the earlier incarnation does not block the new one, and its items are retried when it ends", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		c.Handle(start, batching.Configure{Service: service(), Targets: restartedTargets(1)})
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -22,9 +22,9 @@
 // state that this depends on.
 type pool struct {
 	// targets holds all targets, in the order in which they were first listed.
-	targets []*target
-	byLife  map[directory.Incarnation]*target
-	// latestByID holds the newest life of each target ID.
+	targets       []*target
+	byIncarnation map[directory.Incarnation]*target
+	// latestByID holds the newest incarnation of each target ID.
 	latestByID map[string]*target
 	// unusable holds the targets that get no batch.
 	unusable targetList
@@ -64,18 +64,18 @@
 }
 
 func newPool() *pool {
-	return &pool{byLife: map[directory.Incarnation]*target{}, latestByID: map[string]*target{}, byDataCentre: map[string]*dataCentreTargets{}}
+	return &pool{byIncarnation: map[directory.Incarnation]*target{}, latestByID: map[string]*target{}, byDataCentre: map[string]*dataCentreTargets{}}
 }
 
 // add adds a target. A target that restarted under the same ID is a new one; the results
-// of its earlier life are lost.
+// of its earlier incarnation are lost.
 func (p *pool) add(t *target) {
 	t.seq = len(p.targets)
 	if earlier := p.latestByID[t.ID]; earlier != nil {
 		earlier.memory.dropAll()
 	}
 	p.latestByID[t.ID] = t
-	p.byLife[t.Incarnation()] = t
+	p.byIncarnation[t.Incarnation()] = t
 	p.targets = append(p.targets, t)
 	p.reclassify(t)
 }
@@ -90,7 +90,7 @@
 			continue
 		}
 		t.list.remove(t)
-		delete(p.byLife, t.Incarnation())
+		delete(p.byIncarnation, t.Incarnation())
 		if p.latestByID[t.ID] == t {
 			delete(p.latestByID, t.ID)
 		}
--- a/internal/gateway/batching/rules_test.go
+++ b/internal/gateway/batching/rules_test.go
@@ -41,8 +41,8 @@
 	return t
 }
 
-// poolOf returns a pool of the given targets. Those with the same ID count as lives of
-// one target.
+// poolOf returns a pool of the given targets. Those with the same ID count as
+// incarnations of one target.
 func poolOf(targets ...*target) *pool {
 	p := newPool()
 	for _, t := range targets {
--- a/internal/gateway/view/restored_test.go
+++ b/internal/gateway/view/restored_test.go
@@ -97,34 +97,34 @@
 	})
 }
 
-// TestEarlierLifeAfterRestore guards against calls to a restarted target at the address of its
-// earlier life, which a restored source still lists.
-func TestEarlierLifeAfterRestore(t *testing.T) {
-	bornAt := func(born int64) view.TargetChange {
-		return view.TargetChange{Target: directory.Target{ID: "a", StartMs: born, Service: "s", Address: fmt.Sprint("host:", born)}}
+// TestEarlierIncarnationAfterRestore guards against calls to a restarted target at the address of
+// its earlier incarnation, which a restored source still lists.
+func TestEarlierIncarnationAfterRestore(t *testing.T) {
+	startedAt := func(startMs int64) view.TargetChange {
+		return view.TargetChange{Target: directory.Target{ID: "a", StartMs: startMs, Service: "s", Address: fmt.Sprint("host:", startMs)}}
 	}
-	shouldBeBornAt := func(v *view.View, born int64) {
+	shouldHaveStartedAt := func(v *view.View, startMs int64) {
 		got, known := v.Directory.Target("a")
 		convey.So(known, convey.ShouldBeTrue)
-		convey.So(got.StartMs, convey.ShouldEqual, born)
+		convey.So(got.StartMs, convey.ShouldEqual, startMs)
 	}
 	convey.Convey("Given a target that restarted after the copy was made", t, func() {
-		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{bornAt(1)}}, noOutage)
-		v = v.WithChanges(now, view.Changes{Revision: 6, List: []view.Change{bornAt(2)}}, noOutage)
-		v = v.WithSnapshot(now, afterRestore(bornAt(1)), noOutage)
-		convey.Convey("its present life is used until it has had time to register", func() {
-			shouldBeBornAt(v, 2)
+		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{startedAt(1)}}, noOutage)
+		v = v.WithChanges(now, view.Changes{Revision: 6, List: []view.Change{startedAt(2)}}, noOutage)
+		v = v.WithSnapshot(now, afterRestore(startedAt(1)), noOutage)
+		convey.Convey("its present incarnation is used until it has had time to register", func() {
+			shouldHaveStartedAt(v, 2)
 			shouldBeIn(directory.Lapsed, v, "a")
 			convey.So(v.WithTime(now.Add(view.LapseGrace)).Directory.All(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("and is ready when it has registered", func() {
-			v = v.WithChanges(now, view.Changes{Revision: view.NewRevision(1, 4), List: []view.Change{bornAt(2)}}, noOutage)
-			shouldBeBornAt(v, 2)
+			v = v.WithChanges(now, view.Changes{Revision: view.NewRevision(1, 4), List: []view.Change{startedAt(2)}}, noOutage)
+			shouldHaveStartedAt(v, 2)
 			shouldBeIn(directory.Ready, v, "a")
 		})
-		convey.Convey("as is a life that was not known before", func() {
-			v = v.WithChanges(now, view.Changes{Revision: view.NewRevision(1, 4), List: []view.Change{bornAt(3)}}, noOutage)
-			shouldBeBornAt(v, 3)
+		convey.Convey("as is an incarnation that was not known before", func() {
+			v = v.WithChanges(now, view.Changes{Revision: view.NewRevision(1, 4), List: []view.Change{startedAt(3)}}, noOutage)
+			shouldHaveStartedAt(v, 3)
 		})
 	})
 }
--- a/internal/gateway/view/tombstones.go
+++ b/internal/gateway/view/tombstones.go
@@ -16,10 +16,10 @@
 	returnGrace = 4 * time.Second
 )
 
-// tombstones records recently removed targets by life. It is immutable; the zero value is
-// empty.
+// tombstones records recently removed targets by incarnation. It is immutable; the zero
+// value is empty.
 type tombstones struct {
-	byLife map[directory.Incarnation]tombstone
+	byIncarnation map[directory.Incarnation]tombstone
 }
 
 // tombstone is one removed target.
@@ -35,23 +35,23 @@
 	if len(removed) == 0 {
 		return ts
 	}
-	next := make(map[directory.Incarnation]tombstone, len(ts.byLife)+len(removed))
-	maps.Copy(next, ts.byLife)
+	next := make(map[directory.Incarnation]tombstone, len(ts.byIncarnation)+len(removed))
+	maps.Copy(next, ts.byIncarnation)
 	maps.DeleteFunc(next, func(_ directory.Incarnation, known tombstone) bool { return now.Sub(known.removedAt) > tombstoneTTL })
 	for _, t := range removed {
 		next[t.Incarnation()] = tombstone{removedAt: now, wasDraining: t.State == directory.Draining}
 	}
-	return tombstones{byLife: next}
+	return tombstones{byIncarnation: next}
 }
 
-// relisted returns the target to store when a restored source lists t in a life that is not in
-// the directory. If that life was removed recently and is listed as ready, it is draining if it
-// was draining before, and Returned otherwise. If it was removed recently and the directory has
-// another life of the target, the listed one is ignored and the present one lapses until it is
-// listed. A target wrongly treated as ready gets work that it no longer takes; one wrongly held
-// back is unused for returnGrace.
+// relisted returns the target to store when a restored source lists t in an incarnation that is
+// not in the directory. If that incarnation was removed recently and is listed as ready, it is
+// draining if it was draining before, and Returned otherwise. If it was removed recently and the
+// directory has another incarnation of the target, the listed one is ignored and the present one
+// lapses until it is listed. A target wrongly treated as ready gets work that it no longer takes;
+// one wrongly held back is unused for returnGrace.
 func (ts tombstones) relisted(now time.Time, t directory.Target, current *directory.Directory) directory.Target {
-	known, removed := ts.byLife[t.Incarnation()]
+	known, removed := ts.byIncarnation[t.Incarnation()]
 	removed = removed && now.Sub(known.removedAt) <= tombstoneTTL
 	if present, exists := current.Target(t.ID); removed && exists {
 		return lapsed(now, present)
@@ -66,8 +66,8 @@
 	return t
 }
 
-// lapsed returns a target whose present life a restored source does not list: it lapses if it
-// is ready, and is unchanged otherwise.
+// lapsed returns a target whose present incarnation a restored source does not list: it lapses
+// if it is ready, and is unchanged otherwise.
 func lapsed(now time.Time, t directory.Target) directory.Target {
 	if t.State == directory.Ready {
 		t.State, t.StateUntil = directory.Lapsed, now.Add(LapseGrace)
