--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -39,7 +39,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET "+wire.PathMetrics, s.metrics.handler)
 	mux.HandleFunc("GET "+wire.PathReady, s.serveReady)
-	mux.HandleFunc("GET "+wire.PathState, func(w http.ResponseWriter, _ *http.Request) { writeMessage(w, s.state()) })
+	mux.HandleFunc("GET "+wire.PathState, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.state()) })
 	return mux
 }
 
@@ -68,29 +68,29 @@
 	state := message.GatewayState{
 		Node: s.members.self, DataCentre: s.dataCentre, Phase: s.phase(),
 		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inflight.Load()),
-		Targets: targetMessages(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
-		Evacuations: evacuationStates(s.now(), v.Evacuations), Held: s.quarantine.All().Requests,
+		Targets: encodeTargets(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
+		Evacuations: describeEvacuations(s.now(), v.Evacuations), Held: s.quarantine.All().Requests,
 		Limits: s.backpressure.Limits(), Holds: s.backpressure.Holds(),
 	}
 	batches := s.coordinators.states(ctx)
 	for _, service := range slices.Sorted(maps.Keys(batches)) {
-		state.Services = append(state.Services, batchMessage(service, batches[service]))
+		state.Services = append(state.Services, encodeBatchState(service, batches[service]))
 	}
 	return state
 }
 
-// evacuationStates describes evacuations with what members are not sent: when this node
+// describeEvacuations describes evacuations with what members are not sent: when this node
 // learnt of them and from whom.
-func evacuationStates(now time.Time, evacuations view.Evacuations) []message.ViewEvacuation {
+func describeEvacuations(now time.Time, evacuations view.Evacuations) []message.ViewEvacuation {
 	known := evacuations.All()
-	list := evacuationMessages(now, known)
+	list := encodeEvacuations(now, known)
 	for i, e := range known {
 		list[i].From, list[i].AgeMs = e.From, int(now.Sub(e.Since).Milliseconds())
 	}
 	return list
 }
 
-func batchMessage(service string, b batching.State) message.BatchState {
+func encodeBatchState(service string, b batching.State) message.BatchState {
 	return message.BatchState{
 		Service: service, Waiting: b.Waiting, Planned: b.Planned, Late: b.PastDue, Working: b.Busy, Targets: b.Targets,
 		HeldBytes: int(b.UsedBytes), RoomBytes: int(b.MemoryBytes), PerSecond: b.ItemsPerSecond, BacklogMs: int(b.Backlog.Milliseconds()),
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -98,7 +98,7 @@
 func (b *batches) releaseAt(member, service string, results []batching.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := b.peers.releaseAtMember(ctx, member, service, results); err != nil {
+	if err := b.peers.releaseResults(ctx, member, service, results); err != nil {
 		b.log.Debug().Str("service", service).Str("member", member).Int("results", len(results)).Err(err).
 			Msg("items: member took no releases, releasing locally")
 		b.local.release(service, results)
@@ -129,7 +129,7 @@
 func (b *batches) planAt(
 	ctx context.Context, member, request string, stages []relay.PlannedStage, numbers []int, backlogs []time.Duration,
 ) {
-	answer, err := b.peers.planAtMember(ctx, member, request, pick(stages, numbers))
+	answer, err := b.peers.planStages(ctx, member, request, pick(stages, numbers))
 	if err != nil {
 		b.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: no backlog from a member")
 		return
@@ -157,7 +157,7 @@
 func (b *batches) cancelAt(member, request string, stages []relay.PlannedStage) {
 	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
 	defer cancel()
-	if err := b.peers.cancelAtMember(ctx, member, request, stages); err != nil {
+	if err := b.peers.cancelStages(ctx, member, request, stages); err != nil {
 		b.log.Debug().Str("request", request).Str("member", member).Err(err).
 			Msg("items: a plan was not withdrawn at a member")
 	}
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	v := f.views.load()
-	snapshot, err := f.peers.viewAtMember(ctx, member, v.Revision, v.CatalogVersion())
+	snapshot, err := f.peers.fetchView(ctx, member, v.Revision, v.CatalogVersion())
 	if err != nil {
 		f.log.Debug().Str("member", member).Int64("revision", int64(v.Revision)).Err(err).
 			Msg("view: a member that is ahead gave no answer")
@@ -97,7 +97,7 @@
 	if s.Document == "" {
 		return nil, nil
 	}
-	document, err := documentOf(s)
+	document, err := decodeDocument(s)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 // takeDelta takes over what changed at a member, with a new configuration if there is
 // one.
 func (f *storeFollower) takeDelta(member string, s message.ViewSnapshot, catalog *view.CatalogChange) {
-	d := deltaOf(f.now(), member, s, catalog)
+	d := decodeDelta(f.now(), member, s, catalog)
 	f.log.Info().Str("member", member).Int("since", s.Since).Int("revision", s.Revision).
 		Msg("view: changes reported by a member")
 	f.views.apply(d.Changes(), func(now time.Time, v *view.View) *view.View { return v.WithDelta(now, d) })
@@ -119,9 +119,9 @@
 	ch := view.Changes{Revision: view.Revision(s.Revision), List: []view.Change{catalog}}
 	now := f.now()
 	for _, t := range s.Targets {
-		ch.List = append(ch.List, view.TargetChange{Target: targetOf(now, t)})
+		ch.List = append(ch.List, view.TargetChange{Target: decodeTarget(now, t)})
 	}
-	evacuations := evacuationsOf(now, member, s.Evacuations)
+	evacuations := decodeEvacuations(now, member, s.Evacuations)
 	if s.Evacuations == nil {
 		// A member of an earlier version knows of none, so that its list lifts none.
 		evacuations = f.views.load().Evacuations.All()
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -117,7 +117,7 @@
 		return pending.results, pending.err
 	case <-ctx.Done():
 		c.system.Root.Send(pid, cancelGroup{pending})
-		return nil, verdict.New(verdict.NotRun, unansweredReason(ctx), "the results of stage %d were not awaited", group.Stage)
+		return nil, verdict.New(verdict.NotRun, contextReason(ctx), "the results of stage %d were not awaited", group.Stage)
 	}
 }
 
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -45,7 +45,7 @@
 		f := knowsOfEvacuation()
 		whole.Evacuations = []message.ViewEvacuation{{DataCentre: "e", Active: true, Revision: 6}}
 		f.takeWhole("m", whole, catalogChange(2))
-		states := evacuationStates(time.Now().Add(time.Second), f.views.load().Evacuations)
+		states := describeEvacuations(time.Now().Add(time.Second), f.views.load().Evacuations)
 		convey.So(states, convey.ShouldHaveLength, 2)
 		convey.So(states[1].From, convey.ShouldEqual, "m")
 		convey.So(states[1].AgeMs, convey.ShouldBeGreaterThanOrEqualTo, 1000)
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -108,7 +108,7 @@
 func (g *gossip) exchange(ctx context.Context, member string) bool {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	in, err := g.peers.gossipAtMember(ctx, member, g.withReports(g.members.gossip()), g.members.readsCompact(member))
+	in, err := g.peers.exchangeGossip(ctx, member, g.withReports(g.members.gossip()), g.members.readsCompact(member))
 	if err != nil {
 		return false
 	}
@@ -143,7 +143,7 @@
 	if !g.quarantine.Compare(in.HeldSum) {
 		return
 	}
-	held, err := g.peers.heldAtMember(ctx, member)
+	held, err := g.peers.fetchHeldRequests(ctx, member)
 	if err != nil {
 		g.log.Debug().Str("member", member).Err(err).Msg("quarantine: the member did not say what it holds")
 		return
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -32,7 +32,7 @@
 	}
 	answered := make(chan answer, 1)
 	go func() {
-		results, err := b.peers.runAtMember(ctx, member, service, group, inputsRead)
+		results, err := b.peers.runItems(ctx, member, service, group, inputsRead)
 		answered <- answer{results, err}
 	}()
 	check := time.NewTicker(aliveFor)
--- a/internal/gateway/liveness_test.go
+++ b/internal/gateway/liveness_test.go
@@ -22,7 +22,7 @@
 		release := make(chan struct{})
 		member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			<-release
-			writeMessage(w, message.ItemResults{Results: []message.ItemResult{{Handle: "h", Target: "t"}}})
+			writeJSON(w, message.ItemResults{Results: []message.ItemResult{{Handle: "h", Target: "t"}}})
 		}))
 		defer member.Close()
 		released := false
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -40,7 +40,7 @@
 	c.processor.Lock()
 	time.Sleep(overloadCost)
 	c.processor.Unlock()
-	writeMessage(w, message.ItemBacklogs{BacklogMs: []int{int(overloadCost.Milliseconds())}})
+	writeJSON(w, message.ItemBacklogs{BacklogMs: []int{int(overloadCost.Milliseconds())}})
 }
 
 // newRemoteBatches returns the batches of a node whose services another member coordinates.
--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -40,21 +40,21 @@
 // it and returns what the member answered. It owns the HTTP client. Callers bound
 // the calls by their contexts; a call that fails is not retried here.
 type peerClient struct {
-	now  func() time.Time
-	http *http.Client
+	now    func() time.Time
+	client *http.Client
 }
 
 func newPeerClient(now func() time.Time) *peerClient {
 	dialer := tcpconn.Dialer(peerDialTimeout)
-	return &peerClient{now: now, http: &http.Client{Transport: &http.Transport{
+	return &peerClient{now: now, client: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: peerIdleConns,
 		IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
 	}}}
 }
 
-// gossipAtMember sends a member what is known of all members and returns what it
+// exchangeGossip sends a member what is known of all members and returns what it
 // knows. compact says that the member reads the compact form.
-func (c *peerClient) gossipAtMember(ctx context.Context, member string, in message.Gossip, compact bool) (message.Gossip, error) {
+func (c *peerClient) exchangeGossip(ctx context.Context, member string, in message.Gossip, compact bool) (message.Gossip, error) {
 	body, kind, err := gossipcodec.Encode(in, compact)
 	if err != nil {
 		return message.Gossip{}, err
@@ -65,7 +65,7 @@
 	}
 	req.Header.Set("Content-Type", kind)
 	req.Header.Set("Accept", gossipcodec.CompactMediaType)
-	resp, err := c.http.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return message.Gossip{}, err
 	}
@@ -77,31 +77,31 @@
 	return gossipcodec.Decode(io.LimitReader(resp.Body, wire.MaxAnswerBytes), resp.Header.Get("Content-Type"))
 }
 
-// runAtMember has a member run the items of a group. It calls inputsRead when the
+// runItems has a member run the items of a group. It calls inputsRead when the
 // member reports that the items have read their inputs.
-func (c *peerClient) runAtMember(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+func (c *peerClient) runItems(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	now := c.now()
 	ctx, cancel := context.WithTimeout(ctx, group.Deadline.Sub(now))
 	defer cancel()
-	out := itemAnswer{inputsRead: inputsRead}
-	err := c.call(ctx, http.MethodPost, member, wire.PathItems, groupMessage(now, service, group), &out)
+	out := itemsReply{onInputsRead: inputsRead}
+	err := c.call(ctx, http.MethodPost, member, wire.PathItems, encodeGroup(now, service, group), &out)
 	if err != nil {
-		return nil, verdict.New(verdict.NotRun, unansweredReason(ctx), "member %s gave no results", member).WithCause(err)
+		return nil, verdict.New(verdict.NotRun, contextReason(ctx), "member %s gave no results", member).WithCause(err)
 	}
 	if out.Reason != "" {
-		return nil, refusalOf(out.ItemResults)
+		return nil, decodeRefusal(out.ItemResults)
 	}
 	if len(out.Results) != group.Count {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonInternal,
 			"member %s gave %d results for %d items", member, len(out.Results), group.Count)
 	}
-	return resultsOf(out.Results), nil
+	return decodeResults(out.Results), nil
 }
 
-// unansweredReason says why a call or a group got no answer, by the context that it
+// contextReason says why a call or a group got no answer, by the context that it
 // ran in. When its time was over or nobody waits for it any more, that says nothing of
 // the member.
-func unansweredReason(ctx context.Context) verdict.Reason {
+func contextReason(ctx context.Context) verdict.Reason {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
 		return verdict.ReasonDeadline
@@ -111,51 +111,51 @@
 	return verdict.ReasonConnection
 }
 
-// releaseAtMember has the coordinator of a service release results.
-func (c *peerClient) releaseAtMember(ctx context.Context, member, service string, results []batching.Result) error {
-	in := message.ItemRelease{Service: service, Results: resultMessages(results)}
+// releaseResults has the coordinator of a service release results.
+func (c *peerClient) releaseResults(ctx context.Context, member, service string, results []batching.Result) error {
+	in := message.ItemRelease{Service: service, Results: encodeResults(results)}
 	return c.call(ctx, http.MethodPost, member, wire.PathRelease, in, nil)
 }
 
-// planAtMember announces planned stages to their coordinator and returns the
+// planStages announces planned stages to their coordinator and returns the
 // backlog of each.
-func (c *peerClient) planAtMember(ctx context.Context, member, request string, stages []relay.PlannedStage) ([]time.Duration, error) {
+func (c *peerClient) planStages(ctx context.Context, member, request string, stages []relay.PlannedStage) ([]time.Duration, error) {
 	var out message.ItemBacklogs
-	err := c.call(ctx, http.MethodPost, member, wire.PathPlan, planMessage(c.now(), request, stages), &out)
+	err := c.call(ctx, http.MethodPost, member, wire.PathPlan, encodePlan(c.now(), request, stages), &out)
 	if err != nil {
 		return nil, err
 	}
 	if len(out.BacklogMs) != len(stages) {
 		return nil, errors.Errorf("member %s gave %d backlogs for %d stages", member, len(out.BacklogMs), len(stages))
 	}
-	return backlogsOf(out), nil
+	return decodeBacklogs(out), nil
 }
 
-// cancelAtMember withdraws planned stages from their coordinator.
-func (c *peerClient) cancelAtMember(ctx context.Context, member, request string, stages []relay.PlannedStage) error {
-	in := planMessage(c.now(), request, stages)
+// cancelStages withdraws planned stages from their coordinator.
+func (c *peerClient) cancelStages(ctx context.Context, member, request string, stages []relay.PlannedStage) error {
+	in := encodePlan(c.now(), request, stages)
 	in.Cancelled = true
 	return c.call(ctx, http.MethodPost, member, wire.PathPlan, in, nil)
 }
 
-// placeAtMember has a member choose the engine for a prompt; one without identity
+// placePrompt has a member choose the engine for a prompt; one without identity
 // for none.
-func (c *peerClient) placeAtMember(ctx context.Context, member, service string, q placement.Prompt) (relay.Placed, error) {
+func (c *peerClient) placePrompt(ctx context.Context, member, service string, q placement.Prompt) (relay.Placed, error) {
 	var out message.PromptPlaced
-	err := c.call(ctx, http.MethodPost, member, wire.PathPlace, promptMessage(service, q), &out)
+	err := c.call(ctx, http.MethodPost, member, wire.PathPlace, encodePrompt(service, q), &out)
 	return relay.Placed{Engine: out.Target, CopyFrom: out.CopyFrom}, err
 }
 
-// endPrefillAtMember reports to the member that placed a prompt that its prefill has
+// reportPrefill reports to the member that placed a prompt that its prefill has
 // ended; prefilled says whether the first event came.
-func (c *peerClient) endPrefillAtMember(ctx context.Context, member, service, request string, prefilled bool) error {
+func (c *peerClient) reportPrefill(ctx context.Context, member, service, request string, prefilled bool) error {
 	in := message.PromptRead{Service: service, Request: request, Whole: prefilled}
 	return c.call(ctx, http.MethodPost, member, wire.PathRead, in, nil)
 }
 
-// viewAtMember returns what a member knows beyond a revision and a version of the
+// fetchView returns what a member knows beyond a revision and a version of the
 // configuration.
-func (c *peerClient) viewAtMember(ctx context.Context, member string, since view.Revision, version int64) (message.ViewSnapshot, error) {
+func (c *peerClient) fetchView(ctx context.Context, member string, since view.Revision, version int64) (message.ViewSnapshot, error) {
 	query := url.Values{
 		paramSince: {strconv.FormatInt(int64(since), 10)}, paramVersion: {strconv.FormatInt(version, 10)},
 		paramCatalog: {"true"},
@@ -165,8 +165,8 @@
 	return out, err
 }
 
-// heldAtMember returns the requests that a member holds back.
-func (c *peerClient) heldAtMember(ctx context.Context, member string) ([]message.SuspectRequest, error) {
+// fetchHeldRequests returns the requests that a member holds back.
+func (c *peerClient) fetchHeldRequests(ctx context.Context, member string) ([]message.SuspectRequest, error) {
 	var out message.SuspectList
 	err := c.call(ctx, http.MethodGet, member, wire.PathSuspects, nil, &out)
 	return out.Requests, err
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return err
 	}
@@ -197,20 +197,20 @@
 		return err
 	}
 	decoder := json.NewDecoder(io.LimitReader(resp.Body, wire.MaxAnswerBytes))
-	if answer, ok := out.(*itemAnswer); ok {
+	if answer, ok := out.(*itemsReply); ok {
 		return answer.read(decoder)
 	}
 	return decoder.Decode(out)
 }
 
-// itemAnswer is a member's answer to a group: possibly a report that the inputs
+// itemsReply is a member's answer to a group: possibly a report that the inputs
 // have been read, and then the results.
-type itemAnswer struct {
+type itemsReply struct {
 	message.ItemResults
-	inputsRead func()
+	onInputsRead func()
 }
 
-func (a *itemAnswer) read(decoder *json.Decoder) error {
+func (a *itemsReply) read(decoder *json.Decoder) error {
 	for {
 		a.ItemResults = message.ItemResults{}
 		if err := decoder.Decode(&a.ItemResults); err != nil {
@@ -219,6 +219,6 @@
 		if !a.Started {
 			return nil
 		}
-		a.inputsRead()
+		a.onInputsRead()
 	}
 }
--- a/internal/gateway/peerclient_test.go
+++ b/internal/gateway/peerclient_test.go
@@ -24,18 +24,18 @@
 		address := strings.TrimPrefix(member.URL, "http://")
 		convey.Convey("items whose time is over are late, and the member does not count as lost", func() {
 			group := relay.Group{Count: 1, Deadline: time.Now().Add(20 * time.Millisecond)}
-			_, err := peers.runAtMember(t.Context(), address, "s", group, func() {})
+			_, err := peers.runItems(t.Context(), address, "s", group, func() {})
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonDeadline)
 		})
 		convey.Convey("nor is it when nobody waits for them any more", func() {
 			ctx, cancel := context.WithCancel(t.Context())
 			time.AfterFunc(20*time.Millisecond, cancel)
-			_, err := peers.runAtMember(ctx, address, "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
+			_, err := peers.runItems(ctx, address, "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonCancelled)
 		})
 	})
 	convey.Convey("A member that takes no connection is lost", t, func() {
-		_, err := peers.runAtMember(t.Context(), "127.0.0.1:1", "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
+		_, err := peers.runItems(t.Context(), "127.0.0.1:1", "s", relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}, func() {})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonConnection)
 	})
 }
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -40,7 +40,7 @@
 // millisUntil returns how many whole milliseconds after now t is.
 func millisUntil(now, t time.Time) int { return int(t.Sub(now).Milliseconds()) }
 
-func groupMessage(now time.Time, service string, g relay.Group) message.ItemGroup {
+func encodeGroup(now time.Time, service string, g relay.Group) message.ItemGroup {
 	return message.ItemGroup{
 		Service: service, Request: g.Request, Stage: g.Stage, Count: g.Count,
 		Source: g.Source, Inputs: g.Inputs, ReadMs: int(g.ReadTime.Milliseconds()), Bytes: int(g.Bytes),
@@ -49,7 +49,7 @@
 	}
 }
 
-func groupOf(now time.Time, in message.ItemGroup) relay.Group {
+func decodeGroup(now time.Time, in message.ItemGroup) relay.Group {
 	readTime := millis(in.ReadMs)
 	if readTime == 0 {
 		// A member of an earlier version does not say.
@@ -65,21 +65,21 @@
 	}
 }
 
-// answerMessage is the answer to a group that ended with results or an error.
-func answerMessage(results []batching.Result, err *verdict.Error) message.ItemResults {
-	out := message.ItemResults{Results: resultMessages(results)}
+// encodeAnswer is the answer to a group that ended with results or an error.
+func encodeAnswer(results []batching.Result, err *verdict.Error) message.ItemResults {
+	out := message.ItemResults{Results: encodeResults(results)}
 	if err != nil {
 		out.Reason, out.Text, out.RetryAfterMs = string(err.Reason()), err.Text(), int(err.RetryAfter().Milliseconds())
 	}
 	return out
 }
 
-// refusalOf is the error of an answer without results.
-func refusalOf(out message.ItemResults) *verdict.Error {
+// decodeRefusal is the error of an answer without results.
+func decodeRefusal(out message.ItemResults) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.Reason(out.Reason), "%s", out.Text).WithRetryAfter(millis(out.RetryAfterMs))
 }
 
-func resultMessages(results []batching.Result) []message.ItemResult {
+func encodeResults(results []batching.Result) []message.ItemResult {
 	list := make([]message.ItemResult, len(results))
 	for i, r := range results {
 		list[i] = message.ItemResult{Handle: r.Handle, Target: r.Target, DataCentre: r.DataCentre}
@@ -87,7 +87,7 @@
 	return list
 }
 
-func resultsOf(list []message.ItemResult) []batching.Result {
+func decodeResults(list []message.ItemResult) []batching.Result {
 	results := make([]batching.Result, len(list))
 	for i, r := range list {
 		results[i] = batching.Result{Handle: r.Handle, Target: r.Target, DataCentre: r.DataCentre}
@@ -95,7 +95,7 @@
 	return results
 }
 
-func planMessage(now time.Time, request string, stages []relay.PlannedStage) message.ItemPlan {
+func encodePlan(now time.Time, request string, stages []relay.PlannedStage) message.ItemPlan {
 	plan := message.ItemPlan{Request: request, Stages: make([]message.PlannedStage, len(stages))}
 	for i, s := range stages {
 		plan.Stages[i] = message.PlannedStage{Service: s.Service, Stage: s.Stage, Items: s.Items, DueMs: millisUntil(now, s.Due)}
@@ -103,7 +103,7 @@
 	return plan
 }
 
-func stagesOf(now time.Time, in message.ItemPlan) []relay.PlannedStage {
+func decodePlan(now time.Time, in message.ItemPlan) []relay.PlannedStage {
 	stages := make([]relay.PlannedStage, len(in.Stages))
 	for i, s := range in.Stages {
 		stages[i] = relay.PlannedStage{Service: s.Service, Stage: s.Stage, Items: s.Items, Due: now.Add(millis(s.DueMs))}
@@ -111,7 +111,7 @@
 	return stages
 }
 
-func backlogsOf(in message.ItemBacklogs) []time.Duration {
+func decodeBacklogs(in message.ItemBacklogs) []time.Duration {
 	backlogs := make([]time.Duration, len(in.BacklogMs))
 	for i, ms := range in.BacklogMs {
 		backlogs[i] = millis(ms)
@@ -119,13 +119,13 @@
 	return backlogs
 }
 
-func promptMessage(service string, q placement.Prompt) message.PromptPlace {
+func encodePrompt(service string, q placement.Prompt) message.PromptPlace {
 	m := message.PromptPlace{
-		Service: service, Request: q.Request, Key: keyText(0), Tokens: q.Tokens,
+		Service: service, Request: q.Request, Key: formatKey(0), Tokens: q.Tokens,
 		SlackMs: int(q.Slack.Milliseconds()), Exclude: q.Exclude, Suspect: q.Suspect,
 	}
 	for _, part := range q.Shared {
-		m.Key = keyText(part.Key)
+		m.Key = formatKey(part.Key)
 		m.SharedTokens += part.Tokens
 		m.Shared = append(m.Shared, message.PromptPart{Key: m.Key, Tokens: part.Tokens})
 	}
@@ -135,7 +135,7 @@
 	return m
 }
 
-func promptOf(in message.PromptPlace) (placement.Prompt, error) {
+func decodePrompt(in message.PromptPlace) (placement.Prompt, error) {
 	q := placement.Prompt{
 		Request: in.Request, Tokens: in.Tokens, Slack: millis(in.SlackMs), Exclude: in.Exclude, Suspect: in.Suspect,
 		InputBytes: make(map[string]int64, len(in.Pull)),
@@ -160,8 +160,8 @@
 	return q, nil
 }
 
-// keyText is the hash of a part of a prompt as members exchange it.
-func keyText(key uint64) string { return strconv.FormatUint(key, keyBase) }
+// formatKey is the hash of a part of a prompt as members exchange it.
+func formatKey(key uint64) string { return strconv.FormatUint(key, keyBase) }
 
 // How hashes of parts of prompts are written.
 const (
@@ -171,23 +171,23 @@
 	keyBits = 64
 )
 
-// snapshotMessage is all that a view holds.
-func snapshotMessage(now time.Time, v *view.View) message.ViewSnapshot {
+// encodeSnapshot is all that a view holds.
+func encodeSnapshot(now time.Time, v *view.View) message.ViewSnapshot {
 	return message.ViewSnapshot{
-		Revision: int(v.Revision), Document: base64.StdEncoding.EncodeToString(v.Document), Targets: targetMessages(now, v.Directory),
-		Evacuations: evacuationMessages(now, v.Evacuations.All()),
+		Revision: int(v.Revision), Document: base64.StdEncoding.EncodeToString(v.Document), Targets: encodeTargets(now, v.Directory),
+		Evacuations: encodeEvacuations(now, v.Evacuations.All()),
 	}
 }
 
-// deltaMessage is what changed; document is the text of a new configuration, nil for
+// encodeDelta is what changed; document is the text of a new configuration, nil for
 // none.
-func deltaMessage(now time.Time, d view.Delta, document []byte) message.ViewSnapshot {
+func encodeDelta(now time.Time, d view.Delta, document []byte) message.ViewSnapshot {
 	m := message.ViewSnapshot{
 		Since: int(d.Since), Revision: int(d.Revision), Targets: []message.ViewTarget{}, Gone: d.Removed,
-		Document: base64.StdEncoding.EncodeToString(document), Evacuations: evacuationMessages(now, d.Evacuations),
+		Document: base64.StdEncoding.EncodeToString(document), Evacuations: encodeEvacuations(now, d.Evacuations),
 	}
 	for _, t := range d.Targets {
-		m.Targets = append(m.Targets, targetMessage(now, t))
+		m.Targets = append(m.Targets, encodeTarget(now, t))
 	}
 	return m
 }
@@ -195,22 +195,22 @@
 // isDelta says whether a member sent what changed instead of all that it knows.
 func isDelta(s message.ViewSnapshot) bool { return s.Since > 0 }
 
-// deltaOf reads what a member said that changed; catalog is the configuration that came
+// decodeDelta reads what a member said that changed; catalog is the configuration that came
 // with it, nil for none.
-func deltaOf(now time.Time, member string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
+func decodeDelta(now time.Time, member string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
 	d := view.Delta{
 		Since: view.Revision(s.Since), Revision: view.Revision(s.Revision), Removed: s.Gone, Catalog: catalog,
-		Evacuations: evacuationsOf(now, member, s.Evacuations),
+		Evacuations: decodeEvacuations(now, member, s.Evacuations),
 	}
 	for _, t := range s.Targets {
-		d.Targets = append(d.Targets, targetOf(now, t))
+		d.Targets = append(d.Targets, decodeTarget(now, t))
 	}
 	return d
 }
 
-// evacuationMessages is what members are sent of evacuations. The list is never nil:
+// encodeEvacuations is what members are sent of evacuations. The list is never nil:
 // without one a member counts as of an earlier version, which knows of none.
-func evacuationMessages(now time.Time, list []view.Evacuation) []message.ViewEvacuation {
+func encodeEvacuations(now time.Time, list []view.Evacuation) []message.ViewEvacuation {
 	out := make([]message.ViewEvacuation, len(list))
 	for i, e := range list {
 		out[i] = message.ViewEvacuation{DataCentre: e.DataCentre, Active: e.Active, Revision: int(e.Revision), OrderedAt: int(e.OrderedAt)}
@@ -221,8 +221,8 @@
 	return out
 }
 
-// evacuationsOf is what a member said of evacuations.
-func evacuationsOf(now time.Time, member string, list []message.ViewEvacuation) []view.Evacuation {
+// decodeEvacuations is what a member said of evacuations.
+func decodeEvacuations(now time.Time, member string, list []message.ViewEvacuation) []view.Evacuation {
 	var out []view.Evacuation
 	for _, m := range list {
 		e := view.Evacuation{
@@ -236,24 +236,24 @@
 	return out
 }
 
-// documentOf returns the text of the configuration that a member sent.
-func documentOf(s message.ViewSnapshot) ([]byte, error) {
+// decodeDocument returns the text of the configuration that a member sent.
+func decodeDocument(s message.ViewSnapshot) ([]byte, error) {
 	document, err := base64.StdEncoding.DecodeString(s.Document)
 	return document, errors.Wrap(err, "the configuration is not base64")
 }
 
-// targetMessages lists the targets in the order of their identities.
-func targetMessages(now time.Time, d *directory.Directory) []message.ViewTarget {
+// encodeTargets lists the targets in the order of their identities.
+func encodeTargets(now time.Time, d *directory.Directory) []message.ViewTarget {
 	list := make([]message.ViewTarget, 0, len(d.All()))
 	for _, id := range slices.Sorted(maps.Keys(d.All())) {
-		list = append(list, targetMessage(now, d.All()[id]))
+		list = append(list, encodeTarget(now, d.All()[id]))
 	}
 	return list
 }
 
-// targetMessage describes a target to a member. One whose entry has expired and
+// encodeTarget describes a target to a member. One whose entry has expired and
 // which is about to be dropped has the shortest time there is: 0 says not expired.
-func targetMessage(now time.Time, t directory.Target) message.ViewTarget {
+func encodeTarget(now time.Time, t directory.Target) message.ViewTarget {
 	m := message.ViewTarget{
 		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.Born),
 		Draining: t.State == directory.Draining,
@@ -271,8 +271,8 @@
 	return m
 }
 
-// targetOf is a target that a member described.
-func targetOf(now time.Time, t message.ViewTarget) directory.Target {
+// decodeTarget is a target that a member described.
+func decodeTarget(now time.Time, t message.ViewTarget) directory.Target {
 	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int32(t.Slots), Born: int64(t.Born)}
 	switch {
 	case t.Draining:
--- a/internal/gateway/peermessages_test.go
+++ b/internal/gateway/peermessages_test.go
@@ -25,22 +25,22 @@
 			Request: "r", Stage: 2, Count: 3, Source: "s", Inputs: []string{"i"}, ReadTime: time.Second, Bytes: 4,
 			Due: sent.Add(time.Second), Deadline: sent.Add(-time.Second), Priority: 5, DataCentre: "d",
 		}
-		got := groupOf(received, groupMessage(sent, "service", g))
+		got := decodeGroup(received, encodeGroup(sent, "service", g))
 		g.Due, g.Deadline = received.Add(time.Second), received.Add(-time.Second)
 		convey.So(got, convey.ShouldResemble, g)
 	})
 	convey.Convey("So does a plan, and its backlogs are durations", t, func() {
 		stages := []relay.PlannedStage{{Service: "s", Stage: 1, Items: 2, Due: sent.Add(time.Minute)}}
-		got := stagesOf(received, planMessage(sent, "r", stages))
+		got := decodePlan(received, encodePlan(sent, "r", stages))
 		stages[0].Due = received.Add(time.Minute)
 		convey.So(got, convey.ShouldResemble, stages)
-		convey.So(backlogsOf(message.ItemBacklogs{BacklogMs: []int{250, 0}}), convey.ShouldResemble, []time.Duration{250 * time.Millisecond, 0})
+		convey.So(decodeBacklogs(message.ItemBacklogs{BacklogMs: []int{250, 0}}), convey.ShouldResemble, []time.Duration{250 * time.Millisecond, 0})
 	})
 	convey.Convey("Results and refusals stay what they are", t, func() {
 		results := []batching.Result{{Handle: "h", Target: "t", DataCentre: "d"}}
-		convey.So(resultsOf(answerMessage(results, nil).Results), convey.ShouldResemble, results)
+		convey.So(decodeResults(encodeAnswer(results, nil).Results), convey.ShouldResemble, results)
 		refusal := verdict.New(verdict.NotRun, verdict.ReasonOverload, "why").WithRetryAfter(time.Second)
-		got := refusalOf(answerMessage(nil, refusal))
+		got := decodeRefusal(encodeAnswer(nil, refusal))
 		convey.So(got.Reason(), convey.ShouldEqual, verdict.ReasonOverload)
 		convey.So(got.Text(), convey.ShouldEqual, "why")
 		convey.So(got.RetryAfter(), convey.ShouldEqual, time.Second)
@@ -50,42 +50,42 @@
 			Request: "r", Shared: []placement.SharedPart{{Key: 1<<63 + 1, Tokens: 2}, {Key: 5, Tokens: 1}}, Tokens: 3, Slack: time.Second, Exclude: []string{"e"},
 			InputBytes: map[string]int64{"d": 4},
 		}
-		got, err := promptOf(promptMessage("s", q))
+		got, err := decodePrompt(encodePrompt("s", q))
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(got, convey.ShouldResemble, q)
 		convey.Convey("and one that does not parse is refused", func() {
-			_, err := promptOf(message.PromptPlace{Key: "not a number"})
+			_, err := decodePrompt(message.PromptPlace{Key: "not a number"})
 			convey.So(err, convey.ShouldNotBeNil)
 		})
 	})
 	convey.Convey("A prompt of a member that sends no parts has its last part alone", t, func() {
-		got, err := promptOf(message.PromptPlace{Key: "a", SharedTokens: 7})
+		got, err := decodePrompt(message.PromptPlace{Key: "a", SharedTokens: 7})
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(got.Shared, convey.ShouldResemble, []placement.SharedPart{{Key: 10, Tokens: 7}})
 	})
 	convey.Convey("A target keeps its state, and the time until it expires", t, func() {
 		target := directory.Target{ID: "t", Service: "s", Address: "a", DataCentre: "d", Slots: 1}
-		convey.So(targetOf(received, targetMessage(sent, target)), convey.ShouldResemble, target)
+		convey.So(decodeTarget(received, encodeTarget(sent, target)), convey.ShouldResemble, target)
 		target.State = directory.Draining
-		convey.So(targetOf(received, targetMessage(sent, target)), convey.ShouldResemble, target)
+		convey.So(decodeTarget(received, encodeTarget(sent, target)), convey.ShouldResemble, target)
 		target.State, target.StateUntil = directory.Lapsed, sent.Add(time.Second)
-		got := targetOf(received, targetMessage(sent, target))
+		got := decodeTarget(received, encodeTarget(sent, target))
 		convey.So(got.State, convey.ShouldEqual, directory.Lapsed)
 		convey.So(got.StateUntil, convey.ShouldEqual, received.Add(time.Second))
 		convey.Convey("and is still expired when that time is over", func() {
-			got := targetOf(received, targetMessage(sent.Add(time.Minute), target))
+			got := decodeTarget(received, encodeTarget(sent.Add(time.Minute), target))
 			convey.So(got.State, convey.ShouldEqual, directory.Lapsed)
 		})
 	})
 	convey.Convey("A delta stays a delta, and a whole view a whole", t, func() {
 		d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t"}}, Removed: []string{"gone"}}
-		m := deltaMessage(sent, d, nil)
+		m := encodeDelta(sent, d, nil)
 		convey.So(isDelta(m), convey.ShouldBeTrue)
-		convey.So(deltaOf(received, "", m, nil), convey.ShouldResemble, d)
-		whole := snapshotMessage(sent, view.New())
+		convey.So(decodeDelta(received, "", m, nil), convey.ShouldResemble, d)
+		whole := encodeSnapshot(sent, view.New())
 		convey.So(isDelta(whole), convey.ShouldBeFalse)
 		convey.Convey("whose configuration is refused when it is not base64", func() {
-			_, err := documentOf(message.ViewSnapshot{Document: "!"})
+			_, err := decodeDocument(message.ViewSnapshot{Document: "!"})
 			convey.So(err, convey.ShouldNotBeNil)
 		})
 	})
@@ -98,19 +98,19 @@
 	d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t", Service: "s"}}, Removed: []string{"g"}}
 	convey.Convey("A delta keeps its content", t, func() {
 		convey.Convey("without a configuration", func() {
-			m := deltaMessage(now, d, nil)
+			m := encodeDelta(now, d, nil)
 			convey.So(isDelta(m), convey.ShouldBeTrue)
 			convey.So(m.Document, convey.ShouldBeEmpty)
-			convey.So(deltaOf(now, "", m, nil), convey.ShouldResemble, d)
+			convey.So(decodeDelta(now, "", m, nil), convey.ShouldResemble, d)
 		})
 		convey.Convey("with one, which is in force once it is taken in", func() {
 			c := catalogChange(2)
-			m := deltaMessage(now, d, c.Document)
-			document, err := documentOf(m)
+			m := encodeDelta(now, d, c.Document)
+			document, err := decodeDocument(m)
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(document, convey.ShouldResemble, c.Document)
 			behind := view.New().WithChanges(now, view.Changes{Revision: 3, List: []view.Change{catalogChange(1)}}, time.Time{})
-			caughtUp := behind.WithDelta(now, deltaOf(now, "", m, &c))
+			caughtUp := behind.WithDelta(now, decodeDelta(now, "", m, &c))
 			convey.So(caughtUp.CatalogVersion(), convey.ShouldEqual, 2)
 			convey.So(caughtUp.Revision, convey.ShouldEqual, 5)
 			convey.So(caughtUp.Document, convey.ShouldResemble, c.Document)
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -32,14 +32,14 @@
 	mux.HandleFunc("POST "+wire.PathRelease, s.serveRelease)
 	mux.HandleFunc("POST "+wire.PathPlan, s.servePlan)
 	mux.HandleFunc("POST "+wire.PathPlace, s.servePlace)
-	mux.HandleFunc("POST "+wire.PathRead, s.serveRead)
+	mux.HandleFunc("POST "+wire.PathRead, s.servePrefill)
 	mux.HandleFunc("GET "+wire.PathView, s.serveView)
-	mux.HandleFunc("GET "+wire.PathSuspects, func(w http.ResponseWriter, _ *http.Request) { writeMessage(w, s.quarantine.All()) })
+	mux.HandleFunc("GET "+wire.PathSuspects, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.quarantine.All()) })
 	return mux
 }
 
-// readMessage reads a message, and refuses one that does not parse.
-func readMessage(w http.ResponseWriter, r *http.Request, into any) bool {
+// readJSON reads a message, and refuses one that does not parse.
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, wire.MaxAnswerBytes)).Decode(into)
 	if err != nil {
 		http.Error(w, "the message does not read", http.StatusBadRequest)
@@ -47,9 +47,9 @@
 	return err == nil
 }
 
-// writeMessage writes a message. An error means that the connection is gone, which
+// writeJSON writes a message. An error means that the connection is gone, which
 // its other end sees for itself.
-func writeMessage(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
@@ -73,82 +73,82 @@
 
 func (s *peerServer) serveItems(w http.ResponseWriter, r *http.Request) {
 	var in message.ItemGroup
-	if !readMessage(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	now := s.now()
-	answer := &itemWriter{w: w}
-	results, err := s.coordinators.run(r.Context(), in.Service, groupOf(now, in), answer.inputsRead)
-	answer.finish(answerMessage(results, err))
+	answer := &itemsReplyWriter{w: w}
+	results, err := s.coordinators.run(r.Context(), in.Service, decodeGroup(now, in), answer.inputsRead)
+	answer.finish(encodeAnswer(results, err))
 }
 
-// itemWriter writes the answer to a group; the report that the inputs have been read
+// itemsReplyWriter writes the answer to a group; the report that the inputs have been read
 // may come at any moment before the end.
-type itemWriter struct {
+type itemsReplyWriter struct {
 	mu    sync.Mutex
 	w     http.ResponseWriter
 	ended bool
 }
 
-func (a *itemWriter) inputsRead() {
+func (a *itemsReplyWriter) inputsRead() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ended {
 		return
 	}
-	writeMessage(a.w, message.ItemResults{Results: []message.ItemResult{}, Started: true})
+	writeJSON(a.w, message.ItemResults{Results: []message.ItemResult{}, Started: true})
 	// As with writeMessage, an error means that the connection is gone.
 	_ = http.NewResponseController(a.w).Flush()
 }
 
-func (a *itemWriter) finish(out message.ItemResults) {
+func (a *itemsReplyWriter) finish(out message.ItemResults) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ended = true
-	writeMessage(a.w, out)
+	writeJSON(a.w, out)
 }
 
 func (s *peerServer) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var in message.ItemRelease
-	if readMessage(w, r, &in) {
-		s.coordinators.release(in.Service, resultsOf(in.Results))
+	if readJSON(w, r, &in) {
+		s.coordinators.release(in.Service, decodeResults(in.Results))
 	}
 }
 
 func (s *peerServer) servePlan(w http.ResponseWriter, r *http.Request) {
 	var in message.ItemPlan
-	if !readMessage(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	out := message.ItemBacklogs{BacklogMs: make([]int, len(in.Stages))}
-	for i, stage := range stagesOf(s.now(), in) {
+	for i, stage := range decodePlan(s.now(), in) {
 		if in.Cancelled {
 			s.coordinators.cancel(in.Request, stage)
 			continue
 		}
 		out.BacklogMs[i] = int(s.coordinators.plan(r.Context(), in.Request, stage).Milliseconds())
 	}
-	writeMessage(w, out)
+	writeJSON(w, out)
 }
 
 func (s *peerServer) servePlace(w http.ResponseWriter, r *http.Request) {
 	var in message.PromptPlace
-	if !readMessage(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
-	q, err := promptOf(in)
+	q, err := decodePrompt(in)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	// Without an engine the target is empty, which says so.
 	placed, _ := s.prompts.placeLocally(in.Service, q)
-	writeMessage(w, message.PromptPlaced{Target: placed.Engine, CopyFrom: placed.CopyFrom})
+	writeJSON(w, message.PromptPlaced{Target: placed.Engine, CopyFrom: placed.CopyFrom})
 }
 
-func (s *peerServer) serveRead(w http.ResponseWriter, r *http.Request) {
+func (s *peerServer) servePrefill(w http.ResponseWriter, r *http.Request) {
 	var in message.PromptRead
-	if readMessage(w, r, &in) {
+	if readJSON(w, r, &in) {
 		s.prompts.prefilledLocally(in.Service, in.Request, in.Whole)
 	}
 }
@@ -168,12 +168,12 @@
 	sameCatalog := r.FormValue(paramVersion) == strconv.FormatInt(v.CatalogVersion(), 10)
 	switch {
 	case since <= 0 || !known:
-		writeMessage(w, snapshotMessage(now, v))
+		writeJSON(w, encodeSnapshot(now, v))
 	case sameCatalog:
-		writeMessage(w, deltaMessage(now, d, nil))
+		writeJSON(w, encodeDelta(now, d, nil))
 	case r.FormValue(paramCatalog) != "":
-		writeMessage(w, deltaMessage(now, d, v.Document))
+		writeJSON(w, encodeDelta(now, d, v.Document))
 	default:
-		writeMessage(w, snapshotMessage(now, v))
+		writeJSON(w, encodeSnapshot(now, v))
 	}
 }
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -57,7 +57,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	placed, err := p.peers.placeAtMember(ctx, member, service, q)
+	placed, err := p.peers.placePrompt(ctx, member, service, q)
 	if err != nil {
 		p.log.Debug().Str("request", q.Request).Str("member", member).Err(err).
 			Msg("prompts: the member that places them gave no answer, choosing locally")
@@ -91,7 +91,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		if err := p.peers.endPrefillAtMember(ctx, member, service, request, whole); err != nil {
+		if err := p.peers.reportPrefill(ctx, member, service, request, whole); err != nil {
 			p.log.Debug().Str("request", request).Str("member", member).Err(err).
 				Msg("prompts: the end of a prefill was not reported")
 		}
