--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -17,34 +17,34 @@
 	// request waits for before it is admitted: a coordinator that takes longer is
 	// overloaded or gone, and the request goes on without its backlog.
 	planTimeout = 100 * time.Millisecond
-	// maxCoordinators bounds the members that one group is handed to before this node runs
+	// maxCoordinatorAttempts bounds the members that one group is handed to before this node runs
 	// it itself: members that are wrong about each other settle within that many.
-	maxCoordinators = 3
+	maxCoordinatorAttempts = 3
 	// releaseTimeout bounds passing results that are to be released to a member, and
 	// reporting the end of a prefill. Nobody waits for either.
 	releaseTimeout = time.Second
 )
 
-// batches implements relay.Batcher: it routes groups of items, plans and releases to
+// batchRouter implements relay.Batcher: it routes groups of items, plans and releases to
 // the member that coordinates their service, which may be this node. It owns no
 // state. When a member does not answer, this node does without the plan, releases
 // the results itself, and hands the group to the next member.
-type batches struct {
+type batchRouter struct {
 	now     func() time.Time
 	log     zerolog.Logger
 	members *members
 	peers   *peerClient
 	local   *coordinators
-	joining *joining
+	joiner  *joiner
 	// exchange gossips with a member and says whether it answered.
 	exchange func(ctx context.Context, member string) bool
 }
 
 // Run implements relay.Batcher.
-func (b *batches) Run(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
-	for range maxCoordinators {
+func (b *batchRouter) Run(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+	for range maxCoordinatorAttempts {
 		results, err := b.runAtCoordinator(ctx, service, group, inputsRead)
-		if err == nil || !tryElsewhere(err) || ctx.Err() != nil {
+		if err == nil || !shouldReroute(err) || ctx.Err() != nil {
 			return results, err
 		}
 	}
@@ -53,17 +53,17 @@
 
 // runAtCoordinator has the member run a group that coordinates the service by what
 // this node knows, which may be this node.
-func (b *batches) runAtCoordinator(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+func (b *batchRouter) runAtCoordinator(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	member := b.members.otherCoordinator(service)
 	if member == "" {
-		b.joining.wait(ctx)
+		b.joiner.wait(ctx)
 		member = b.members.otherCoordinator(service)
 	}
 	if member == "" {
 		return b.local.run(ctx, service, group, inputsRead)
 	}
 	results, err := b.runAt(ctx, member, service, group, inputsRead)
-	if err != nil && tryElsewhere(err) && err.Reason() != verdict.ReasonMoved && ctx.Err() == nil {
+	if err != nil && shouldReroute(err) && err.Reason() != verdict.ReasonMoved && ctx.Err() == nil {
 		b.log.Warn().Str("request", group.Request).Str("service", service).Str("member", member).Err(err).
 			Msg("items: member lost or leaving, asking another")
 		b.members.suspect(member)
@@ -71,12 +71,12 @@
 	return results, err
 }
 
-// tryElsewhere decides whether a group that its coordinator did not run goes to
+// shouldReroute decides whether a group that its coordinator did not run goes to
 // another one: when the member cannot be reached, is leaving, or no longer coordinates
 // the service. Any other error is about the group, so another member would give it
 // too. A wrong yes runs items twice; a wrong no fails a request that could have been
 // answered. See docs/decisions/0012-batches.md, "Failure".
-func tryElsewhere(err *verdict.Error) bool {
+func shouldReroute(err *verdict.Error) bool {
 	switch err.Reason() {
 	case verdict.ReasonConnection, verdict.ReasonLeaving, verdict.ReasonMoved:
 		return true
@@ -85,7 +85,7 @@
 }
 
 // Release implements relay.Batcher.
-func (b *batches) Release(service string, results []batching.Result) {
+func (b *batchRouter) Release(service string, results []batching.Result) {
 	if member := b.members.otherCoordinator(service); member != "" {
 		go b.releaseAt(member, service, results)
 		return
@@ -95,7 +95,7 @@
 
 // releaseAt has the member that coordinates a service release results. When it does
 // not answer, this node releases them itself.
-func (b *batches) releaseAt(member, service string, results []batching.Result) {
+func (b *batchRouter) releaseAt(member, service string, results []batching.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := b.peers.releaseResults(ctx, member, service, results); err != nil {
@@ -106,12 +106,12 @@
 }
 
 // Plan implements relay.Batcher.
-func (b *batches) Plan(ctx context.Context, request string, stages []relay.PlannedStage) []time.Duration {
+func (b *batchRouter) Plan(ctx context.Context, request string, stages []relay.PlannedStage) []time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, planTimeout)
 	defer cancel()
 	backlogs := make([]time.Duration, len(stages))
 	var remote sync.WaitGroup
-	for member, numbers := range b.byCoordinator(stages) {
+	for member, numbers := range b.groupByCoordinator(stages) {
 		if member != "" {
 			remote.Go(func() { b.planAt(ctx, member, request, stages, numbers, backlogs) })
 			continue
@@ -126,10 +126,10 @@
 
 // planAt announces the stages of the given numbers to the member that coordinates
 // them and notes their backlogs; they stay 0, for unknown, when it does not answer.
-func (b *batches) planAt(
+func (b *batchRouter) planAt(
 	ctx context.Context, member, request string, stages []relay.PlannedStage, numbers []int, backlogs []time.Duration,
 ) {
-	answer, err := b.peers.planStages(ctx, member, request, pick(stages, numbers))
+	answer, err := b.peers.planStages(ctx, member, request, selectStages(stages, numbers))
 	if err != nil {
 		b.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: no backlog from a member")
 		return
@@ -140,10 +140,10 @@
 }
 
 // Cancel implements relay.Batcher.
-func (b *batches) Cancel(request string, stages []relay.PlannedStage) {
-	for member, numbers := range b.byCoordinator(stages) {
+func (b *batchRouter) Cancel(request string, stages []relay.PlannedStage) {
+	for member, numbers := range b.groupByCoordinator(stages) {
 		if member != "" {
-			go b.cancelAt(member, request, pick(stages, numbers))
+			go b.cancelAt(member, request, selectStages(stages, numbers))
 			continue
 		}
 		for _, i := range numbers {
@@ -154,7 +154,7 @@
 
 // cancelAt withdraws planned stages from the member that coordinates them. A plan
 // that stays there ends by itself when its stage is past due.
-func (b *batches) cancelAt(member, request string, stages []relay.PlannedStage) {
+func (b *batchRouter) cancelAt(member, request string, stages []relay.PlannedStage) {
 	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
 	defer cancel()
 	if err := b.peers.cancelStages(ctx, member, request, stages); err != nil {
@@ -163,9 +163,9 @@
 	}
 }
 
-// byCoordinator groups the numbers of stages by the member that coordinates their
+// groupByCoordinator groups the numbers of stages by the member that coordinates their
 // service; those of this node are under the empty address.
-func (b *batches) byCoordinator(stages []relay.PlannedStage) map[string][]int {
+func (b *batchRouter) groupByCoordinator(stages []relay.PlannedStage) map[string][]int {
 	numbers := make(map[string][]int)
 	for i, s := range stages {
 		member := b.members.otherCoordinator(s.Service)
@@ -174,8 +174,8 @@
 	return numbers
 }
 
-// pick returns the stages of the given numbers.
-func pick(stages []relay.PlannedStage, numbers []int) []relay.PlannedStage {
+// selectStages returns the stages of the given numbers.
+func selectStages(stages []relay.PlannedStage, numbers []int) []relay.PlannedStage {
 	picked := make([]relay.PlannedStage, len(numbers))
 	for k, i := range numbers {
 		picked[k] = stages[i]
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -19,12 +19,12 @@
 	// tickInterval is how often a core with work receives the time: a sixth of a batch, by
 	// which an expired item or a stuck batch is noticed late at most.
 	tickInterval = 40 * time.Millisecond
-	// coordinationCheck is how often a coordinator with work checks whether the service is
+	// ownershipCheckInterval is how often a coordinator with work checks whether the service is
 	// still its own: a part of what two coordinators at once cost.
-	coordinationCheck = 100 * time.Millisecond
-	// reportInterval is how often a coordinator logs its state while it has work. Not
+	ownershipCheckInterval = 100 * time.Millisecond
+	// stateLogInterval is how often a coordinator logs its state while it has work. Not
 	// measured: it bounds the volume of the log.
-	reportInterval = time.Second
+	stateLogInterval = time.Second
 )
 
 // tick has the core receive the time; it is sent at due.
@@ -36,20 +36,20 @@
 // cancelGroup says that nobody waits for a group any more.
 type cancelGroup struct{ group *pendingGroup }
 
-// discardNow has the gathered results discarded.
-type discardNow struct{}
+// flushDiscards has the gathered results discarded.
+type flushDiscards struct{}
 
 // handBack says that another node coordinates the service from now on.
 type handBack struct{}
 
-// plannedStage announces a plan and takes the backlog before it.
-type plannedStage struct {
+// planStage announces a plan and takes the backlog before it.
+type planStage struct {
 	plan    batching.Plan
 	backlog chan time.Duration
 }
 
-// describe asks for the state.
-type describe struct{ state chan batching.State }
+// stateRequest asks for the state.
+type stateRequest struct{ state chan batching.State }
 
 // coordinator assembles the batches of one service: the actor around a batching
 // core, which decides. It gives the core its events, sends its batches to targets,
@@ -60,20 +60,20 @@
 	service string
 	core    *batching.Core
 	// gate says what targets ask for.
-	gate    backpressure.Gate
-	last    batching.Token
-	items   map[batching.Token]*pendingItem
-	ticking bool
+	gate        backpressure.Gate
+	lastToken   batching.Token
+	items       map[batching.Token]*pendingItem
+	tickPending bool
 	// leaving says that another node runs what has not started.
 	leaving bool
 	// owned says whether this node was to coordinate the service when that was last
 	// checked.
-	owned   bool
-	checked time.Time
-	// reported is when the state was last logged.
-	reported time.Time
-	discards *discards
-	self     *actor.PID
+	owned              bool
+	ownershipCheckedAt time.Time
+	// stateLoggedAt is when the state was last logged.
+	stateLoggedAt time.Time
+	discards      *discardQueue
+	self          *actor.PID
 }
 
 func newCoordinator(cfg coordinatorConfig, service string) *coordinator {
@@ -82,7 +82,7 @@
 		coordinatorConfig: cfg, service: service, gate: gate,
 		core:     batching.New(cfg.retries, batching.WithGate(gate)),
 		items:    map[batching.Token]*pendingItem{},
-		discards: &discards{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Life]*batching.Discard{}},
+		discards: &discardQueue{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Life]*batching.Discard{}},
 	}
 }
 
@@ -91,11 +91,11 @@
 	c.self = ctx.Self()
 	switch msg := ctx.Message().(type) {
 	case *pendingGroup:
-		c.open(msg)
-	case *plannedStage:
+		c.submitGroup(msg)
+	case *planStage:
 		msg.backlog <- c.core.State(c.now()).Backlog
 		c.handle(msg.plan)
-	case describe:
+	case stateRequest:
 		msg.state <- c.core.State(c.now())
 	case cancelGroup:
 		c.cancel(msg.group)
@@ -106,18 +106,18 @@
 	case handBack:
 		c.leaving = true
 		c.handBack(errLeaving())
-	case discardNow:
+	case flushDiscards:
 		c.discards.flush()
 	case tick:
-		c.ticking = false
+		c.tickPending = false
 		c.handle(batching.Tick{Late: max(c.now().Sub(msg.due), 0)})
 	case batching.Event:
 		c.handle(msg)
 	}
 }
 
-// sendLater sends the actor a message after d.
-func (c *coordinator) sendLater(d time.Duration, msg any) {
+// sendAfter sends the actor a message after d.
+func (c *coordinator) sendAfter(d time.Duration, msg any) {
 	self := c.self
 	time.AfterFunc(d, func() { c.system.Root.Send(self, msg) })
 }
@@ -128,31 +128,31 @@
 	for _, effect := range c.core.Handle(now, ev) {
 		switch e := effect.(type) {
 		case batching.Send:
-			c.start(now, e)
+			c.sendBatch(now, e)
 		case batching.Inspect:
 			c.inspect(e)
 		case batching.Resolve:
-			c.resolve(e)
+			c.resolveItem(e)
 		case batching.Discard:
 			if c.discards.add(e) {
-				c.sendLater(discardDelay, discardNow{})
+				c.sendAfter(discardDelay, flushDiscards{})
 			}
 		}
 	}
-	c.report(now)
-	c.checkCoordination(now)
-	if !c.ticking && !c.core.Idle() {
-		c.ticking = true
-		c.sendLater(tickInterval, tick{due: c.now().Add(tickInterval)})
+	c.logState(now)
+	c.checkOwnership(now)
+	if !c.tickPending && !c.core.Idle() {
+		c.tickPending = true
+		c.sendAfter(tickInterval, tick{due: c.now().Add(tickInterval)})
 	}
 }
 
-// report logs what the coordinator holds, at most once in reportInterval.
-func (c *coordinator) report(now time.Time) {
-	if now.Sub(c.reported) < reportInterval {
+// logState logs what the coordinator holds, at most once in stateLogInterval.
+func (c *coordinator) logState(now time.Time) {
+	if now.Sub(c.stateLoggedAt) < stateLogInterval {
 		return
 	}
-	c.reported = now
+	c.stateLoggedAt = now
 	s := c.core.State(now)
 	c.log.Info().Str("service", c.service).Int("waiting", s.Waiting).Int("late", s.PastDue).Int("working", s.Busy).
 		Int("targets", s.Targets).Int("paused", s.BackingOff).Int64("heldBytes", s.UsedBytes).Int64("roomBytes", s.MemoryBytes).
@@ -161,17 +161,17 @@
 		Int64("expired", s.Expired).Int64("refused", s.Refused).Float64("perSecond", s.ItemsPerSecond).Msg("items: state")
 }
 
-// start sends a batch, after what is to be discarded at the same target.
-func (c *coordinator) start(now time.Time, e batching.Send) {
+// sendBatch sends a batch, after what is to be discarded at the same target.
+func (c *coordinator) sendBatch(now time.Time, e batching.Send) {
 	discard := c.discards.take(e.Target.Life())
 	c.metrics.batch(c.service, len(e.Items))
-	c.noteStarted(e)
+	c.markStarted(e)
 	self := c.self
 	go func() {
 		if discard != nil {
-			c.discards.call(discard)
+			c.discards.send(discard)
 		}
-		c.system.Root.Send(self, c.call(now, e))
+		c.system.Root.Send(self, c.runBatch(now, e))
 	}()
 }
 
@@ -200,34 +200,34 @@
 	line.Bool("busy", report.Busy).Int64("freeBytes", report.FreeBytes).Msg("items: target inspected")
 }
 
-// call has a target run a batch and returns how that ended. It runs beside the
+// runBatch has a target run a batch and returns how that ended. It runs beside the
 // actor, so it touches none of its state.
-func (c *coordinator) call(now time.Time, e batching.Send) batching.Finished {
+func (c *coordinator) runBatch(now time.Time, e batching.Send) batching.Finished {
 	ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 	defer cancel()
 	outcomes, err := c.targets.RunBatch(ctx, BatchCall{
 		Target: e.Target, Items: e.Items, Now: now,
-		Permit: func() error { return c.mayCall(e.Target) },
+		Permit: func() error { return c.permitCall(e.Target) },
 	})
 	if err != nil {
 		c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Int("items", len(e.Items)).
 			Dur("took", c.now().Sub(now)).Err(err).Msg("items: call failed")
 	}
-	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, Ended: c.noteEnd(e, now, err)}
+	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, Ended: c.recordResult(e, now, err)}
 }
 
-// mayCall is asked just before the first byte of a batch is written.
-func (c *coordinator) mayCall(t directory.Target) error {
+// permitCall is asked just before the first byte of a batch is written.
+func (c *coordinator) permitCall(t directory.Target) error {
 	if c.gate.HeldBack(t.Life()) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target takes no new work")
 	}
 	return c.permit(t.ID)
 }
 
-// noteEnd reports what the end of a batch, sent at the given time, says of what its items
+// recordResult reports what the end of a batch, sent at the given time, says of what its items
 // ask for, and says whether its target's process ended. Like call it runs beside the
 // actor.
-func (c *coordinator) noteEnd(e batching.Send, began time.Time, err *verdict.Error) (ended bool) {
+func (c *coordinator) recordResult(e batching.Send, began time.Time, err *verdict.Error) (ended bool) {
 	switch {
 	case rules.Outlived(err):
 		for _, item := range e.Items {
@@ -240,13 +240,13 @@
 		return false
 	}
 	broke := c.now()
-	ctx, cancel := context.WithTimeout(context.Background(), endedTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), endedCheckTimeout)
 	defer cancel()
 	if !c.targets.HasEnded(ctx, e.Target) {
 		return false
 	}
 	c.metrics.targetEnded()
-	c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Strs("digests", digestsOf(e.Items)).
+	c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Strs("digests", uniqueDigests(e.Items)).
 		Msg("items: target ended while it had the batch")
 	for _, item := range e.Items {
 		if item.Digest != 0 {
@@ -256,12 +256,12 @@
 	return true
 }
 
-// endedTimeout bounds the question whether a target has ended, which its batch's items
+// endedCheckTimeout bounds the question whether a target has ended, which its batch's items
 // wait for: its instance refuses a connection within a round trip.
-const endedTimeout = 200 * time.Millisecond
+const endedCheckTimeout = 200 * time.Millisecond
 
-// digestsOf lists what the items of a batch ask for, each once.
-func digestsOf(items []batching.Item) []string {
+// uniqueDigests lists what the items of a batch ask for, each once.
+func uniqueDigests(items []batching.Item) []string {
 	var list []string
 	for _, item := range items {
 		if text := item.Digest.String(); !slices.Contains(list, text) {
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -51,27 +51,27 @@
 
 	mu       sync.Mutex
 	services map[string]*actor.PID
-	// open counts the groups that this node runs.
-	open atomic.Int64
+	// runningGroups counts the groups that this node runs.
+	runningGroups atomic.Int64
 }
 
 // idle says whether this node runs no group.
-func (c *coordinators) idle() bool { return c.open.Load() == 0 }
+func (c *coordinators) idle() bool { return c.runningGroups.Load() == 0 }
 
-// of returns the coordinator of a service at this node.
-func (c *coordinators) of(service string) *actor.PID {
+// getOrSpawn returns the coordinator getOrSpawn a service at this node.
+func (c *coordinators) getOrSpawn(service string) *actor.PID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pid := c.services[service]
 	if pid == nil {
 		pid = c.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return newCoordinator(c.coordinatorConfig, service) }))
 		c.services[service] = pid
-		c.system.Root.Send(pid, c.configureOf(c.views.load(), service))
+		c.system.Root.Send(pid, c.configureEvent(c.views.load(), service))
 	}
 	return pid
 }
 
-func (c *coordinators) configureOf(v *view.View, service string) batching.Configure {
+func (c *coordinators) configureEvent(v *view.View, service string) batching.Configure {
 	ev := batching.Configure{Targets: v.Directory.Service(service), AllEvacuated: v.Directory.AllEvacuated(service)}
 	if v.Catalog != nil {
 		ev.Service = v.Catalog.Service(service)
@@ -87,7 +87,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, pid := range c.services {
-		c.system.Root.Send(pid, c.configureOf(v, service))
+		c.system.Root.Send(pid, c.configureEvent(v, service))
 	}
 }
 
@@ -107,9 +107,9 @@
 
 // run has the items of a group run by batches that this node assembles.
 func (c *coordinators) run(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
-	c.open.Add(1)
-	defer c.open.Add(-1)
-	pid := c.of(service)
+	c.runningGroups.Add(1)
+	defer c.runningGroups.Add(-1)
+	pid := c.getOrSpawn(service)
 	pending := &pendingGroup{group: group, onInputsRead: inputsRead, done: make(chan struct{})}
 	c.system.Root.Send(pid, pending)
 	select {
@@ -123,7 +123,7 @@
 
 // release has results released at the targets that hold them.
 func (c *coordinators) release(service string, results []batching.Result) {
-	sendReleases(c.system, c.of(service), results)
+	sendReleases(c.system, c.getOrSpawn(service), results)
 }
 
 // sendReleases has a coordinator release results, by target.
@@ -140,11 +140,11 @@
 // plan announces a planned stage to its coordinator and returns the backlog before
 // it; 0, for unknown, when ctx ends first.
 func (c *coordinators) plan(ctx context.Context, request string, s relay.PlannedStage) time.Duration {
-	p := &plannedStage{
+	p := &planStage{
 		plan:    batching.Plan{Request: request, Stage: s.Stage, Items: s.Items, Due: s.Due},
 		backlog: make(chan time.Duration, 1),
 	}
-	c.system.Root.Send(c.of(s.Service), p)
+	c.system.Root.Send(c.getOrSpawn(s.Service), p)
 	select {
 	case d := <-p.backlog:
 		return d
@@ -155,7 +155,7 @@
 
 // cancel withdraws a planned stage.
 func (c *coordinators) cancel(request string, s relay.PlannedStage) {
-	c.system.Root.Send(c.of(s.Service), batching.CancelPlan{Request: request, Stage: s.Stage})
+	c.system.Root.Send(c.getOrSpawn(s.Service), batching.CancelPlan{Request: request, Stage: s.Stage})
 }
 
 // states returns the state of each coordinator by its service, without those that
@@ -166,7 +166,7 @@
 	c.mu.Unlock()
 	states := make(map[string]batching.State, len(services))
 	for service, pid := range services {
-		d := describe{state: make(chan batching.State, 1)}
+		d := stateRequest{state: make(chan batching.State, 1)}
 		c.system.Root.Send(pid, d)
 		select {
 		case states[service] = <-d.state:
--- a/internal/gateway/discards.go
+++ b/internal/gateway/discards.go
@@ -19,17 +19,17 @@
 	discardTimeout = time.Second
 )
 
-// discards gathers results to discard, by the life of their target. Its coordinator owns it.
-type discards struct {
+// discardQueue gathers results to discard, by the life of their target. Its coordinator owns it.
+type discardQueue struct {
 	log      zerolog.Logger
 	targets  Targets
 	byTarget map[directory.Life]*batching.Discard
-	// scheduled says whether the coordinator is going to receive discardNow.
+	// scheduled says whether the coordinator is going to receive flushDiscards.
 	scheduled bool
 }
 
-// add gathers results, and says whether discardNow is to be scheduled.
-func (d *discards) add(e batching.Discard) (schedule bool) {
+// add gathers results, and says whether flushDiscards is to be scheduled.
+func (d *discardQueue) add(e batching.Discard) (schedule bool) {
 	p := d.byTarget[e.Target.Life()]
 	if p == nil {
 		p = &batching.Discard{Target: e.Target}
@@ -42,24 +42,24 @@
 }
 
 // take removes and returns what is gathered for a target; nil for nothing.
-func (d *discards) take(target directory.Life) *batching.Discard {
+func (d *discardQueue) take(target directory.Life) *batching.Discard {
 	p := d.byTarget[target]
 	delete(d.byTarget, target)
 	return p
 }
 
 // flush discards all that is gathered.
-func (d *discards) flush() {
+func (d *discardQueue) flush() {
 	d.scheduled = false
 	for id, p := range d.byTarget {
 		delete(d.byTarget, id)
-		go d.call(p)
+		go d.send(p)
 	}
 }
 
-// call discards results at their target. A target that cannot be reached drops them
+// send discards results at their target. A target that cannot be reached drops them
 // itself when they expire.
-func (d *discards) call(p *batching.Discard) {
+func (d *discardQueue) send(p *batching.Discard) {
 	ctx, cancel := context.WithTimeout(context.Background(), discardTimeout)
 	defer cancel()
 	if err := d.targets.Release(ctx, p.Target, p.Handles); err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,9 +51,9 @@
 	departure    *departure
 	follower     *storeFollower
 	gossip       *gossip
-	joining      *joining
+	joiner       *joiner
 	coordinators *coordinators
-	prompts      *prompts
+	prompts      *promptPlacer
 	quarantine   *quarantine.Keeper
 	backpressure *backpressure.Keeper
 	relay        *relay.Server
@@ -117,19 +117,19 @@
 		quarantine: g.quarantine, backpressure: g.backpressure,
 		checkBehind: g.follower.checkBehind, triggered: make(chan struct{}, 1),
 	}
-	g.joining = newJoining(g.members, g.gossip.exchange)
+	g.joiner = newJoiner(g.members, g.gossip.exchange)
 	retries := retryPolicy(g.cfg.Gateway, func() int { return retrySharers(g.now().Sub(started), g.members.peakSize()) })
 	g.coordinators = &coordinators{views: g.views, services: map[string]*actor.PID{}, coordinatorConfig: coordinatorConfig{
 		now: g.now, log: g.log, system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger)), members: g.members,
 		targets: g.ports.Targets, metrics: g.metrics, retries: retries, permit: g.views.permit, margin: warmUpMargin(g.cfg.Gateway), quarantine: g.quarantine, backpressure: g.backpressure,
 	}}
 	margin := warmUpMargin(g.cfg.Gateway)
-	g.prompts = &prompts{
+	g.prompts = &promptPlacer{
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, margin: margin,
 		choosers: map[string]*placement.EngineChooser{},
 	}
-	batches := &batches{
-		now: g.now, log: g.log, members: g.members, peers: peers, local: g.coordinators, joining: g.joining,
+	batches := &batchRouter{
+		now: g.now, log: g.log, members: g.members, peers: peers, local: g.coordinators, joiner: g.joiner,
 		exchange: g.gossip.exchange,
 	}
 	g.relay = relay.New(relay.Config{
@@ -223,7 +223,7 @@
 func (g *Gateway) join(ctx context.Context) {
 	select {
 	case <-g.views.configured:
-		g.joining.run(ctx)
+		g.joiner.run(ctx)
 	case <-ctx.Done():
 	}
 }
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -5,14 +5,14 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// open submits a group to the core, or hands it back when the node is leaving.
-func (c *coordinator) open(g *pendingGroup) {
+// submitGroup submits a group to the core, or hands it back when the node is leaving.
+func (c *coordinator) submitGroup(g *pendingGroup) {
 	if c.leaving {
 		c.closeGroup(g, errLeaving())
 		return
 	}
-	items := g.items(c.last, c.quarantine.Suspected)
-	c.last += batching.Token(len(items))
+	items := g.newItems(c.lastToken, c.quarantine.Suspected)
+	c.lastToken += batching.Token(len(items))
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
@@ -21,9 +21,9 @@
 	c.handle(batching.Submit{Items: items})
 }
 
-// noteStarted notes that items are part of a batch, and has the groups whose inputs
+// markStarted notes that items are part of a batch, and has the groups whose inputs
 // are being read report that their read time later.
-func (c *coordinator) noteStarted(e batching.Send) {
+func (c *coordinator) markStarted(e batching.Send) {
 	for _, item := range e.Items {
 		p, known := c.items[item.Token]
 		if !known {
@@ -34,14 +34,14 @@
 			continue
 		}
 		p.reading = true
-		if p.group.noteReading() {
-			c.sendLater(p.group.group.ReadTime, inputsRead{p.group})
+		if p.group.markReading() {
+			c.sendAfter(p.group.group.ReadTime, inputsRead{p.group})
 		}
 	}
 }
 
-// resolve ends an item; the last one ends its group, and so does one that failed.
-func (c *coordinator) resolve(e batching.Resolve) {
+// resolveItem ends an item; the last one ends its group, and so does one that failed.
+func (c *coordinator) resolveItem(e batching.Resolve) {
 	p, known := c.items[e.Token]
 	if !known {
 		return
@@ -77,7 +77,7 @@
 		delete(c.items, token)
 	}
 	if err != nil {
-		finished := g.finished()
+		finished := g.availableResults()
 		g.results = nil
 		sendReleases(c.system, c.self, finished)
 		c.system.Root.Send(c.self, batching.Withdraw{Tokens: g.tokens})
--- a/internal/gateway/handback.go
+++ b/internal/gateway/handback.go
@@ -6,17 +6,17 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// checkCoordination hands back what has not started when another node has come to
+// checkOwnership hands back what has not started when another node has come to
 // coordinate the service. Groups that still come are from nodes that do not know it
 // yet, and are run.
-func (c *coordinator) checkCoordination(now time.Time) {
-	if now.Sub(c.checked) < coordinationCheck {
+func (c *coordinator) checkOwnership(now time.Time) {
+	if now.Sub(c.ownershipCheckedAt) < ownershipCheckInterval {
 		return
 	}
-	c.checked = now
+	c.ownershipCheckedAt = now
 	other := c.members.otherCoordinator(c.service)
 	owned := other == ""
-	if handsBack(c.owned, owned, c.leaving) {
+	if ownershipMoved(c.owned, owned, c.leaving) {
 		c.log.Info().Str("service", c.service).Str("member", other).Int("waiting", c.core.State(now).Waiting).
 			Msg("items: another member coordinates the service now")
 		c.handBack(verdict.New(verdict.NotRun, verdict.ReasonMoved, "member %s coordinates the service now", other))
@@ -24,16 +24,16 @@
 	c.owned = owned
 }
 
-// handsBack decides whether a coordinator hands back the groups of which nothing has
+// ownershipMoved decides whether a coordinator hands back the groups of which nothing has
 // started: when this node owned the service at the last check and owns it no more. A
 // leaving node has handed them back already. Ownership is by the node's roster, up to
-// coordinationCheck old. It happens once a change of owner: what still comes is run,
+// ownershipCheckInterval old. It happens once a change of owner: what still comes is run,
 // so a group cannot go to and fro between two nodes that see different members.
 //
 // Without it, groups wait here for memory whose releases go to the new owner: on one
 // day 168 items waited for 4 s and more. A wrong yes costs the groups a
 // call to another member. See docs/decisions/0012-batches.md, "When coordination moves".
-func handsBack(owned, owns, leaving bool) bool { return owned && !owns && !leaving }
+func ownershipMoved(owned, owns, leaving bool) bool { return owned && !owns && !leaving }
 
 // handBack ends the groups that have not started, for another node to run. Two nodes
 // that assemble batches for the same targets delay each other's.
--- a/internal/gateway/joining.go
+++ b/internal/gateway/joining.go
@@ -18,10 +18,10 @@
 	joinPause = 50 * time.Millisecond
 )
 
-// joining is the time from a node's first configuration until it has exchanged with
+// joiner is the time from a node's first configuration until it has exchanged with
 // its seeds. Until then it does not know who coordinates, and would begin work that
 // is another member's.
-type joining struct {
+type joiner struct {
 	members  *members
 	exchange func(ctx context.Context, member string) bool
 
@@ -29,13 +29,13 @@
 	joined chan struct{}
 }
 
-func newJoining(m *members, exchange func(ctx context.Context, member string) bool) *joining {
-	return &joining{members: m, exchange: exchange, joined: make(chan struct{})}
+func newJoiner(m *members, exchange func(ctx context.Context, member string) bool) *joiner {
+	return &joiner{members: m, exchange: exchange, joined: make(chan struct{})}
 }
 
 // run exchanges twice with all seeds: in the first exchange they learn of this node,
 // in the second this node learns of those that started with it. It is called once.
-func (j *joining) run(ctx context.Context) {
+func (j *joiner) run(ctx context.Context) {
 	defer close(j.joined)
 	j.exchangeWithSeeds(ctx)
 	// Its only error is the end of ctx, which also ends the exchanges.
@@ -43,7 +43,7 @@
 	j.exchangeWithSeeds(ctx)
 }
 
-func (j *joining) exchangeWithSeeds(ctx context.Context) {
+func (j *joiner) exchangeWithSeeds(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	var all sync.WaitGroup
@@ -54,7 +54,7 @@
 }
 
 // wait waits until this node has joined, or ctx ends.
-func (j *joining) wait(ctx context.Context) {
+func (j *joiner) wait(ctx context.Context) {
 	select {
 	case <-j.joined:
 	case <-ctx.Done():
--- a/internal/gateway/joining_test.go
+++ b/internal/gateway/joining_test.go
@@ -19,7 +19,7 @@
 	newMember := func(seeds ...string) *members { return newMembers(time.Now, "10.0.0.1:1", 1, seeds, 0) }
 	convey.Convey("Each seed but the node itself is asked twice, then the node has joined", t, func() {
 		asked := make(chan string, 10)
-		j := newJoining(newMember("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"), func(_ context.Context, member string) bool {
+		j := newJoiner(newMember("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"), func(_ context.Context, member string) bool {
 			asked <- member
 			return true
 		})
@@ -33,7 +33,7 @@
 		convey.So(counts, convey.ShouldResemble, map[string]int{"10.0.0.2:1": 2, "10.0.0.3:1": 2})
 	})
 	convey.Convey("A seed that never answers is given up", t, func() {
-		j := newJoining(newMember("10.0.0.2:1"), func(ctx context.Context, _ string) bool {
+		j := newJoiner(newMember("10.0.0.2:1"), func(ctx context.Context, _ string) bool {
 			<-ctx.Done()
 			return false
 		})
@@ -45,7 +45,7 @@
 	convey.Convey("Waiting ends with its context", t, func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		newJoining(newMember(), nil).wait(ctx)
+		newJoiner(newMember(), nil).wait(ctx)
 	})
 }
 
@@ -56,9 +56,9 @@
 	convey.Convey("A group handed back to its own node is tried at the next coordinator", t, func() {
 		targets := &slowTargets{started: make(chan int), release: make(chan struct{})}
 		g := oneTargetGateway(t, targets)
-		close(g.joining.joined)
-		batches := &batches{
-			now: g.now, log: g.log, members: g.members, peers: newPeerClient(g.now), local: g.coordinators, joining: g.joining,
+		close(g.joiner.joined)
+		batches := &batchRouter{
+			now: g.now, log: g.log, members: g.members, peers: newPeerClient(g.now), local: g.coordinators, joiner: g.joiner,
 			exchange: func(context.Context, string) bool { return false },
 		}
 		run := func() <-chan result {
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -9,21 +9,21 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// A member that runs a group for this node counts as lost after aliveFor and
-// aliveTimeout together, 1.05 s at most after its last sign of life and one check.
+// A member that runs a group for this node counts as lost after livenessInterval and
+// livenessTimeout together, 1.05 s at most after its last sign of life and one check.
 // With a limit on the wait for items instead, members were suspected 256 times on a
 // quiet day, when their queues were long.
 const (
-	// aliveFor is how long a sign of life counts, and how often it is checked.
-	aliveFor = 700 * time.Millisecond
-	// aliveTimeout bounds asking a member for a sign of life.
-	aliveTimeout = 350 * time.Millisecond
+	// livenessInterval is how long a sign of life counts, and how often it is checked.
+	livenessInterval = 700 * time.Millisecond
+	// livenessTimeout bounds asking a member for a sign of life.
+	livenessTimeout = 350 * time.Millisecond
 )
 
 // runAt has a member run the items of a group. It waits for the member for as long as
 // that shows signs of life, however long its queue, and gives up on one that does not:
 // then the error's reason is ReasonConnection.
-func (b *batches) runAt(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+func (b *batchRouter) runAt(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
@@ -35,7 +35,7 @@
 		results, err := b.peers.runItems(ctx, member, service, group, inputsRead)
 		answered <- answer{results, err}
 	}()
-	check := time.NewTicker(aliveFor)
+	check := time.NewTicker(livenessInterval)
 	defer check.Stop()
 	for {
 		select {
@@ -50,19 +50,19 @@
 }
 
 // isAlive says whether a member gave a sign of life lately or answers now.
-func (b *batches) isAlive(ctx context.Context, member string) bool {
-	if countsAsAlive(b.now().Sub(b.members.lastContact(member))) {
+func (b *batchRouter) isAlive(ctx context.Context, member string) bool {
+	if isRecentContact(b.now().Sub(b.members.lastContact(member))) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, livenessTimeout)
 	defer cancel()
 	return b.exchange(ctx, member)
 }
 
-// countsAsAlive decides whether a member that runs a group is still there, by the
+// isRecentContact decides whether a member that runs a group is still there, by the
 // time since its last sign of life, which the roster knows by direct contact or by
 // the rise of its heartbeat at third members. A member that does not count is asked
 // directly before it is given up. Giving up too early has items run twice, at this
 // member and the next; too late, they miss their time. See
 // docs/decisions/0012-batches.md, "Failure".
-func countsAsAlive(silentFor time.Duration) bool { return silentFor < aliveFor }
+func isRecentContact(silentFor time.Duration) bool { return silentFor < livenessInterval }
--- a/internal/gateway/liveness_test.go
+++ b/internal/gateway/liveness_test.go
@@ -32,7 +32,7 @@
 			}
 		}()
 		address := strings.TrimPrefix(member.URL, "http://")
-		caller := &batches{
+		caller := &batchRouter{
 			now: time.Now, members: newMembers(time.Now, "10.0.0.1:1", 1, nil, 0), peers: newPeerClient(time.Now),
 		}
 		convey.Convey("one that shows no sign of life is given up", func() {
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -44,11 +44,11 @@
 }
 
 // newRemoteBatches returns the batches of a node whose services another member coordinates.
-func newRemoteBatches(member string) *batches {
+func newRemoteBatches(member string) *batchRouter {
 	// The other's incarnation is the newer one; only it serves.
 	m := newMembers(time.Now, "127.0.0.1:1", 1, nil, 0)
 	m.mergeFrom(member, message.Gossip{Members: []message.GossipMember{{Address: member, Incarnation: 2, Beat: 1, Serving: true, Capacity: 1}}})
-	return &batches{
+	return &batchRouter{
 		now: time.Now, log: zerolog.Nop(), members: m, peers: newPeerClient(time.Now),
 		exchange: func(context.Context, string) bool { return true },
 	}
@@ -85,7 +85,7 @@
 }
 
 // keepAlive has the member give signs of life.
-func keepAlive(t *testing.T, b *batches, member string) (stop func()) {
+func keepAlive(t *testing.T, b *batchRouter, member string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for ctx.Err() == nil {
@@ -97,7 +97,7 @@
 }
 
 // plans announces requests, one at a time, and counts those whose backlog was answered.
-func plans(t *testing.T, b *batches, n int, pause time.Duration) (asked, answered int) {
+func plans(t *testing.T, b *batchRouter, n int, pause time.Duration) (asked, answered int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for range n {
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -21,7 +21,7 @@
 	views        *viewKeeper
 	gossip       *gossip
 	coordinators *coordinators
-	prompts      *prompts
+	prompts      *promptPlacer
 	quarantine   *quarantine.Keeper
 }
 
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -37,7 +37,7 @@
 	reading bool
 }
 
-// noteReading notes that one more item is part of a batch that reads its inputs at
+// markReading notes that one more item is part of a batch that reads its inputs at
 // once, and decides whether the inputs count as read after the group's ReadTime: when that holds
 // for all items, and the group has inputs that somebody waits to release.
 //
@@ -47,13 +47,13 @@
 // batches are released when the batch has ended. Too early, an item finds its inputs
 // gone and they are computed again; too late, they take memory that other items wait
 // for. See docs/decisions/0012-batches.md, "Result memory" and "Inputs".
-func (g *pendingGroup) noteReading() bool {
+func (g *pendingGroup) markReading() bool {
 	g.unread--
 	return g.unread == 0 && len(g.group.Inputs) > 0 && g.onInputsRead != nil
 }
 
-// finished returns the results that are there.
-func (g *pendingGroup) finished() []batching.Result {
+// availableResults returns the results that are there.
+func (g *pendingGroup) availableResults() []batching.Result {
 	var results []batching.Result
 	for _, r := range g.results {
 		if r.Handle != "" {
@@ -63,9 +63,9 @@
 	return results
 }
 
-// items returns the group's items, with the tokens that follow last. suspected says that a
+// newItems returns the group's newItems, with the tokens that follow last. suspected says that a
 // target ended with one before.
-func (g *pendingGroup) items(last batching.Token, suspected func(quarantine.Digest) bool) []batching.Item {
+func (g *pendingGroup) newItems(last batching.Token, suspected func(quarantine.Digest) bool) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
 	for i := range items {
 		token := last + 1 + batching.Token(i)
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -18,16 +18,16 @@
 	// node chooses by itself. An answer takes a millisecond or two where data centres are
 	// near; the wait delays the first event.
 	placeTimeout = 60 * time.Millisecond
-	// placeRole begins the name under which the coordinator of a service's prompts is
+	// placeRolePrefix begins the name under which the coordinator of a service's prompts is
 	// chosen, so that it may be another member than that of its items.
-	placeRole = "prompts/"
+	placeRolePrefix = "prompts/"
 )
 
-// prompts implements relay.Placer: the member that coordinates a service's prompts
+// promptPlacer implements relay.Placer: the member that coordinates a service's promptPlacer
 // chooses the engines for all nodes. It owns the choosers of the services that this
 // node coordinates, and the lock over them. When the coordinator does not answer in
 // time, the caller chooses without it.
-type prompts struct {
+type promptPlacer struct {
 	now     func() time.Time
 	log     zerolog.Logger
 	members *members
@@ -40,7 +40,7 @@
 }
 
 // chooser returns the chooser of a service; the caller holds the lock.
-func (p *prompts) chooser(service string) *placement.EngineChooser {
+func (p *promptPlacer) chooser(service string) *placement.EngineChooser {
 	c := p.choosers[service]
 	if c == nil {
 		c = placement.NewEngineChooser()
@@ -50,8 +50,8 @@
 }
 
 // Place implements relay.Placer.
-func (p *prompts) Place(ctx context.Context, service string, q placement.Prompt) (relay.Placed, bool) {
-	member := p.members.otherCoordinator(placeRole + service)
+func (p *promptPlacer) Place(ctx context.Context, service string, q placement.Prompt) (relay.Placed, bool) {
+	member := p.members.otherCoordinator(placeRolePrefix + service)
 	if member == "" {
 		return p.placeLocally(service, q)
 	}
@@ -67,7 +67,7 @@
 }
 
 // placeLocally chooses the engine for a prompt; false when none takes it.
-func (p *prompts) placeLocally(service string, q placement.Prompt) (relay.Placed, bool) {
+func (p *promptPlacer) placeLocally(service string, q placement.Prompt) (relay.Placed, bool) {
 	v := p.views.load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,8 +82,8 @@
 
 // Prefilled implements relay.Placer. A report that is lost costs the engine's
 // backlog its accuracy until the prompt is forgotten.
-func (p *prompts) Prefilled(service, request string, whole bool) {
-	member := p.members.otherCoordinator(placeRole + service)
+func (p *promptPlacer) Prefilled(service, request string, whole bool) {
+	member := p.members.otherCoordinator(placeRolePrefix + service)
 	if member == "" {
 		p.prefilledLocally(service, request, whole)
 		return
@@ -98,14 +98,14 @@
 	}()
 }
 
-func (p *prompts) prefilledLocally(service, request string, whole bool) {
+func (p *promptPlacer) prefilledLocally(service, request string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.chooser(service).Prefilled(p.now(), request, whole)
 }
 
 // prune forgets what is known of engines that are gone.
-func (p *prompts) prune(d *directory.Directory) {
+func (p *promptPlacer) prune(d *directory.Directory) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.choosers {
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -12,17 +12,17 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-func TestCountsAsAlive(t *testing.T) {
-	convey.Convey("A sign of life counts for aliveFor, and a check ends before the next", t, func() {
-		convey.So(countsAsAlive(0), convey.ShouldBeTrue)
-		convey.So(countsAsAlive(aliveFor-1), convey.ShouldBeTrue)
-		convey.So(countsAsAlive(aliveFor), convey.ShouldBeFalse)
-		convey.So(aliveTimeout, convey.ShouldBeLessThan, aliveFor)
+func TestIsRecentContact(t *testing.T) {
+	convey.Convey("A sign of life counts for livenessInterval, and a check ends before the next", t, func() {
+		convey.So(isRecentContact(0), convey.ShouldBeTrue)
+		convey.So(isRecentContact(livenessInterval-1), convey.ShouldBeTrue)
+		convey.So(isRecentContact(livenessInterval), convey.ShouldBeFalse)
+		convey.So(livenessTimeout, convey.ShouldBeLessThan, livenessInterval)
 	})
 }
 
-func TestTryElsewhere(t *testing.T) {
-	elsewhere := func(reason verdict.Reason) bool { return tryElsewhere(verdict.New(verdict.NotRun, reason, "why")) }
+func TestShouldReroute(t *testing.T) {
+	elsewhere := func(reason verdict.Reason) bool { return shouldReroute(verdict.New(verdict.NotRun, reason, "why")) }
 	convey.Convey("A group goes to another member when the fault is the member's", t, func() {
 		convey.So(elsewhere(verdict.ReasonConnection), convey.ShouldBeTrue)
 		convey.So(elsewhere(verdict.ReasonLeaving), convey.ShouldBeTrue)
@@ -35,16 +35,16 @@
 	})
 }
 
-func TestHandsBack(t *testing.T) {
+func TestOwnershipMoved(t *testing.T) {
 	convey.Convey("Waiting groups are handed back once, when the service's owner has changed", t, func() {
-		convey.So(handsBack(true, false, false), convey.ShouldBeTrue)
+		convey.So(ownershipMoved(true, false, false), convey.ShouldBeTrue)
 		convey.Convey("not while this node owns the service, nor when it did not before", func() {
-			convey.So(handsBack(true, true, false), convey.ShouldBeFalse)
-			convey.So(handsBack(false, false, false), convey.ShouldBeFalse)
-			convey.So(handsBack(false, true, false), convey.ShouldBeFalse)
+			convey.So(ownershipMoved(true, true, false), convey.ShouldBeFalse)
+			convey.So(ownershipMoved(false, false, false), convey.ShouldBeFalse)
+			convey.So(ownershipMoved(false, true, false), convey.ShouldBeFalse)
 		})
 		convey.Convey("nor by a leaving node, which has handed them back before", func() {
-			convey.So(handsBack(true, false, true), convey.ShouldBeFalse)
+			convey.So(ownershipMoved(true, false, true), convey.ShouldBeFalse)
 		})
 	})
 }
@@ -56,13 +56,13 @@
 	inputs, report := []string{"one"}, func() {}
 	convey.Convey("Inputs count as read once all items are being read", t, func() {
 		g := group(inputs, report)
-		convey.So(g.noteReading(), convey.ShouldBeFalse)
-		convey.So(g.noteReading(), convey.ShouldBeTrue)
+		convey.So(g.markReading(), convey.ShouldBeFalse)
+		convey.So(g.markReading(), convey.ShouldBeTrue)
 	})
 	convey.Convey("never where there are none, or where nobody waits to release them", t, func() {
 		for _, g := range []*pendingGroup{group(nil, report), group(inputs, nil)} {
-			convey.So(g.noteReading(), convey.ShouldBeFalse)
-			convey.So(g.noteReading(), convey.ShouldBeFalse)
+			convey.So(g.markReading(), convey.ShouldBeFalse)
+			convey.So(g.markReading(), convey.ShouldBeFalse)
 		}
 	})
 }
