--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -54,10 +54,10 @@
 // runAtCoordinator has the member run a group that coordinates the service by what
 // this node knows, which may be this node.
 func (b *batchRouter) runAtCoordinator(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
-	member := b.members.otherCoordinator(service)
+	member := b.members.remoteCoordinator(service)
 	if member == "" {
 		b.joiner.wait(ctx)
-		member = b.members.otherCoordinator(service)
+		member = b.members.remoteCoordinator(service)
 	}
 	if member == "" {
 		return b.local.run(ctx, service, group, inputsRead)
@@ -86,7 +86,7 @@
 
 // Release implements relay.Batcher.
 func (b *batchRouter) Release(service string, results []batching.Result) {
-	if member := b.members.otherCoordinator(service); member != "" {
+	if member := b.members.remoteCoordinator(service); member != "" {
 		go b.releaseAt(member, service, results)
 		return
 	}
@@ -168,7 +168,7 @@
 func (b *batchRouter) groupByCoordinator(stages []relay.PlannedStage) map[string][]int {
 	numbers := make(map[string][]int)
 	for i, s := range stages {
-		member := b.members.otherCoordinator(s.Service)
+		member := b.members.remoteCoordinator(s.Service)
 		numbers[member] = append(numbers[member], i)
 	}
 	return numbers
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -22,9 +22,9 @@
 	newCatalogSlack = 1500 * time.Millisecond
 )
 
-// checkBehind catches up with the member that is furthest ahead, when this node
+// catchUpIfBehind catches up with the member that is furthest ahead, when this node
 // counts as behind. It does not wait for the end of that; one runs at a time.
-func (f *storeFollower) checkBehind(ctx context.Context) {
+func (f *sourceFollower) catchUpIfBehind(ctx context.Context) {
 	newest := f.members.aheadOf(f.views.load())
 	if !f.health.isBehind(f.now(), newest.member != "", newest.followsReaders) {
 		return
@@ -35,7 +35,7 @@
 	go func() {
 		defer f.catchingUp.Store(false)
 		f.catchUp(ctx, newest)
-		f.health.endCurrentWatch()
+		f.health.cancelCurrentWatch()
 	}()
 }
 
@@ -44,17 +44,17 @@
 // it on soon: the links between members may be too slow for many to pass it on. With
 // each configuration read at the source by each node, 16 configurations cost 295 nodes
 // 4,700 calls in a minute.
-func (f *storeFollower) catchUp(ctx context.Context, newest ahead) {
+func (f *sourceFollower) catchUp(ctx context.Context, newest aheadMember) {
 	newCatalog := int64(newest.version) > f.views.load().CatalogVersion()
 	if !newCatalog {
-		f.takeFromMember(ctx, newest.member, deltaTimeout)
+		f.fetchFromMember(ctx, newest.member, deltaTimeout)
 		return
 	}
 	if !newest.followsReaders {
-		f.takeFromMember(ctx, newest.member, answerTimeout)
+		f.fetchFromMember(ctx, newest.member, answerTimeout)
 		return
 	}
-	if f.takeFromMember(ctx, newest.member, memberCatalogTimeout) {
+	if f.fetchFromMember(ctx, newest.member, memberCatalogTimeout) {
 		return
 	}
 	err := f.readChanges(ctx, probeWait, newCatalogSlack)
@@ -62,13 +62,13 @@
 		return
 	}
 	f.log.Debug().Err(err).Str("member", newest.member).Msg("source: a new configuration was not read, asking the member again")
-	f.takeFromMember(ctx, newest.member, answerTimeout)
+	f.fetchFromMember(ctx, newest.member, answerTimeout)
 }
 
-// takeFromMember fetches what a member knows beyond this node and applies it, and
+// fetchFromMember fetches what a member knows beyond this node and applies it, and
 // says whether the member answered. When it did not, the next round of gossip tries
 // again.
-func (f *storeFollower) takeFromMember(ctx context.Context, member string, limit time.Duration) (answered bool) {
+func (f *sourceFollower) fetchFromMember(ctx context.Context, member string, limit time.Duration) (answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	v := f.views.load()
@@ -78,22 +78,22 @@
 			Msg("view: a member that is ahead gave no answer")
 		return false
 	}
-	catalog, err := f.catalogOf(snapshot)
+	catalog, err := f.decodeCatalog(snapshot)
 	switch {
 	case err != nil:
 		f.log.Error().Str("member", member).Err(err).Msg("view: a member's configuration was refused")
 		return false
 	case isDelta(snapshot):
-		f.takeDelta(member, snapshot, catalog)
+		f.applyDelta(member, snapshot, catalog)
 	case catalog != nil:
-		f.takeWhole(member, snapshot, *catalog)
+		f.applySnapshot(member, snapshot, *catalog)
 	}
 	return true
 }
 
-// catalogOf reads the configuration that a member sent, by the same checks as one of
+// decodeCatalog reads the configuration that a member sent, by the same checks as one of
 // the source; nil for none.
-func (f *storeFollower) catalogOf(s message.ViewSnapshot) (*view.CatalogChange, error) {
+func (f *sourceFollower) decodeCatalog(s message.ViewSnapshot) (*view.CatalogChange, error) {
 	if s.Document == "" {
 		return nil, nil
 	}
@@ -105,17 +105,17 @@
 	return &catalog, err
 }
 
-// takeDelta takes over what changed at a member, with a new configuration if there is
+// applyDelta takes over what changed at a member, with a new configuration if there is
 // one.
-func (f *storeFollower) takeDelta(member string, s message.ViewSnapshot, catalog *view.CatalogChange) {
+func (f *sourceFollower) applyDelta(member string, s message.ViewSnapshot, catalog *view.CatalogChange) {
 	d := decodeDelta(f.now(), member, s, catalog)
 	f.log.Info().Str("member", member).Int("since", s.Since).Int("revision", s.Revision).
 		Msg("view: changes reported by a member")
 	f.views.apply(d.Changes(), func(now time.Time, v *view.View) *view.View { return v.WithDelta(now, d) })
 }
 
-// takeWhole takes over all that a member knows.
-func (f *storeFollower) takeWhole(member string, s message.ViewSnapshot, catalog view.CatalogChange) {
+// applySnapshot takes over all that a member knows.
+func (f *sourceFollower) applySnapshot(member string, s message.ViewSnapshot, catalog view.CatalogChange) {
 	ch := view.Changes{Revision: view.Revision(s.Revision), List: []view.Change{catalog}}
 	now := f.now()
 	for _, t := range s.Targets {
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -77,7 +77,7 @@
 }
 
 func newCoordinator(cfg coordinatorConfig, service string) *coordinator {
-	gate := cfg.backpressure.Calls(func() bool { return cfg.members.givesOut(service) })
+	gate := cfg.backpressure.Calls(func() bool { return cfg.members.ownsRole(service) })
 	return &coordinator{
 		coordinatorConfig: cfg, service: service, gate: gate,
 		core:     batching.New(cfg.retries, batching.WithGate(gate)),
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -58,7 +58,7 @@
 // idle says whether this node runs no group.
 func (c *coordinators) idle() bool { return c.runningGroups.Load() == 0 }
 
-// getOrSpawn returns the coordinator getOrSpawn a service at this node.
+// getOrSpawn returns the coordinator of a service at this node.
 func (c *coordinators) getOrSpawn(service string) *actor.PID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -12,39 +12,39 @@
 )
 
 // knowsOfEvacuation returns a follower whose node knows of one evacuation.
-func knowsOfEvacuation() *storeFollower {
+func knowsOfEvacuation() *sourceFollower {
 	views := newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {})
 	views.apply(view.Changes{}, func(now time.Time, v *view.View) *view.View {
 		return v.WithChanges(now, view.Changes{Revision: 5, List: []view.Change{
 			catalogChange(1), view.EvacuationChange{Evacuation: view.Evacuation{DataCentre: "d", Active: true, Revision: 5}},
 		}}, time.Time{})
 	})
-	return &storeFollower{views: views, now: time.Now, log: zerolog.Nop()}
+	return &sourceFollower{views: views, now: time.Now, log: zerolog.Nop()}
 }
 
-// TestWholeViewOfAMember holds what a member's list of all that it knows means for
+// TestMemberSnapshotEvacuations holds what a member's list of all that it knows means for
 // evacuations: one of this version takes back what it does not name; one of an earlier
 // version, which knows of none, leaves them as they are.
-func TestWholeViewOfAMember(t *testing.T) {
-	active := func(f *storeFollower) bool { return f.views.load().Evacuations.Get("d").Active }
+func TestMemberSnapshotEvacuations(t *testing.T) {
+	active := func(f *sourceFollower) bool { return f.views.load().Evacuations.Get("d").Active }
 	whole := message.ViewSnapshot{Revision: 7, Targets: []message.ViewTarget{}}
 	convey.Convey("An evacuation that a member does not name", t, func() {
 		f := knowsOfEvacuation()
 		convey.Convey("is over", func() {
 			whole.Evacuations = []message.ViewEvacuation{}
-			f.takeWhole("m", whole, catalogChange(2))
+			f.applySnapshot("m", whole, catalogChange(2))
 			convey.So(active(f), convey.ShouldBeFalse)
 		})
 		convey.Convey("goes on when the member is of an earlier version", func() {
 			whole.Evacuations = nil
-			f.takeWhole("m", whole, catalogChange(2))
+			f.applySnapshot("m", whole, catalogChange(2))
 			convey.So(active(f), convey.ShouldBeTrue)
 		})
 	})
 	convey.Convey("The state shows who said that a data centre is evacuated", t, func() {
 		f := knowsOfEvacuation()
 		whole.Evacuations = []message.ViewEvacuation{{DataCentre: "e", Active: true, Revision: 6}}
-		f.takeWhole("m", whole, catalogChange(2))
+		f.applySnapshot("m", whole, catalogChange(2))
 		states := describeEvacuations(time.Now().Add(time.Second), f.views.load().Evacuations)
 		convey.So(states, convey.ShouldHaveLength, 2)
 		convey.So(states[1].From, convey.ShouldEqual, "m")
--- a/internal/gateway/firstconfig.go
+++ b/internal/gateway/firstconfig.go
@@ -25,7 +25,7 @@
 	defer timer.Stop()
 	select {
 	case <-g.views.configured:
-	case <-g.health.failed:
+	case <-g.health.firstFailure:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -43,28 +43,28 @@
 
 // How long a node pauses between its calls to the source.
 const (
-	// gatherChanges is how long changes gather between two watches, which saves calls to
+	// watchPause is how long changes gather between two watches, which saves calls to
 	// the source during a release. Each change is late by as much.
-	gatherChanges = 250 * time.Millisecond
-	// minRetry and maxRetry bound the pause after a failure, at a node without a
+	watchPause = 250 * time.Millisecond
+	// minRetryPause and maxRetryPause bound the pause after a failure, at a node without a
 	// configuration and at readers: such a node serves nobody until the source answers.
-	minRetry = 100 * time.Millisecond
-	// maxRetry: see minRetry.
-	maxRetry = 500 * time.Millisecond
-	// followerRetry is the longest pause after a failure at the other nodes; the shortest
+	minRetryPause = 100 * time.Millisecond
+	// maxRetryPause: see minRetryPause.
+	maxRetryPause = 500 * time.Millisecond
+	// maxFollowerRetryPause is the longest pause after a failure at the other nodes; the shortest
 	// is half of it. Hundreds of nodes that all return to a source in trouble keep it
 	// there.
-	followerRetry = 2 * time.Second
-	// readerCheck is how often a node that leaves the source to the readers checks that it
+	maxFollowerRetryPause = 2 * time.Second
+	// readerCheckInterval is how often a node that leaves the source to the readers checks that it
 	// still may: half of a round of gossip, by which that changes.
-	readerCheck = 250 * time.Millisecond
+	readerCheckInterval = 250 * time.Millisecond
 )
 
-// storeFollower keeps the view up to date: it watches the source, or leaves that to
+// sourceFollower keeps the view up to date: it watches the source, or leaves that to
 // the readers among the members, and catches up with a member that is ahead. While
 // the source fails the node goes on with the view that it has, and takes over what
 // members know.
-type storeFollower struct {
+type sourceFollower struct {
 	source  Source
 	views   *viewKeeper
 	members *members
@@ -81,11 +81,11 @@
 // run reads the source until ctx ends: all of it at first and after its history is
 // lost, else what changes. The only error of a wait is the end of ctx, which the loop
 // checks.
-func (f *storeFollower) run(ctx context.Context) {
+func (f *sourceFollower) run(ctx context.Context) {
 	whole := true
 	for ctx.Err() == nil {
 		if !whole && f.members.followsReaders() {
-			_ = wait.For(ctx, readerCheck)
+			_ = wait.For(ctx, readerCheckInterval)
 			continue
 		}
 		started := f.now()
@@ -93,28 +93,28 @@
 		switch {
 		case err == nil:
 			whole = false
-			f.reached()
-			_ = wait.For(ctx, gatherChanges)
+			f.recordSuccess()
+			_ = wait.For(ctx, watchPause)
 		case errors.Is(err, ErrHistoryGone):
 			f.log.Info().Int64("revision", int64(f.views.load().Revision)).Msg("source: history gone, reading all")
 			whole = true
 		default:
-			f.failed(started, err)
-			_ = wait.For(ctx, f.retryPause())
+			f.recordFailure(started, err)
+			_ = wait.For(ctx, f.drawRetryPause())
 		}
 	}
 }
 
-// reached notes that the source has answered.
-func (f *storeFollower) reached() {
+// recordSuccess notes that the source has answered.
+func (f *sourceFollower) recordSuccess() {
 	if f.health.markReached(f.now()) {
 		f.log.Info().Int64("revision", int64(f.views.load().Revision)).Msg("source: reachable again")
 	}
 }
 
-// failed notes that a call to the source that began at started has failed. The log
+// recordFailure notes that a call to the source that began at started has failed. The log
 // shows the first of a row of failures.
-func (f *storeFollower) failed(started time.Time, err error) {
+func (f *sourceFollower) recordFailure(started time.Time, err error) {
 	lost, reached := f.health.markFailed(started)
 	f.metrics.sourceFailures.Inc(1)
 	if lost {
@@ -122,9 +122,9 @@
 	}
 }
 
-// retryPause is how long the node waits after the source failed, drawn at random so
+// drawRetryPause is how long the node waits after the source failed, drawn at random so
 // that nodes that lost the source together do not return together.
-func (f *storeFollower) retryPause() time.Duration {
+func (f *sourceFollower) drawRetryPause() time.Duration {
 	least, most := retryBounds(f.views.load().Catalog != nil, f.members.isReader())
 	return least + rand.N(most-least)
 }
@@ -135,9 +135,9 @@
 // short loads a source in trouble; too long delays the first request or a change.
 func retryBounds(configured, reader bool) (least, most time.Duration) {
 	if configured && !reader {
-		return followerRetry / 2, followerRetry
+		return maxFollowerRetryPause / 2, maxFollowerRetryPause
 	}
-	return minRetry, maxRetry
+	return minRetryPause, maxRetryPause
 }
 
 // watchBounds decides how long a watch waits at the source, and how much longer
@@ -157,16 +157,16 @@
 }
 
 // read makes one call to the source: for the whole, or for what changes.
-func (f *storeFollower) read(ctx context.Context, whole bool) error {
+func (f *sourceFollower) read(ctx context.Context, whole bool) error {
 	if whole {
-		return f.readWhole(ctx)
+		return f.readSnapshot(ctx)
 	}
 	wait, slack := watchBounds(f.health.isDown(), f.members.isReader())
 	return f.readChanges(ctx, wait, slack)
 }
 
-func (f *storeFollower) readWhole(ctx context.Context) error {
-	ctx, answered, cancel := untilAnswered(ctx, snapshotTimeout)
+func (f *sourceFollower) readSnapshot(ctx context.Context) error {
+	ctx, answered, cancel := withAnswerTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	f.metrics.sourceCalls.Inc(1)
 	ch, err := f.source.Snapshot(ctx, answered)
@@ -185,10 +185,10 @@
 // readChanges waits for what changes at the source. When a member's view was taken
 // over meanwhile, the answer is dropped, as it could be older; the next watch
 // brings it again.
-func (f *storeFollower) readChanges(ctx context.Context, wait, slack time.Duration) error {
-	ctx, answered, cancel := untilAnswered(ctx, wait+slack)
+func (f *sourceFollower) readChanges(ctx context.Context, wait, slack time.Duration) error {
+	ctx, answered, cancel := withAnswerTimeout(ctx, wait+slack)
 	defer cancel()
-	f.health.setWatch(cancel)
+	f.health.setWatchCancel(cancel)
 	f.metrics.sourceCalls.Inc(1)
 	after := f.views.load().Revision
 	ch, err := f.source.Watch(ctx, after, wait, answered)
@@ -204,9 +204,9 @@
 	return nil
 }
 
-// untilAnswered returns a context that ends when no answer has begun within limit,
+// withAnswerTimeout returns a context that ends when no answer has begun within limit,
 // or when one that has begun takes longer than answerTimeout.
-func untilAnswered(ctx context.Context, limit time.Duration) (_ context.Context, answered func(), cancel context.CancelFunc) {
+func withAnswerTimeout(ctx context.Context, limit time.Duration) (_ context.Context, answered func(), cancel context.CancelFunc) {
 	ctx, end := context.WithCancel(ctx)
 	timer := time.AfterFunc(limit, end)
 	return ctx, func() { timer.Reset(answerTimeout) }, func() {
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -35,7 +35,7 @@
 		for _, c := range []struct {
 			configured, reader bool
 			most               time.Duration
-		}{{false, false, maxRetry}, {false, true, maxRetry}, {true, true, maxRetry}, {true, false, followerRetry}} {
+		}{{false, false, maxRetryPause}, {false, true, maxRetryPause}, {true, true, maxRetryPause}, {true, false, maxFollowerRetryPause}} {
 			least, most := retryBounds(c.configured, c.reader)
 			convey.So(most, convey.ShouldEqual, c.most)
 			convey.So(least, convey.ShouldBeBetween, 0, most)
@@ -43,14 +43,14 @@
 	})
 }
 
-func TestCountsAsBehind(t *testing.T) {
+func TestShouldCatchUp(t *testing.T) {
 	convey.Convey("A node whose own watch can still deliver the change waits for it", t, func() {
-		convey.So(countsAsBehind(behindAfter-1, false, false), convey.ShouldBeFalse)
-		convey.So(countsAsBehind(behindAfter, false, false), convey.ShouldBeTrue)
+		convey.So(shouldCatchUp(behindAfter-1, false, false), convey.ShouldBeFalse)
+		convey.So(shouldCatchUp(behindAfter, false, false), convey.ShouldBeTrue)
 	})
 	convey.Convey("One that leaves the source to readers, or cannot reach it, does not", t, func() {
-		convey.So(countsAsBehind(0, true, false), convey.ShouldBeTrue)
-		convey.So(countsAsBehind(0, false, true), convey.ShouldBeTrue)
+		convey.So(shouldCatchUp(0, true, false), convey.ShouldBeTrue)
+		convey.So(shouldCatchUp(0, false, true), convey.ShouldBeTrue)
 	})
 }
 
@@ -89,14 +89,14 @@
 	convey.Convey("A source that fails twice and returns leaves one line for each change", t, func() {
 		var lines []string
 		log := zerolog.New(io.Discard).Hook(zerolog.HookFunc(func(_ *zerolog.Event, _ zerolog.Level, msg string) { lines = append(lines, msg) }))
-		f := &storeFollower{
+		f := &sourceFollower{
 			views: newViewKeeper(time.Now, log, nil), health: newSourceHealth(),
 			metrics: newMetrics(), log: log, now: time.Now,
 		}
-		f.failed(time.Now(), errors.New("silent"))
-		f.failed(time.Now(), errors.New("silent"))
-		f.reached()
-		f.reached()
+		f.recordFailure(time.Now(), errors.New("silent"))
+		f.recordFailure(time.Now(), errors.New("silent"))
+		f.recordSuccess()
+		f.recordSuccess()
 		convey.So(lines, convey.ShouldResemble, []string{"source: lost", "source: reachable again"})
 	})
 }
@@ -104,12 +104,12 @@
 func TestOutageKeepsTargetsThatVanish(t *testing.T) {
 	convey.Convey("Given a follower that knows a target", t, func() {
 		s := newStore()
-		f := &storeFollower{
+		f := &sourceFollower{
 			source: &reader{store: s}, health: newSourceHealth(), metrics: newMetrics(), log: zerolog.Nop(), now: time.Now,
 			views: newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {}),
 		}
 		s.publish(view.TargetChange{Target: directory.Target{ID: "t", Service: "s"}})
-		convey.So(f.readWhole(t.Context()), convey.ShouldBeNil)
+		convey.So(f.readSnapshot(t.Context()), convey.ShouldBeNil)
 		known := func(state directory.State) {
 			target, ok := f.views.load().Directory.All()["t"]
 			convey.So(ok, convey.ShouldBeTrue)
@@ -125,14 +125,14 @@
 			convey.So(f.views.load().Directory.All(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("one that vanishes after the source failed has lapsed", func() {
-			f.failed(time.Now(), errors.New("silent"))
+			f.recordFailure(time.Now(), errors.New("silent"))
 			gone()
 			known(directory.Lapsed)
 		})
 		convey.Convey("so has one that the whole no longer lists", func() {
-			f.failed(time.Now(), errors.New("silent"))
+			f.recordFailure(time.Now(), errors.New("silent"))
 			s.changes = s.changes[:1]
-			convey.So(f.readWhole(t.Context()), convey.ShouldBeNil)
+			convey.So(f.readSnapshot(t.Context()), convey.ShouldBeNil)
 			known(directory.Lapsed)
 		})
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,8 +49,8 @@
 	health       *sourceHealth
 	views        *viewKeeper
 	departure    *departure
-	follower     *storeFollower
-	gossip       *gossip
+	follower     *sourceFollower
+	gossip       *gossiper
 	joiner       *joiner
 	coordinators *coordinators
 	prompts      *promptPlacer
@@ -95,7 +95,7 @@
 	g.sockets = sockets
 	g.members = newMembers(g.now, g.PeerAddress(), started.UnixNano(), cfg.Peers, capacityOf(cfg.Gateway))
 	g.views = newViewKeeper(g.now, g.log, g.viewChanged)
-	g.views.refused = g.metrics.entryRefused
+	g.views.onRejected = g.metrics.entryRefused
 	g.wire(started)
 	return g, nil
 }
@@ -103,19 +103,19 @@
 // wire creates the parts that work by the members and the view.
 func (g *Gateway) wire(started time.Time) {
 	peers := newPeerClient(g.now)
-	g.follower = &storeFollower{
+	g.follower = &sourceFollower{
 		source: g.ports.Source, views: g.views, members: g.members, health: g.health, peers: peers,
 		metrics: g.metrics, log: g.log, now: g.now,
 	}
 	g.quarantine = quarantine.NewKeeper(quarantine.Config{
-		Now: g.now, Log: g.log, Changed: g.quarantineChanged, GivesOut: g.members.givesOut,
+		Now: g.now, Log: g.log, Changed: g.quarantineChanged, GivesOut: g.members.ownsRole,
 	})
 	g.backpressure = backpressure.NewKeeper(backpressure.Config{Now: g.now, Log: g.log, Changed: g.limitsChanged, Rank: g.members.rank})
 	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Heard(t.Life(), s) })
-	g.gossip = &gossip{
+	g.gossip = &gossiper{
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, health: g.health, departure: g.departure,
 		quarantine: g.quarantine, backpressure: g.backpressure,
-		checkBehind: g.follower.checkBehind, triggered: make(chan struct{}, 1),
+		catchUpIfBehind: g.follower.catchUpIfBehind, triggered: make(chan struct{}, 1),
 	}
 	g.joiner = newJoiner(g.members, g.gossip.exchange)
 	retries := retryPolicy(g.cfg.Gateway, func() int { return retrySharers(g.now().Sub(started), g.members.peakSize()) })
@@ -135,7 +135,7 @@
 	g.relay = relay.New(relay.Config{
 		DataCentre: g.cfg.DataCentre, Node: g.PeerAddress(), View: g.views.load, AwaitCatalog: g.awaitFirstConfig, Upstream: g.ports.Targets, Batcher: batches, Placer: g.prompts,
 		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, Members: g.members.size,
-		WarmUp: margin, GivesOut: g.members.givesOutCold, Quarantine: g.quarantine, Gate: g.backpressure.Requests(),
+		WarmUp: margin, GivesOut: g.members.ownsColdTarget, Quarantine: g.quarantine, Gate: g.backpressure.Requests(),
 	})
 	g.wireServers()
 }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -28,11 +28,11 @@
 	triggerDelay = 50 * time.Millisecond
 )
 
-// gossip exchanges with other members what is known of all of them, from time to
+// gossiper exchanges with other members what is known of all of them, from time to
 // time and at once when something changed. It reports this node's status. A member
 // that does not answer costs nothing but the exchange: the roster drops it once its
 // heartbeat stands still.
-type gossip struct {
+type gossiper struct {
 	now       func() time.Time
 	members   *members
 	peers     *peerClient
@@ -44,15 +44,15 @@
 	// backpressure knows what targets ask for, which members report to each other too.
 	backpressure *backpressure.Keeper
 	log          zerolog.Logger
-	// checkBehind catches up with a member that is ahead of this node.
-	checkBehind func(context.Context)
+	// catchUpIfBehind catches up with a member that is ahead of this node.
+	catchUpIfBehind func(context.Context)
 
 	// triggered wakes the loop when there is something to report.
 	triggered chan struct{}
 }
 
 // publishStatus sets what this node reports of itself.
-func (g *gossip) publishStatus() {
+func (g *gossiper) publishStatus() {
 	v := g.views.load()
 	g.members.setStatus(func() membership.Status {
 		return membership.Status{
@@ -63,7 +63,7 @@
 }
 
 // run exchanges until ctx ends.
-func (g *gossip) run(ctx context.Context) {
+func (g *gossiper) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -81,7 +81,7 @@
 }
 
 // trigger has the next round begin at once.
-func (g *gossip) trigger() {
+func (g *gossiper) trigger() {
 	select {
 	case g.triggered <- struct{}{}:
 	default:
@@ -90,37 +90,37 @@
 
 // round exchanges with some members. Before it, the view is brought to the present: a source
 // in which nothing changes does not do that.
-func (g *gossip) round(ctx context.Context) {
+func (g *gossiper) round(ctx context.Context) {
 	g.views.expire()
 	g.publishStatus()
 	for _, partner := range g.members.beginRound(gossipPartners) {
 		go func() {
 			g.exchange(ctx, partner)
-			g.checkBehind(ctx)
+			g.catchUpIfBehind(ctx)
 		}()
 	}
-	g.checkBehind(ctx)
+	g.catchUpIfBehind(ctx)
 }
 
 // exchange sends a member what is known of all members, merges what it knows, and
 // says whether it answered. Why it did not is not logged: an address among the
 // seeds may be without a node for long.
-func (g *gossip) exchange(ctx context.Context, member string) bool {
+func (g *gossiper) exchange(ctx context.Context, member string) bool {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	in, err := g.peers.exchangeGossip(ctx, member, g.withReports(g.members.gossip()), g.members.readsCompact(member))
+	in, err := g.peers.exchangeGossip(ctx, member, g.withReports(g.members.report()), g.members.readsCompact(member))
 	if err != nil {
 		return false
 	}
-	g.members.mergeFrom(member, in)
+	g.members.mergeReply(member, in)
 	g.backpressure.Merge(member, in.Limits)
 	g.mergeSuspects(ctx, member, in)
 	return true
 }
 
-// answer merges what a member reported and returns what to answer.
-func (g *gossip) answer(in message.Gossip) message.Gossip {
-	out := g.members.exchange(in)
+// reply merges what a member reported and returns what to answer.
+func (g *gossiper) reply(in message.Gossip) message.Gossip {
+	out := g.members.mergeAndReport(in)
 	if len(in.Members) > 0 {
 		g.quarantine.Merge(in.Members[0].Address, in.Suspects)
 		g.backpressure.Merge(in.Members[0].Address, in.Limits)
@@ -130,7 +130,7 @@
 
 // withReports adds what this node knows of requests that end their targets, and of targets'
 // limits.
-func (g *gossip) withReports(out message.Gossip) message.Gossip {
+func (g *gossiper) withReports(out message.Gossip) message.Gossip {
 	out.Suspects, out.HeldSum = g.quarantine.Recent()
 	out.Limits = g.backpressure.Recent()
 	return out
@@ -138,7 +138,7 @@
 
 // mergeSuspects takes in what a member answered of requests that end their targets. When
 // the two hold other requests, as after a start or a cut, this node asks for all.
-func (g *gossip) mergeSuspects(ctx context.Context, member string, in message.Gossip) {
+func (g *gossiper) mergeSuspects(ctx context.Context, member string, in message.Gossip) {
 	g.quarantine.Merge(member, in.Suspects)
 	if !g.quarantine.Compare(in.HeldSum) {
 		return
@@ -151,10 +151,10 @@
 	g.quarantine.Merge(member, held)
 }
 
-// answered has a round begin when a member turns out to be ahead of this node: at
+// triggerIfBehind has a round begin when a member turns out to be ahead of this node: at
 // once when this node leaves the source to the readers, else when its own watch
 // should have delivered the change.
-func (g *gossip) answered() {
+func (g *gossiper) triggerIfBehind() {
 	newest := g.members.aheadOf(g.views.load())
 	switch {
 	case newest.member == "":
--- a/internal/gateway/handback.go
+++ b/internal/gateway/handback.go
@@ -14,7 +14,7 @@
 		return
 	}
 	c.ownershipCheckedAt = now
-	other := c.members.otherCoordinator(c.service)
+	other := c.members.remoteCoordinator(c.service)
 	owned := other == ""
 	if ownershipMoved(c.owned, owned, c.leaving) {
 		c.log.Info().Str("service", c.service).Str("member", other).Int("waiting", c.core.State(now).Waiting).
--- a/internal/gateway/handback_test.go
+++ b/internal/gateway/handback_test.go
@@ -94,7 +94,7 @@
 		g.departure.begin(g.now())
 		g.gossip.publishStatus()
 		convey.Convey("when it leaves and there is another, what waits is handed back and the batch is finished", func() {
-			g.members.exchange(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
+			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
 			g.coordinators.handBack()
 			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
 			convey.Convey("nor does it take more", func() {
@@ -106,7 +106,7 @@
 		convey.Convey("when another member comes to coordinate the service, what waits goes there and what still comes is run", func() {
 			g.departure.since.Store(nil)
 			g.gossip.publishStatus()
-			g.members.exchange(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
+			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
 			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonMoved)
 			late := run()
 			close(targets.release)
--- a/internal/gateway/joining_test.go
+++ b/internal/gateway/joining_test.go
@@ -77,7 +77,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		// The other member does not answer, so that the node runs the group itself.
-		g.members.exchange(message.Gossip{Members: []message.GossipMember{
+		g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{
 			{Address: silentPeer(t), Incarnation: 1, Beat: 1, Serving: true, Capacity: 800},
 		}})
 		go func() {
@@ -85,10 +85,10 @@
 			}
 		}()
 		// The target is busy until the group was tried at the other member.
-		for end := time.Now().Add(5 * time.Second); g.members.otherCoordinator("s") != "" && time.Now().Before(end); {
+		for end := time.Now().Add(5 * time.Second); g.members.remoteCoordinator("s") != "" && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		convey.So(g.members.otherCoordinator("s"), convey.ShouldBeEmpty)
+		convey.So(g.members.remoteCoordinator("s"), convey.ShouldBeEmpty)
 		close(targets.release)
 		convey.So(ended(running).err, convey.ShouldBeNil)
 		convey.So(ended(waiting).err, convey.ShouldBeNil)
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -58,9 +58,9 @@
 	return placement.Coordinator(service, m.roster.Eligible(m.now()))
 }
 
-// coldRole begins the name under which the member is chosen that gives out the requests
+// coldRolePrefix begins the name under which the member is chosen that gives out the requests
 // of a cold target of a plain service.
-const coldRole = "cold/"
+const coldRolePrefix = "cold/"
 
 // settled says whether this node gives out what is scarce (Roster.Settled).
 func (m *members) settled() bool {
@@ -69,15 +69,15 @@
 	return m.roster.Settled(m.now())
 }
 
-// givesOut says whether this node is the member that gives out what is scarce, by a name
+// ownsRole says whether this node is the member that gives out what is scarce, by a name
 // for it.
-func (m *members) givesOut(role string) bool {
+func (m *members) ownsRole(role string) bool {
 	return m.settled() && m.coordinator(role) == m.self
 }
 
-// givesOutCold says whether this node gives out the requests of a cold target of a plain
+// ownsColdTarget says whether this node gives out the requests of a cold target of a plain
 // service.
-func (m *members) givesOutCold(target string) bool { return m.givesOut(coldRole + target) }
+func (m *members) ownsColdTarget(target string) bool { return m.ownsRole(coldRolePrefix + target) }
 
 // rank returns how many of the members that may do something for all come before this node,
 // by the name of it, and how many there are; 0 members when this node may not, or knows the
@@ -92,9 +92,9 @@
 	return placement.Rank(role, m.roster.Eligible(now), m.self)
 }
 
-// otherCoordinator returns the member that coordinates a service; empty when that
+// remoteCoordinator returns the member that coordinates a service; empty when that
 // is this node, or when no member serves, so that each node does its own work.
-func (m *members) otherCoordinator(service string) string {
+func (m *members) remoteCoordinator(service string) string {
 	if address := m.coordinator(service); address != m.self {
 		return address
 	}
@@ -130,8 +130,8 @@
 	return m.roster.FollowsReaders(m.now())
 }
 
-// ahead is what a member knows beyond this node.
-type ahead struct {
+// aheadMember is what a member knows beyond this node.
+type aheadMember struct {
 	// member is the member that knows most; empty for none.
 	member string
 	// version is that of the member's configuration.
@@ -141,12 +141,12 @@
 }
 
 // aheadOf returns what members know beyond a view.
-func (m *members) aheadOf(v *view.View) ahead {
+func (m *members) aheadOf(v *view.View) aheadMember {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	newest := m.roster.Newest(now, v.CatalogVersion(), int64(v.Revision))
-	return ahead{member: newest, version: m.roster.VersionOf(newest), followsReaders: m.roster.FollowsReaders(now)}
+	return aheadMember{member: newest, version: m.roster.VersionOf(newest), followsReaders: m.roster.FollowsReaders(now)}
 }
 
 // beginRound starts a round of gossip: it raises this node's heartbeat, drops
@@ -161,8 +161,8 @@
 	return m.roster.Partners(now, n)
 }
 
-// gossip returns what to report to another member.
-func (m *members) gossip() message.Gossip {
+// report returns what to report to another member.
+func (m *members) report() message.Gossip {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Gossip(m.now())
@@ -175,8 +175,8 @@
 	return m.roster.ReadsCompact(address)
 }
 
-// mergeFrom merges the answer of a member that was called, which is a sign of life.
-func (m *members) mergeFrom(address string, in message.Gossip) {
+// mergeReply merges the answer of a member that was called, which is a sign of life.
+func (m *members) mergeReply(address string, in message.Gossip) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
@@ -184,8 +184,8 @@
 	m.roster.Contacted(now, address)
 }
 
-// exchange merges what a member reported and returns what to answer.
-func (m *members) exchange(in message.Gossip) message.Gossip {
+// mergeAndReport merges what a member reported and returns what to answer.
+func (m *members) mergeAndReport(in message.Gossip) message.Gossip {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -38,7 +38,7 @@
 	answer := func(accept string) (kind string, g message.Gossip) {
 		m := newMembers(time.Now, "10.0.0.1:80", 1, nil, 0)
 		views := newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {})
-		s := &peerServer{now: time.Now, gossip: &gossip{
+		s := &peerServer{now: time.Now, gossip: &gossiper{
 			now: time.Now, members: m, views: views, health: newSourceHealth(), quarantine: newQuarantine(), backpressure: newBackpressure(), triggered: make(chan struct{}, 1),
 		}}
 		body, err := json.Marshal(message.Gossip{Members: []message.GossipMember{{Address: "10.1.0.0:8628", Incarnation: 1, Compact: true}}})
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -47,7 +47,7 @@
 func newRemoteBatches(member string) *batchRouter {
 	// The other's incarnation is the newer one; only it serves.
 	m := newMembers(time.Now, "127.0.0.1:1", 1, nil, 0)
-	m.mergeFrom(member, message.Gossip{Members: []message.GossipMember{{Address: member, Incarnation: 2, Beat: 1, Serving: true, Capacity: 1}}})
+	m.mergeReply(member, message.Gossip{Members: []message.GossipMember{{Address: member, Incarnation: 2, Beat: 1, Serving: true, Capacity: 1}}})
 	return &batchRouter{
 		now: time.Now, log: zerolog.Nop(), members: m, peers: newPeerClient(time.Now),
 		exchange: func(context.Context, string) bool { return true },
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for ctx.Err() == nil {
-			b.members.mergeFrom(member, message.Gossip{})
+			b.members.mergeReply(member, message.Gossip{})
 			time.Sleep(overloadCost)
 		}
 	}()
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -19,7 +19,7 @@
 type peerServer struct {
 	now          func() time.Time
 	views        *viewKeeper
-	gossip       *gossip
+	gossip       *gossiper
 	coordinators *coordinators
 	prompts      *promptPlacer
 	quarantine   *quarantine.Keeper
@@ -60,7 +60,7 @@
 		http.Error(w, "the message does not read", http.StatusBadRequest)
 		return
 	}
-	body, kind, err := gossipcodec.Encode(s.gossip.answer(in), r.Header.Get("Accept") == gossipcodec.CompactMediaType)
+	body, kind, err := gossipcodec.Encode(s.gossip.reply(in), r.Header.Get("Accept") == gossipcodec.CompactMediaType)
 	if err != nil {
 		http.Error(w, "the answer cannot be written", http.StatusInternalServerError)
 		return
@@ -68,7 +68,7 @@
 	w.Header().Set("Content-Type", kind)
 	// As with writeMessage, an error means that the connection is gone.
 	_, _ = w.Write(body)
-	s.gossip.answered()
+	s.gossip.triggerIfBehind()
 }
 
 func (s *peerServer) serveItems(w http.ResponseWriter, r *http.Request) {
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -63,7 +63,7 @@
 	return results
 }
 
-// newItems returns the group's newItems, with the tokens that follow last. suspected says that a
+// newItems returns the group's items, with the tokens that follow last. suspected says that a
 // target ended with one before.
 func (g *pendingGroup) newItems(last batching.Token, suspected func(quarantine.Digest) bool) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -23,7 +23,7 @@
 	placeRolePrefix = "prompts/"
 )
 
-// promptPlacer implements relay.Placer: the member that coordinates a service's promptPlacer
+// promptPlacer implements relay.Placer: the member that coordinates a service's prompts
 // chooses the engines for all nodes. It owns the choosers of the services that this
 // node coordinates, and the lock over them. When the coordinator does not answer in
 // time, the caller chooses without it.
@@ -51,7 +51,7 @@
 
 // Place implements relay.Placer.
 func (p *promptPlacer) Place(ctx context.Context, service string, q placement.Prompt) (relay.Placed, bool) {
-	member := p.members.otherCoordinator(placeRolePrefix + service)
+	member := p.members.remoteCoordinator(placeRolePrefix + service)
 	if member == "" {
 		return p.placeLocally(service, q)
 	}
@@ -83,7 +83,7 @@
 // Prefilled implements relay.Placer. A report that is lost costs the engine's
 // backlog its accuracy until the prompt is forgotten.
 func (p *promptPlacer) Prefilled(service, request string, whole bool) {
-	member := p.members.otherCoordinator(placeRolePrefix + service)
+	member := p.members.remoteCoordinator(placeRolePrefix + service)
 	if member == "" {
 		p.prefilledLocally(service, request, whole)
 		return
--- a/internal/gateway/sourcehealth.go
+++ b/internal/gateway/sourcehealth.go
@@ -12,7 +12,7 @@
 	// readerSlack).
 	reachableFor = 2500 * time.Millisecond
 	// behindAfter is how long after a member a node may receive the same change by itself.
-	// It is above gatherChanges, for which changes gather between two watches. No other
+	// It is above watchPause, for which changes gather between two watches. No other
 	// time was run.
 	behindAfter = 400 * time.Millisecond
 )
@@ -21,29 +21,29 @@
 // since when a member is known to be ahead. It owns the lock over these; it calls
 // nobody but the function that ends the current watch.
 type sourceHealth struct {
-	// failed is closed when a call to the source fails for the first time.
-	failed chan struct{}
+	// firstFailure is closed when a call to the source fails for the first time.
+	firstFailure chan struct{}
 
 	mu sync.Mutex
-	// reached is when the source last answered; zero for never.
-	reached time.Time
-	// outage is when the last call that failed began; zero for never.
-	outage time.Time
+	// lastReached is when the source last answered; zero for never.
+	lastReached time.Time
+	// lastFailure is when the last call that failed began; zero for never.
+	lastFailure time.Time
 	// down says whether the last call failed.
 	down bool
 	// aheadSince is since when a member is known to be ahead; zero for not.
 	aheadSince time.Time
-	// endWatch ends the current watch.
-	endWatch context.CancelFunc
+	// cancelWatch ends the current watch.
+	cancelWatch context.CancelFunc
 }
 
-func newSourceHealth() *sourceHealth { return &sourceHealth{failed: make(chan struct{})} }
+func newSourceHealth() *sourceHealth { return &sourceHealth{firstFailure: make(chan struct{})} }
 
 // markReached notes an answer and says whether the source was down before it.
 func (h *sourceHealth) markReached(now time.Time) (regained bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reached = now
+	h.lastReached = now
 	regained = h.down
 	h.down = false
 	return regained
@@ -55,13 +55,13 @@
 func (h *sourceHealth) markFailed(started time.Time) (lost bool, reached time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.outage.IsZero() {
-		close(h.failed)
+	if h.lastFailure.IsZero() {
+		close(h.firstFailure)
 	}
-	h.outage = started
+	h.lastFailure = started
 	lost = !h.down
 	h.down = true
-	return lost, h.reached
+	return lost, h.lastReached
 }
 
 // isDown says whether the last call to the source failed.
@@ -75,24 +75,24 @@
 func (h *sourceHealth) isReachable(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.down && !h.reached.IsZero() && now.Sub(h.reached) <= reachableFor
+	return !h.down && !h.lastReached.IsZero() && now.Sub(h.lastReached) <= reachableFor
 }
 
 // lastOutage returns when the last call that failed began; zero for never.
 func (h *sourceHealth) lastOutage() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.outage
+	return h.lastFailure
 }
 
 // ageMs returns the milliseconds since the source was reached; -1 for never.
 func (h *sourceHealth) ageMs(now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.reached.IsZero() {
+	if h.lastReached.IsZero() {
 		return -1
 	}
-	return int(now.Sub(h.reached).Milliseconds())
+	return int(now.Sub(h.lastReached).Milliseconds())
 }
 
 // isBehind notes whether a member is ahead of this node, and decides whether this
@@ -107,11 +107,11 @@
 	if h.aheadSince.IsZero() {
 		h.aheadSince = now
 	}
-	unreachable := h.down || h.reached.IsZero()
-	return countsAsBehind(now.Sub(h.aheadSince), followsReaders, unreachable)
+	unreachable := h.down || h.lastReached.IsZero()
+	return shouldCatchUp(now.Sub(h.aheadSince), followsReaders, unreachable)
 }
 
-// countsAsBehind decides whether a node takes over what a member that is ahead of
+// shouldCatchUp decides whether a node takes over what a member that is ahead of
 // it knows, or still waits for its own watch of the source. Inputs, in the order in
 // which they count: whether the node leaves the source to the readers, so that no
 // watch of its own will bring the change; whether the source does not answer it
@@ -121,23 +121,23 @@
 // Too early costs a call between members for a change that the source delivers
 // anyway; too late, the node works by an older configuration and by targets that
 // are leaving. See docs/decisions/0011-the-gateway.md, "Changes in the store".
-func countsAsBehind(aheadFor time.Duration, followsReaders, unreachable bool) bool {
+func shouldCatchUp(aheadFor time.Duration, followsReaders, unreachable bool) bool {
 	return followsReaders || unreachable || aheadFor >= behindAfter
 }
 
-// setWatch notes how to end the current watch.
-func (h *sourceHealth) setWatch(end context.CancelFunc) {
+// setWatchCancel notes how to end the current watch.
+func (h *sourceHealth) setWatchCancel(end context.CancelFunc) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.endWatch = end
+	h.cancelWatch = end
 }
 
-// endCurrentWatch ends the current watch, so that the next one begins at the
+// cancelCurrentWatch ends the current watch, so that the next one begins at the
 // revision that the node has by then.
-func (h *sourceHealth) endCurrentWatch() {
+func (h *sourceHealth) cancelCurrentWatch() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.endWatch != nil {
-		h.endWatch()
+	if h.cancelWatch != nil {
+		h.cancelWatch()
 	}
 }
--- a/internal/gateway/viewkeeper.go
+++ b/internal/gateway/viewkeeper.go
@@ -18,11 +18,11 @@
 type viewKeeper struct {
 	now func() time.Time
 	log zerolog.Logger
-	// changed is called under the lock, in the order of the views, when the
+	// onChange is called under the lock, in the order of the views, when the
 	// configuration or the targets have changed.
-	changed func(*view.View)
-	// refused counts an entry of the source that was refused.
-	refused func()
+	onChange func(*view.View)
+	// onRejected counts an entry of the source that was refused.
+	onRejected func()
 
 	current atomic.Pointer[view.View]
 	// configured is closed when the first configuration is in force and those who
@@ -34,7 +34,7 @@
 
 // newViewKeeper returns a keeper of the empty view.
 func newViewKeeper(now func() time.Time, log zerolog.Logger, changed func(*view.View)) *viewKeeper {
-	k := &viewKeeper{now: now, log: log, changed: changed, refused: func() {}, configured: make(chan struct{})}
+	k := &viewKeeper{now: now, log: log, onChange: changed, onRejected: func() {}, configured: make(chan struct{})}
 	k.current.Store(view.New())
 	return k
 }
@@ -66,7 +66,7 @@
 	if next.Directory == old.Directory && next.Catalog == old.Catalog {
 		return
 	}
-	k.changed(next)
+	k.onChange(next)
 	if old.Catalog == nil && next.Catalog != nil {
 		close(k.configured)
 	}
@@ -77,8 +77,8 @@
 	k.apply(view.Changes{}, func(_ time.Time, v *view.View) *view.View { return v })
 }
 
-// isTarget says whether a change is a target that was added or changed.
-func isTarget(c view.Change) bool {
+// isTargetChange says whether a change is a target that was added or changed.
+func isTargetChange(c view.Change) bool {
 	_, is := c.(view.TargetChange)
 	return is
 }
@@ -99,7 +99,7 @@
 		// One line for all: a line each costs a weak node that starts with hundreds of
 		// targets more time than to read them. The state dump lists them.
 		k.log.Info().Int("targets", len(next.Directory.All())).Int64("revision", int64(ch.Revision)).Msg("view: targets listed")
-		ch.List = slices.DeleteFunc(slices.Clone(ch.List), isTarget)
+		ch.List = slices.DeleteFunc(slices.Clone(ch.List), isTargetChange)
 	}
 	for _, c := range ch.List {
 		switch c := c.(type) {
@@ -109,7 +109,7 @@
 		case view.TargetRemoval:
 			k.log.Info().Str("target", c.ID).Int64("revision", int64(ch.Revision)).Msg("view: target gone")
 		case view.RejectedEntry:
-			k.refused()
+			k.onRejected()
 			k.log.Error().Str("key", c.Key).Str("why", c.Reason).Msg("view: entry refused")
 		case view.CatalogChange, view.EvacuationChange:
 		}
