--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -15,9 +15,9 @@
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
-// describeTimeout bounds describing the node, for which each coordinator is asked: a
+// stateTimeout bounds describing the node, for which each coordinator is asked: a
 // busy one answers within milliseconds.
-const describeTimeout = time.Second
+const stateTimeout = time.Second
 
 // adminServer answers operators and the balancer: readiness, state and metrics. It
 // changes nothing.
@@ -27,8 +27,8 @@
 	views        *viewKeeper
 	health       *sourceHealth
 	members      *members
-	departure    *departure
-	callers      *callers
+	shutdown     *shutdownState
+	callers      *callerServer
 	coordinators *coordinators
 	metrics      *metrics
 	quarantine   *quarantine.Keeper
@@ -52,7 +52,7 @@
 // phase says whether the node takes requests.
 func (s *adminServer) phase() message.GatewayStatePhase {
 	switch {
-	case s.departure.begun():
+	case s.shutdown.begun():
 		return message.GatewayStatePhaseLeaving
 	case s.views.load().Catalog != nil:
 		return message.GatewayStatePhaseServing
@@ -62,12 +62,12 @@
 
 // state describes what the node knows and holds.
 func (s *adminServer) state() message.GatewayState {
-	ctx, cancel := context.WithTimeout(context.Background(), describeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	v := s.views.load()
 	state := message.GatewayState{
 		Node: s.members.self, DataCentre: s.dataCentre, Phase: s.phase(),
-		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inflight.Load()),
+		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inFlight.Load()),
 		Targets: encodeTargets(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
 		Evacuations: describeEvacuations(s.now(), v.Evacuations), Held: s.quarantine.All().Requests,
 		Limits: s.backpressure.Limits(), Holds: s.backpressure.Holds(),
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -8,12 +8,12 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-// linkPerCore is the bandwidth that work for other nodes needs beside a core, in
+// linkMbpsPerCore is the bandwidth that work for other nodes needs beside a core, in
 // Mbit/s. It is the ratio of instances with 200 Mbit/s and 0.8 of a core, which carry
 // that work; what the work itself needs was not measured.
-const linkPerCore = 250.0
+const linkMbpsPerCore = 250.0
 
-// capacityOf decides what a machine can carry of the work that one node does for all,
+// machineCapacity decides what a machine can carry of the work that one node does for all,
 // in thousandths of a core; 0 for unknown. Inputs, from the settings: its processor in
 // cores, and its link in Mbit/s, where that is known; the scarcer of both counts.
 // Members with less than half of the strongest one's coordinate nothing and do not
@@ -21,10 +21,10 @@
 // all; too low a one leaves the work to fewer. Where machines differ by ten times the
 // rule is worth a seventh of a day and more (docs/decisions/0012-batches.md, "Who
 // coordinates").
-func capacityOf(cfg *settings.Gateway) int {
+func machineCapacity(cfg *settings.Gateway) int {
 	cores := cfg.Cores
 	if cfg.LinkMbps > 0 {
-		cores = min(cores, cfg.LinkMbps/linkPerCore)
+		cores = min(cores, cfg.LinkMbps/linkMbpsPerCore)
 	}
 	return int(1000 * cores)
 }
@@ -42,9 +42,9 @@
 	// defaultMaxNodes is the least number of nodes that are assumed to share the extra:
 	// more than the smallest fleets have, whose nodes may not know each other yet.
 	defaultMaxNodes = 16
-	// membersKnown is how long after its start a node is assumed to know all members: four
+	// membershipSettleTime is how long after its start a node is assumed to know all members: four
 	// rounds of gossip.
-	membersKnown = 2 * time.Second
+	membershipSettleTime = 2 * time.Second
 	// sharersFactor is how many nodes may share the extra for each that was known to live
 	// at once: for those that come and go meanwhile. Without it 33 retries were seen where
 	// 32 were allowed.
@@ -87,7 +87,7 @@
 // refuse retries that were allowed. See docs/decisions/0011-the-gateway.md, "The
 // retry budget".
 func retrySharers(age time.Duration, peak int) int {
-	if age < membersKnown {
+	if age < membershipSettleTime {
 		return retrybudget.UnknownNodes
 	}
 	return int(sharersFactor * float64(peak))
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -164,7 +164,7 @@
 // sendBatch sends a batch, after what is to be discarded at the same target.
 func (c *coordinator) sendBatch(now time.Time, e batching.Send) {
 	discard := c.discards.take(e.Target.Life())
-	c.metrics.batch(c.service, len(e.Items))
+	c.metrics.recordBatch(c.service, len(e.Items))
 	c.markStarted(e)
 	self := c.self
 	go func() {
@@ -245,7 +245,7 @@
 	if !c.targets.HasEnded(ctx, e.Target) {
 		return false
 	}
-	c.metrics.targetEnded()
+	c.metrics.recordTargetEnd()
 	c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Strs("digests", uniqueDigests(e.Items)).
 		Msg("items: target ended while it had the batch")
 	for _, item := range e.Items {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	members      *members
 	health       *sourceHealth
 	views        *viewKeeper
-	departure    *departure
+	shutdown     *shutdownState
 	follower     *sourceFollower
 	gossip       *gossiper
 	joiner       *joiner
@@ -57,12 +57,12 @@
 	quarantine   *quarantine.Keeper
 	backpressure *backpressure.Keeper
 	relay        *relay.Server
-	callers      *callers
+	callers      *callerServer
 	admin        *adminServer
 	metrics      *metrics
 
-	sockets *sockets
-	servers servers
+	listeners *listeners
+	servers   servers
 }
 
 // servers are the HTTP servers of a node's sockets.
@@ -82,7 +82,7 @@
 func New(cfg *settings.Settings, ports Ports, opts ...Option) (*Gateway, error) {
 	g := &Gateway{
 		cfg: cfg, ports: ports, log: zerolog.Nop(), now: boottime.New().Now,
-		health: newSourceHealth(), departure: &departure{}, metrics: newMetrics(),
+		health: newSourceHealth(), shutdown: &shutdownState{}, metrics: newMetrics(),
 	}
 	for _, opt := range opts {
 		opt(g)
@@ -92,35 +92,35 @@
 	if err != nil {
 		return nil, err
 	}
-	g.sockets = sockets
-	g.members = newMembers(g.now, g.PeerAddress(), started.UnixNano(), cfg.Peers, capacityOf(cfg.Gateway))
-	g.views = newViewKeeper(g.now, g.log, g.viewChanged)
-	g.views.onRejected = g.metrics.entryRefused
-	g.wire(started)
+	g.listeners = sockets
+	g.members = newMembers(g.now, g.PeerAddress(), started.UnixNano(), cfg.Peers, machineCapacity(cfg.Gateway))
+	g.views = newViewKeeper(g.now, g.log, g.onViewChange)
+	g.views.onRejected = g.metrics.recordRejectedEntry
+	g.createParts(started)
 	return g, nil
 }
 
-// wire creates the parts that work by the members and the view.
-func (g *Gateway) wire(started time.Time) {
+// createParts creates the parts that work by the members and the view.
+func (g *Gateway) createParts(started time.Time) {
 	peers := newPeerClient(g.now)
 	g.follower = &sourceFollower{
 		source: g.ports.Source, views: g.views, members: g.members, health: g.health, peers: peers,
 		metrics: g.metrics, log: g.log, now: g.now,
 	}
 	g.quarantine = quarantine.NewKeeper(quarantine.Config{
-		Now: g.now, Log: g.log, Changed: g.quarantineChanged, GivesOut: g.members.ownsRole,
+		Now: g.now, Log: g.log, Changed: g.onQuarantineChange, GivesOut: g.members.ownsRole,
 	})
-	g.backpressure = backpressure.NewKeeper(backpressure.Config{Now: g.now, Log: g.log, Changed: g.limitsChanged, Rank: g.members.rank})
+	g.backpressure = backpressure.NewKeeper(backpressure.Config{Now: g.now, Log: g.log, Changed: g.onLimitsChange, Rank: g.members.rank})
 	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Heard(t.Life(), s) })
 	g.gossip = &gossiper{
-		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, health: g.health, departure: g.departure,
+		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, health: g.health, shutdown: g.shutdown,
 		quarantine: g.quarantine, backpressure: g.backpressure,
 		catchUpIfBehind: g.follower.catchUpIfBehind, triggered: make(chan struct{}, 1),
 	}
 	g.joiner = newJoiner(g.members, g.gossip.exchange)
 	retries := retryPolicy(g.cfg.Gateway, func() int { return retrySharers(g.now().Sub(started), g.members.peakSize()) })
 	g.coordinators = &coordinators{views: g.views, services: map[string]*actor.PID{}, coordinatorConfig: coordinatorConfig{
-		now: g.now, log: g.log, system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger)), members: g.members,
+		now: g.now, log: g.log, system: actor.NewActorSystem(actor.WithLoggerFactory(discardLogger)), members: g.members,
 		targets: g.ports.Targets, metrics: g.metrics, retries: retries, permit: g.views.permit, margin: warmUpMargin(g.cfg.Gateway), quarantine: g.quarantine, backpressure: g.backpressure,
 	}}
 	margin := warmUpMargin(g.cfg.Gateway)
@@ -137,65 +137,65 @@
 		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, Members: g.members.size,
 		WarmUp: margin, GivesOut: g.members.ownsColdTarget, Quarantine: g.quarantine, Gate: g.backpressure.Requests(),
 	})
-	g.wireServers()
+	g.createServers()
 }
 
-// wireServers creates the parts that callers, members and operators speak to.
-func (g *Gateway) wireServers() {
-	g.callers = &callers{now: g.now, views: g.views, departure: g.departure, relay: g.relay}
+// createServers creates the parts that callers, members and operators speak to.
+func (g *Gateway) createServers() {
+	g.callers = &callerServer{now: g.now, views: g.views, shutdown: g.shutdown, relay: g.relay}
 	g.admin = &adminServer{
 		now: g.now, dataCentre: g.cfg.DataCentre, views: g.views, health: g.health, members: g.members,
-		departure: g.departure, callers: g.callers, coordinators: g.coordinators, metrics: g.metrics, quarantine: g.quarantine, backpressure: g.backpressure,
+		shutdown: g.shutdown, callers: g.callers, coordinators: g.coordinators, metrics: g.metrics, quarantine: g.quarantine, backpressure: g.backpressure,
 	}
 	peers := &peerServer{
 		now: g.now, views: g.views, gossip: g.gossip, coordinators: g.coordinators, prompts: g.prompts, quarantine: g.quarantine,
 	}
 	g.servers = servers{
-		callers: newServer(g.callers.counted(g.ports.Callers(g.callers))),
+		callers: newServer(g.callers.countInFlight(g.ports.Callers(g.callers))),
 		peers:   newServer(peers.handler()),
 		admin:   newServer(g.admin.handler()),
 		ready:   newServer(http.HandlerFunc(g.admin.serveReady)),
 	}
 }
 
-// quietLogger keeps the actor system's own lines out of the log.
-func quietLogger(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
+// discardLogger keeps the actor system's own lines out of the log.
+func discardLogger(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// viewChanged notifies those who depend on the view, in this order.
-func (g *Gateway) viewChanged(v *view.View) {
+// onViewChange notifies those who depend on the view, in this order.
+func (g *Gateway) onViewChange(v *view.View) {
 	g.coordinators.configure(v)
 	g.relay.Prune(v.Directory)
 	g.prompts.prune(v.Directory)
 	g.backpressure.Prune(v.Directory)
-	g.metrics.viewChanged(g.now(), v)
+	g.metrics.recordView(g.now(), v)
 	g.gossip.publishStatus()
 	g.gossip.trigger()
 }
 
-// quarantineChanged has members hear of requests that end their targets, and counts those
+// onQuarantineChange has members hear of requests that end their targets, and counts those
 // that are held.
-func (g *Gateway) quarantineChanged(held int) {
-	g.metrics.held.Update(float64(held))
+func (g *Gateway) onQuarantineChange(held int) {
+	g.metrics.heldRequests.Update(float64(held))
 	g.gossip.trigger()
 }
 
-// limitsChanged has members hear of the limits of targets, and counts them.
-func (g *Gateway) limitsChanged(limited int) {
-	g.metrics.limited.Update(float64(limited))
+// onLimitsChange has members hear of the limits of targets, and counts them.
+func (g *Gateway) onLimitsChange(limited int) {
+	g.metrics.limitedTargets.Update(float64(limited))
 	g.gossip.trigger()
 }
 
 // CallerAddress returns the address that callers use.
-func (g *Gateway) CallerAddress() string { return g.sockets.callers.Addr().String() }
+func (g *Gateway) CallerAddress() string { return g.listeners.callers.Addr().String() }
 
 // PeerAddress returns the address that other nodes use.
-func (g *Gateway) PeerAddress() string { return g.sockets.peers.Addr().String() }
+func (g *Gateway) PeerAddress() string { return g.listeners.peers.Addr().String() }
 
 // AdminAddress returns the address that operators read from.
-func (g *Gateway) AdminAddress() string { return g.sockets.admin.Addr().String() }
+func (g *Gateway) AdminAddress() string { return g.listeners.admin.Addr().String() }
 
 // ReadyAddress returns the address that the balancer checks.
-func (g *Gateway) ReadyAddress() string { return g.sockets.ready.Addr().String() }
+func (g *Gateway) ReadyAddress() string { return g.listeners.ready.Addr().String() }
 
 // State describes what the node knows and holds.
 func (g *Gateway) State() message.GatewayState { return g.admin.state() }
@@ -205,17 +205,17 @@
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	go g.serve(g.servers.callers, g.sockets.callers)
-	go g.serve(g.servers.peers, g.sockets.peers)
-	go g.serve(g.servers.admin, g.sockets.admin)
-	go g.serve(g.servers.ready, g.sockets.ready)
+	go g.serve(g.servers.callers, g.listeners.callers)
+	go g.serve(g.servers.peers, g.listeners.peers)
+	go g.serve(g.servers.admin, g.listeners.admin)
+	go g.serve(g.servers.ready, g.listeners.ready)
 	go g.follower.run(work)
 	go g.gossip.run(work)
 	go g.join(work)
 	g.log.Info().Str("callers", g.CallerAddress()).Str("peers", g.PeerAddress()).
 		Str("dataCentre", g.cfg.DataCentre).Msg("node: started")
 	<-ctx.Done()
-	g.stop()
+	g.shutDown()
 	return nil
 }
 
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -33,12 +33,12 @@
 // that does not answer costs nothing but the exchange: the roster drops it once its
 // heartbeat stands still.
 type gossiper struct {
-	now       func() time.Time
-	members   *members
-	peers     *peerClient
-	views     *viewKeeper
-	health    *sourceHealth
-	departure *departure
+	now      func() time.Time
+	members  *members
+	peers    *peerClient
+	views    *viewKeeper
+	health   *sourceHealth
+	shutdown *shutdownState
 	// quarantine knows the requests that end their targets, which members report to each other.
 	quarantine *quarantine.Keeper
 	// backpressure knows what targets ask for, which members report to each other too.
@@ -56,7 +56,7 @@
 	v := g.views.load()
 	g.members.setStatus(func() membership.Status {
 		return membership.Status{
-			Serving: v.Catalog != nil, Leaving: g.departure.begun(), ReachesSource: g.health.isReachable(g.now()),
+			Serving: v.Catalog != nil, Leaving: g.shutdown.begun(), ReachesSource: g.health.isReachable(g.now()),
 			Version: v.CatalogVersion(), Revision: int64(v.Revision),
 		}
 	})
--- a/internal/gateway/handback_test.go
+++ b/internal/gateway/handback_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(g.sockets.close)
+	t.Cleanup(g.listeners.close)
 	batch := &catalog.Batch{MaxItems: 4, CallLatency: time.Minute, MemoryBytes: 1000, ResultTTL: time.Minute}
 	c, err := catalog.New(1, nil, []*catalog.Service{{Name: "s", Batch: batch}}, nil, catalog.Limits{})
 	if err != nil {
@@ -91,7 +91,7 @@
 		for g.coordinators.states(t.Context())["s"].Waiting == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		g.departure.begin(g.now())
+		g.shutdown.begin(g.now())
 		g.gossip.publishStatus()
 		convey.Convey("when it leaves and there is another, what waits is handed back and the batch is finished", func() {
 			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
@@ -104,7 +104,7 @@
 			convey.So(ended(running).results, convey.ShouldHaveLength, 1)
 		})
 		convey.Convey("when another member comes to coordinate the service, what waits goes there and what still comes is run", func() {
-			g.departure.since.Store(nil)
+			g.shutdown.since.Store(nil)
 			g.gossip.publishStatus()
 			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
 			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonMoved)
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -28,21 +28,21 @@
 )
 
 const (
-	// callerShare is the part of the process's descriptors that callers may take; the rest
+	// callerDescriptorShare is the part of the process's descriptors that callers may take; the rest
 	// is for targets, members and the source, of which a node of 295 had 1,150 connections
 	// at most.
-	callerShare = 0.6
+	callerDescriptorShare = 0.6
 	// defaultDescriptors is assumed when the settings name none: the usual limit of a
 	// process on Linux.
 	defaultDescriptors = 1024
 )
 
-// sockets are the addresses that a node listens on.
-type sockets struct{ callers, peers, admin, ready net.Listener }
+// listeners are the addresses that a node listens on.
+type listeners struct{ callers, peers, admin, ready net.Listener }
 
 // listen opens all sockets, or none.
-func listen(cfg *settings.Settings) (*sockets, error) {
-	s := &sockets{}
+func listen(cfg *settings.Settings) (*listeners, error) {
+	s := &listeners{}
 	for _, l := range []struct {
 		into    *net.Listener
 		address string
@@ -60,13 +60,13 @@
 		*l.into = ln
 	}
 	// Connections beyond the limit wait in the system's queue.
-	s.callers = netutil.LimitListener(s.callers, callerLimit(cfg.Gateway.Descriptors))
+	s.callers = netutil.LimitListener(s.callers, maxCallerConnections(cfg.Gateway.Descriptors))
 	return s, nil
 }
 
 // close closes the sockets that are open. An error cannot matter: nothing has been
 // accepted from them.
-func (s *sockets) close() {
+func (s *listeners) close() {
 	for _, ln := range []net.Listener{s.callers, s.peers, s.admin, s.ready} {
 		if ln != nil {
 			_ = ln.Close()
@@ -74,14 +74,14 @@
 	}
 }
 
-// callerLimit decides how many connections callers may have open, by the file
+// maxCallerConnections decides how many connections callers may have open, by the file
 // descriptors of the process; 0 for unknown. Too many leave the node without
 // connections to targets, members and the source; too few make callers wait.
-func callerLimit(descriptors int) int {
+func maxCallerConnections(descriptors int) int {
 	if descriptors <= 0 {
 		descriptors = defaultDescriptors
 	}
-	return int(callerShare * float64(descriptors))
+	return int(callerDescriptorShare * float64(descriptors))
 }
 
 func newServer(handler http.Handler) *http.Server {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -29,15 +29,15 @@
 	sourceFailures tally.Counter
 	// targetEnds counts attempts whose target ended meanwhile.
 	targetEnds tally.Counter
-	// refused counts entries of the source that did not read.
-	refused tally.Counter
-	// held is how many requests this node holds back because they end their targets.
-	held tally.Gauge
-	// limited is how many targets this node knows to have named a limit.
-	limited tally.Gauge
-	// evacuated is how many data centres this node takes for evacuated, cold how many
+	// rejectedEntries counts entries of the source that did not read.
+	rejectedEntries tally.Counter
+	// heldRequests is how many requests this node holds back because they end their targets.
+	heldRequests tally.Gauge
+	// limitedTargets is how many targets this node knows to have named a limit.
+	limitedTargets tally.Gauge
+	// evacuatedDataCentres is how many data centres this node takes for evacuated, coldTargets how many
 	// targets it took for cold when the view last changed.
-	evacuated, cold tally.Gauge
+	evacuatedDataCentres, coldTargets tally.Gauge
 }
 
 func newMetrics() *metrics {
@@ -45,21 +45,21 @@
 	return &metrics{
 		scope: scope, handler: handler,
 		sourceCalls: scope.Counter("source_calls"), sourceFailures: scope.Counter("source_failures"),
-		targetEnds: scope.Counter("target_ends"), held: scope.Gauge("held_requests"),
-		limited:   scope.Gauge("limited_targets"),
-		refused:   scope.Counter("source_entries_refused"),
-		evacuated: scope.Gauge("evacuated_data_centres"), cold: scope.Gauge("cold_targets"),
+		targetEnds: scope.Counter("target_ends"), heldRequests: scope.Gauge("held_requests"),
+		limitedTargets:       scope.Gauge("limited_targets"),
+		rejectedEntries:      scope.Counter("source_entries_refused"),
+		evacuatedDataCentres: scope.Gauge("evacuated_data_centres"), coldTargets: scope.Gauge("cold_targets"),
 	}
 }
 
-// label returns a value as a label may hold it.
-func label(s string) string { return strings.ReplaceAll(s, "-", "_") }
+// labelValue returns a value as a label may hold it.
+func labelValue(s string) string { return strings.ReplaceAll(s, "-", "_") }
 
-func (m *metrics) ended(o *relay.Outcome) {
-	tags := map[string]string{"service": label(o.Service), "end": "answered", "reason": "none"}
+func (m *metrics) recordRequest(o *relay.Outcome) {
+	tags := map[string]string{"service": labelValue(o.Service), "end": "answered", "reason": "none"}
 	if o.Err != nil {
-		tags["end"] = label(o.Err.Verdict().String())
-		tags["reason"] = label(string(o.Err.Reason()))
+		tags["end"] = labelValue(o.Err.Verdict().String())
+		tags["reason"] = labelValue(string(o.Err.Reason()))
 	}
 	s := m.scope.Tagged(tags)
 	s.Counter("requests").Inc(1)
@@ -72,22 +72,22 @@
 	}
 }
 
-// viewChanged counts what of a view takes no new work, or little.
-func (m *metrics) viewChanged(now time.Time, v *view.View) {
+// recordView counts what of a view takes no new work, or little.
+func (m *metrics) recordView(now time.Time, v *view.View) {
 	cold := 0
 	for _, t := range v.Directory.All() {
 		if t.Cold(now) {
 			cold++
 		}
 	}
-	m.evacuated.Update(float64(v.Evacuations.ActiveCount()))
-	m.cold.Update(float64(cold))
+	m.evacuatedDataCentres.Update(float64(v.Evacuations.ActiveCount()))
+	m.coldTargets.Update(float64(cold))
 }
 
-func (m *metrics) entryRefused() { m.refused.Inc(1) }
+func (m *metrics) recordRejectedEntry() { m.rejectedEntries.Inc(1) }
 
-func (m *metrics) targetEnded() { m.targetEnds.Inc(1) }
+func (m *metrics) recordTargetEnd() { m.targetEnds.Inc(1) }
 
-func (m *metrics) batch(service string, items int) {
-	m.scope.Tagged(map[string]string{"service": label(service)}).Histogram("call_items", batchBuckets).RecordValue(float64(items))
+func (m *metrics) recordBatch(service string, items int) {
+	m.scope.Tagged(map[string]string{"service": labelValue(service)}).Histogram("call_items", batchBuckets).RecordValue(float64(items))
 }
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// wholeLogs is how many requests a second have all their decisions logged: some four
+	// fullLogRate is how many requests a second have all their decisions logged: some four
 	// lines each, 60 KB a second. Beyond, a part of them is, drawn by the request's
 	// identity so that one request's lines stay together at all nodes; failures always
 	// are.
-	wholeLogs = 50.0
-	// logWindow is how long requests are counted for, to set the next window's part.
-	logWindow = time.Second
-	// logShares is how finely the part of logged requests is set.
-	logShares = 1000
+	fullLogRate = 50.0
+	// sampleWindow is how long requests are counted for, to set the next window's part.
+	sampleWindow = time.Second
+	// sampleBuckets is how finely the part of logged requests is set.
+	sampleBuckets = 1000
 )
 
 // requestLog implements relay.Observer: it logs and counts what became of requests.
@@ -35,23 +35,23 @@
 	metrics *metrics
 
 	mu sync.Mutex
-	// begun is when the current window began, and count its requests so far.
-	begun time.Time
-	count int
-	// share is the part of requests that is logged, from the last window.
-	share float64
+	// windowStart is when the current window began, and count its requests so far.
+	windowStart time.Time
+	count       int
+	// sampleRatio is the part of requests that is logged, from the last window.
+	sampleRatio float64
 }
 
 // sampled counts a request and says whether it is logged in full.
 func (l *requestLog) sampled(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := l.now(); now.Sub(l.begun) >= logWindow {
-		l.share = min(1, wholeLogs/float64(max(l.count, 1)))
-		l.begun, l.count = now, 0
+	if now := l.now(); now.Sub(l.windowStart) >= sampleWindow {
+		l.sampleRatio = min(1, fullLogRate/float64(max(l.count, 1)))
+		l.windowStart, l.count = now, 0
 	}
 	l.count++
-	return float64(xxhash.Sum64String(id)%logShares) < logShares*l.share
+	return float64(xxhash.Sum64String(id)%sampleBuckets) < sampleBuckets*l.sampleRatio
 }
 
 // Decided implements relay.Observer.
@@ -65,14 +65,14 @@
 				Dur("took", d.Took).Strs("targets", d.Targets).Msg("request: stage made")
 		}
 	case relay.StageFailed:
-		logError(l.log.Warn(), d.Err).Str("request", request).Int("stage", d.Stage).Str("service", d.Service).Int("items", d.Items).
+		withError(l.log.Warn(), d.Err).Str("request", request).Int("stage", d.Stage).Str("service", d.Service).Int("items", d.Items).
 			Dur("took", d.Took).Msg("request: stage failed")
 	case relay.AttemptFailed:
-		logError(l.log.Warn(), d.Attempt.Err).Str("request", request).Str("target", d.Attempt.Target).Int("status", d.Attempt.Status).
+		withError(l.log.Warn(), d.Attempt.Err).Str("request", request).Str("target", d.Attempt.Target).Int("status", d.Attempt.Status).
 			Dur("took", d.Attempt.Took).Int("events", d.Events).Str("lastEvent", d.LastEvent).Dur("left", d.Left).Bool("again", d.WillRetry).
-			Str("next", nextText(d.Next)).Msg("request: attempt failed")
+			Str("next", describeNext(d.Next)).Msg("request: attempt failed")
 	case relay.TargetEnded:
-		l.metrics.targetEnded()
+		l.metrics.recordTargetEnd()
 		l.log.Warn().Str("request", request).Str("target", d.Target).Str("digest", d.Digest.String()).Int("events", d.Events).
 			Dur("took", d.Took).Msg("request: target ended while it had the request")
 	}
@@ -91,8 +91,8 @@
 		Bool("retried", d.Retried).Msg("request: refused, the stages would take too long")
 }
 
-// nextText says what follows a failed attempt.
-func nextText(next rules.NextAttempt) string {
+// describeNext says what follows a failed attempt.
+func describeNext(next rules.NextAttempt) string {
 	switch next := next.(type) {
 	case rules.Resend:
 		return "same target"
@@ -106,7 +106,7 @@
 	return ""
 }
 
-func logError(ev *zerolog.Event, err *verdict.Error) *zerolog.Event {
+func withError(ev *zerolog.Event, err *verdict.Error) *zerolog.Event {
 	if err == nil {
 		return ev
 	}
@@ -116,7 +116,7 @@
 // Ended implements relay.Observer. A request that ended well is one of many;
 // one that did not is always logged.
 func (l *requestLog) Ended(o *relay.Outcome) {
-	l.metrics.ended(o)
+	l.metrics.recordRequest(o)
 	if o.Err == nil && len(o.Attempts) <= 1 && !l.sampled(o.Request.ID) {
 		return
 	}
@@ -149,18 +149,18 @@
 	if o.Recomputed > 0 {
 		ev.Int("remade", o.Recomputed)
 	}
-	ev.Str("attempts", attemptsText(o.Attempts))
+	ev.Str("attempts", formatAttempts(o.Attempts))
 	if o.Err != nil {
 		if o.Digest != 0 {
 			ev.Str("digest", o.Digest.String())
 		}
-		logError(ev, o.Err).Dur("retryAfter", o.Err.RetryAfter())
+		withError(ev, o.Err).Dur("retryAfter", o.Err.RetryAfter())
 	}
 	ev.Msg("request: ended")
 }
 
-// attemptsText lists target, status or reason, and milliseconds of each attempt.
-func attemptsText(attempts []relay.Attempt) string {
+// formatAttempts lists target, status or reason, and milliseconds of each attempt.
+func formatAttempts(attempts []relay.Attempt) string {
 	texts := make([]string, len(attempts))
 	for i, a := range attempts {
 		reason := ""
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -24,7 +24,7 @@
 	return line
 }
 
-func TestAttemptLine(t *testing.T) {
+func TestAttemptFailedLog(t *testing.T) {
 	shouldSay := func(next rules.NextAttempt, again bool, want string) {
 		line := logged(relay.AttemptFailed{Attempt: relay.Attempt{Target: "t"}, WillRetry: again, Next: next})
 		convey.So(line["message"], convey.ShouldEqual, "request: attempt failed")
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestRefusedLine(t *testing.T) {
+func TestRefusedLog(t *testing.T) {
 	convey.Convey("A refusal's line has what was planned, what was compared and what the bound was made of", t, func() {
 		decision := rules.Admit(rules.Admission{
 			Estimated: 1533 * time.Millisecond, Alone: 280 * time.Millisecond, Left: 1800 * time.Millisecond, Objective: 2 * time.Second,
@@ -61,13 +61,13 @@
 	})
 }
 
-func TestAttemptsText(t *testing.T) {
+func TestFormatAttempts(t *testing.T) {
 	convey.Convey("Each attempt has its target, its reason if it failed, its status and its milliseconds", t, func() {
 		failed := verdict.New(verdict.MayHaveRun, verdict.ReasonCut, "why")
-		text := attemptsText([]relay.Attempt{
+		text := formatAttempts([]relay.Attempt{
 			{Target: "a", Status: 200, Err: failed, Took: 1387 * time.Millisecond}, {Target: "b", Status: 200, Took: 2900 * time.Microsecond},
 		})
 		convey.So(text, convey.ShouldEqual, "a:answer-cut/200:1387 b:200:2")
-		convey.So(attemptsText(nil), convey.ShouldBeEmpty)
+		convey.So(formatAttempts(nil), convey.ShouldBeEmpty)
 	})
 }
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -67,9 +67,9 @@
 	})
 }
 
-func TestCapacity(t *testing.T) {
+func TestMachineCapacity(t *testing.T) {
 	capacity := func(cores, linkMbps float64) int {
-		return capacityOf(&settings.Gateway{Cores: cores, LinkMbps: linkMbps})
+		return machineCapacity(&settings.Gateway{Cores: cores, LinkMbps: linkMbps})
 	}
 	convey.Convey("The scarcer of processor and link bounds what a machine can carry", t, func() {
 		convey.So(capacity(0.8, 200), convey.ShouldEqual, 800)
@@ -84,11 +84,11 @@
 
 func TestRetrySharers(t *testing.T) {
 	convey.Convey("A node that cannot know all members yet has no part of the extra", t, func() {
-		convey.So(retrySharers(membersKnown-1, 80), convey.ShouldEqual, retrybudget.UnknownNodes)
+		convey.So(retrySharers(membershipSettleTime-1, 80), convey.ShouldEqual, retrybudget.UnknownNodes)
 	})
 	convey.Convey("Later it shares it with half as many again as were known at once", t, func() {
-		convey.So(retrySharers(membersKnown, 80), convey.ShouldEqual, 120)
-		convey.So(retrySharers(membersKnown, 1), convey.ShouldEqual, 1)
+		convey.So(retrySharers(membershipSettleTime, 80), convey.ShouldEqual, 120)
+		convey.So(retrySharers(membershipSettleTime, 1), convey.ShouldEqual, 1)
 	})
 }
 
@@ -112,9 +112,9 @@
 	})
 }
 
-func TestCallerLimit(t *testing.T) {
+func TestMaxCallerConnections(t *testing.T) {
 	convey.Convey("Callers may take a part of the descriptors", t, func() {
-		convey.So(callerLimit(4100), convey.ShouldEqual, 2460)
-		convey.So(callerLimit(0), convey.ShouldEqual, 614)
+		convey.So(maxCallerConnections(4100), convey.ShouldEqual, 2460)
+		convey.So(maxCallerConnections(0), convey.ShouldEqual, 614)
 	})
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -9,45 +9,45 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-func TestPlanStop(t *testing.T) {
+func TestPlanShutdown(t *testing.T) {
 	signal := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	convey.Convey("The times of a planned stop hang together", t, func() {
 		convey.Convey("new requests are refused before the listener closes", func() {
-			convey.So(takeAfterSignal, convey.ShouldBeLessThan, balancerNotices)
+			convey.So(acceptAfterSignal, convey.ShouldBeLessThan, listenerCloseDelay)
 		})
 		convey.Convey("requests without an answer are refused before the node ends", func() {
-			convey.So(giveUpMargin, convey.ShouldBeGreaterThan, stopMargin)
+			convey.So(abortMargin, convey.ShouldBeGreaterThan, exitMargin)
 		})
 		convey.Convey("the default grace time leaves room between closing the listener and giving up", func() {
-			convey.So(defaultGrace, convey.ShouldBeGreaterThan, balancerNotices+giveUpMargin)
+			convey.So(defaultGracePeriod, convey.ShouldBeGreaterThan, listenerCloseDelay+abortMargin)
 		})
 	})
 	convey.Convey("The steps come in order and end within the grace time", t, func() {
-		for _, grace := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second, defaultGrace, time.Minute} {
-			steps := planStop(signal, grace)
-			convey.So(steps.closeListener, convey.ShouldHappenOnOrBefore, signal.Add(balancerNotices))
-			convey.So(steps.closeListener, convey.ShouldHappenOnOrBefore, steps.giveUp)
-			convey.So(steps.giveUp, convey.ShouldHappenBefore, steps.end)
-			convey.So(steps.end, convey.ShouldHappenBefore, signal.Add(grace))
+		for _, grace := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second, defaultGracePeriod, time.Minute} {
+			steps := planShutdown(signal, grace)
+			convey.So(steps.closeListener, convey.ShouldHappenOnOrBefore, signal.Add(listenerCloseDelay))
+			convey.So(steps.closeListener, convey.ShouldHappenOnOrBefore, steps.abort)
+			convey.So(steps.abort, convey.ShouldHappenBefore, steps.exit)
+			convey.So(steps.exit, convey.ShouldHappenBefore, signal.Add(grace))
 		}
 	})
 	convey.Convey("The grace time is that of the settings, else the default", t, func() {
-		convey.So(graceOf(&settings.Gateway{GraceMs: 4000}), convey.ShouldEqual, 4*time.Second)
-		convey.So(graceOf(&settings.Gateway{}), convey.ShouldEqual, defaultGrace)
+		convey.So(gracePeriod(&settings.Gateway{GraceMs: 4000}), convey.ShouldEqual, 4*time.Second)
+		convey.So(gracePeriod(&settings.Gateway{}), convey.ShouldEqual, defaultGracePeriod)
 	})
 }
 
-func TestDeparture(t *testing.T) {
+func TestShutdownState(t *testing.T) {
 	signal := time.Now()
 	convey.Convey("A node that got no signal to stop takes new requests", t, func() {
-		d := &departure{}
+		d := &shutdownState{}
 		convey.So(d.begun(), convey.ShouldBeFalse)
-		convey.So(d.refusesNew(signal), convey.ShouldBeFalse)
+		convey.So(d.refusesRequests(signal), convey.ShouldBeFalse)
 		convey.Convey("one that got it takes them until the balancer has had time", func() {
 			d.begin(signal)
 			convey.So(d.begun(), convey.ShouldBeTrue)
-			convey.So(d.refusesNew(signal.Add(takeAfterSignal-1)), convey.ShouldBeFalse)
-			convey.So(d.refusesNew(signal.Add(takeAfterSignal)), convey.ShouldBeTrue)
+			convey.So(d.refusesRequests(signal.Add(acceptAfterSignal-1)), convey.ShouldBeFalse)
+			convey.So(d.refusesRequests(signal.Add(acceptAfterSignal)), convey.ShouldBeTrue)
 		})
 	})
 }
