--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -11,8 +11,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// knowsOfEvacuation returns a follower whose node knows of one evacuation.
-func knowsOfEvacuation() *sourceFollower {
+// newEvacuatedFollower returns a follower whose node knows of one evacuation.
+func newEvacuatedFollower() *sourceFollower {
 	views := newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {})
 	views.apply(view.Changes{}, func(now time.Time, v *view.View) *view.View {
 		return v.WithChanges(now, view.Changes{Revision: 5, List: []view.Change{
@@ -29,7 +29,7 @@
 	active := func(f *sourceFollower) bool { return f.views.load().Evacuations.Get("d").Active }
 	whole := message.ViewSnapshot{Revision: 7, Targets: []message.ViewTarget{}}
 	convey.Convey("An evacuation that a member does not name", t, func() {
-		f := knowsOfEvacuation()
+		f := newEvacuatedFollower()
 		convey.Convey("is over", func() {
 			whole.Evacuations = []message.ViewEvacuation{}
 			f.applySnapshot("m", whole, catalogChange(2))
@@ -42,7 +42,7 @@
 		})
 	})
 	convey.Convey("The state shows who said that a data centre is evacuated", t, func() {
-		f := knowsOfEvacuation()
+		f := newEvacuatedFollower()
 		whole.Evacuations = []message.ViewEvacuation{{DataCentre: "e", Active: true, Revision: 6}}
 		f.applySnapshot("m", whole, catalogChange(2))
 		states := describeEvacuations(time.Now().Add(time.Second), f.views.load().Evacuations)
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestFollowerLogsChangesOfState(t *testing.T) {
+func TestSourceStateLog(t *testing.T) {
 	convey.Convey("A source that fails twice and returns leaves one line for each change", t, func() {
 		var lines []string
 		log := zerolog.New(io.Discard).Hook(zerolog.HookFunc(func(_ *zerolog.Event, _ zerolog.Level, msg string) { lines = append(lines, msg) }))
@@ -101,11 +101,11 @@
 	})
 }
 
-func TestOutageKeepsTargetsThatVanish(t *testing.T) {
+func TestTargetsLapseAfterOutage(t *testing.T) {
 	convey.Convey("Given a follower that knows a target", t, func() {
-		s := newStore()
+		s := newFakeStore()
 		f := &sourceFollower{
-			source: &reader{store: s}, health: newSourceHealth(), metrics: newMetrics(), log: zerolog.Nop(), now: time.Now,
+			source: &fakeSource{fakeStore: s}, health: newSourceHealth(), metrics: newMetrics(), log: zerolog.Nop(), now: time.Now,
 			views: newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {}),
 		}
 		s.publish(view.TargetChange{Target: directory.Target{ID: "t", Service: "s"}})
--- a/internal/gateway/handback_test.go
+++ b/internal/gateway/handback_test.go
@@ -16,15 +16,15 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// slowTargets run batches once they are released.
-type slowTargets struct {
+// blockingTargets run batches once they are released.
+type blockingTargets struct {
 	noTargets
 	// started receives the size of each batch.
 	started chan int
 	release chan struct{}
 }
 
-func (s *slowTargets) RunBatch(_ context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error) {
+func (s *blockingTargets) RunBatch(_ context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error) {
 	s.started <- len(c.Items)
 	<-s.release
 	outcomes := make([]batching.Outcome, len(c.Items))
@@ -34,9 +34,9 @@
 	return outcomes, nil
 }
 
-// oneTargetGateway returns a gateway with a batch service of one target. It does
+// newSingleTargetGateway returns a gateway with a batch service of one target. It does
 // not run.
-func oneTargetGateway(t *testing.T, targets Targets) *Gateway {
+func newSingleTargetGateway(t *testing.T, targets Targets) *Gateway {
 	t.Helper()
 	g, err := New(localSettings(), Ports{Targets: targets, Callers: noCallers})
 	if err != nil {
@@ -55,33 +55,33 @@
 	return g
 }
 
-// result is how a group ended.
-type result struct {
+// groupResult is how a group ended.
+type groupResult struct {
 	results []batching.Result
 	err     *verdict.Error
 }
 
-// ended returns how a group ended; one that never does ends with an error of its
+// awaitResult returns how a group ended; one that never does ends with an error of its
 // own.
-func ended(group <-chan result) result {
+func awaitResult(group <-chan groupResult) groupResult {
 	select {
 	case r := <-group:
 		return r
 	case <-time.After(10 * time.Second):
-		return result{err: verdict.New(verdict.MayHaveRun, verdict.ReasonInternal, "the group never ended")}
+		return groupResult{err: verdict.New(verdict.MayHaveRun, verdict.ReasonInternal, "the group never ended")}
 	}
 }
 
 func TestHandBack(t *testing.T) {
 	group := relay.Group{Count: 1, Bytes: 1, Due: time.Now().Add(time.Hour), Deadline: time.Now().Add(time.Hour)}
 	convey.Convey("Given a node with a batch at a target and a group that waits", t, func() {
-		targets := &slowTargets{started: make(chan int), release: make(chan struct{})}
-		g := oneTargetGateway(t, targets)
-		run := func() <-chan result {
-			done := make(chan result, 1)
+		targets := &blockingTargets{started: make(chan int), release: make(chan struct{})}
+		g := newSingleTargetGateway(t, targets)
+		run := func() <-chan groupResult {
+			done := make(chan groupResult, 1)
 			go func() {
 				results, err := g.coordinators.run(t.Context(), "s", group, nil)
-				done <- result{results, err}
+				done <- groupResult{results, err}
 			}()
 			return done
 		}
@@ -96,30 +96,30 @@
 		convey.Convey("when it leaves and there is another, what waits is handed back and the batch is finished", func() {
 			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
 			g.coordinators.handBack()
-			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
+			convey.So(awaitResult(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
 			convey.Convey("nor does it take more", func() {
-				convey.So(ended(run()).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
+				convey.So(awaitResult(run()).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
 			})
 			close(targets.release)
-			convey.So(ended(running).results, convey.ShouldHaveLength, 1)
+			convey.So(awaitResult(running).results, convey.ShouldHaveLength, 1)
 		})
 		convey.Convey("when another member comes to coordinate the service, what waits goes there and what still comes is run", func() {
 			g.shutdown.since.Store(nil)
 			g.gossip.publishStatus()
 			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
-			convey.So(ended(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonMoved)
+			convey.So(awaitResult(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonMoved)
 			late := run()
 			close(targets.release)
-			convey.So(ended(running).results, convey.ShouldHaveLength, 1)
+			convey.So(awaitResult(running).results, convey.ShouldHaveLength, 1)
 			convey.So(<-targets.started, convey.ShouldEqual, 1)
-			convey.So(ended(late).err, convey.ShouldBeNil)
+			convey.So(awaitResult(late).err, convey.ShouldBeNil)
 		})
 		convey.Convey("when it leaves as the last one, it goes on with both", func() {
 			g.coordinators.handBack()
 			close(targets.release)
-			convey.So(ended(running).err, convey.ShouldBeNil)
+			convey.So(awaitResult(running).err, convey.ShouldBeNil)
 			convey.So(<-targets.started, convey.ShouldEqual, 1)
-			convey.So(ended(waiting).err, convey.ShouldBeNil)
+			convey.So(awaitResult(waiting).err, convey.ShouldBeNil)
 		})
 	})
 }
--- a/internal/gateway/joining_test.go
+++ b/internal/gateway/joining_test.go
@@ -49,24 +49,24 @@
 	})
 }
 
-// TestMovedGroupIsSentOn holds that a group that this node hands back, as another
+// TestMovedGroupIsRerouted holds that a group that this node hands back, as another
 // member has come to coordinate its service, is sent there. It ended its request as
 // "moved" before.
-func TestMovedGroupIsSentOn(t *testing.T) {
+func TestMovedGroupIsRerouted(t *testing.T) {
 	convey.Convey("A group handed back to its own node is tried at the next coordinator", t, func() {
-		targets := &slowTargets{started: make(chan int), release: make(chan struct{})}
-		g := oneTargetGateway(t, targets)
+		targets := &blockingTargets{started: make(chan int), release: make(chan struct{})}
+		g := newSingleTargetGateway(t, targets)
 		close(g.joiner.joined)
 		batches := &batchRouter{
 			now: g.now, log: g.log, members: g.members, peers: newPeerClient(g.now), local: g.coordinators, joiner: g.joiner,
 			exchange: func(context.Context, string) bool { return false },
 		}
-		run := func() <-chan result {
-			done := make(chan result, 1)
+		run := func() <-chan groupResult {
+			done := make(chan groupResult, 1)
 			group := relay.Group{Count: 1, Bytes: 1, Due: time.Now().Add(time.Hour), Deadline: time.Now().Add(time.Hour)}
 			go func() {
 				results, err := batches.Run(t.Context(), "s", group, nil)
-				done <- result{results, err}
+				done <- groupResult{results, err}
 			}()
 			return done
 		}
@@ -78,7 +78,7 @@
 		}
 		// The other member does not answer, so that the node runs the group itself.
 		g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{
-			{Address: silentPeer(t), Incarnation: 1, Beat: 1, Serving: true, Capacity: 800},
+			{Address: refusingAddress(t), Incarnation: 1, Beat: 1, Serving: true, Capacity: 800},
 		}})
 		go func() {
 			for range targets.started {
@@ -90,14 +90,14 @@
 		}
 		convey.So(g.members.remoteCoordinator("s"), convey.ShouldBeEmpty)
 		close(targets.release)
-		convey.So(ended(running).err, convey.ShouldBeNil)
-		convey.So(ended(waiting).err, convey.ShouldBeNil)
+		convey.So(awaitResult(running).err, convey.ShouldBeNil)
+		convey.So(awaitResult(waiting).err, convey.ShouldBeNil)
 	})
 }
 
-// TestFirstConfigIsAwaited holds that a request at a node without configuration waits
+// TestFirstConfigWait holds that a request at a node without configuration waits
 // for it no longer than it may, and not when the source is known to fail.
-func TestFirstConfigIsAwaited(t *testing.T) {
+func TestFirstConfigWait(t *testing.T) {
 	took := func(g *Gateway) time.Duration {
 		begun := time.Now()
 		g.awaitFirstConfig(t.Context())
@@ -123,8 +123,8 @@
 	})
 }
 
-// silentPeer is the address of a member that refuses connections.
-func silentPeer(t *testing.T) string {
+// refusingAddress is the address of a member that refuses connections.
+func refusingAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/gateway/liveness_test.go
+++ b/internal/gateway/liveness_test.go
@@ -16,7 +16,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-func TestRunAtMember(t *testing.T) {
+func TestRunAt(t *testing.T) {
 	group := relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}
 	convey.Convey("Given a member that answers after its sign of life has been checked", t, func() {
 		release := make(chan struct{})
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// overloadCost is what a coordinator's one processor spends on each call, 50 a second.
-	overloadCost = 20 * time.Millisecond
-	// overloadPush is the time between two requests in a push of overloadPushes, four times
-	// what the coordinator carries, and overloadUsual that before and after, four fifths.
-	overloadPush   = 5 * time.Millisecond
-	overloadPushes = 400
-	overloadUsual  = 25 * time.Millisecond
-	// overloadRecovers is how long after the push the coordinator may be late, and
-	// overloadSeen how long it is looked at then.
-	overloadRecovers = 5 * time.Second
-	overloadSeen     = 2 * time.Second
+	// callCost is what a coordinator's one processor spends on each call, 50 a second.
+	callCost = 20 * time.Millisecond
+	// burstInterval is the time between two requests in a push of burstRequests, four times
+	// what the coordinator carries, and normalInterval that before and after, four fifths.
+	burstInterval  = 5 * time.Millisecond
+	burstRequests  = 400
+	normalInterval = 25 * time.Millisecond
+	// recoveryTime is how long after the push the coordinator may be late, and
+	// observationTime how long it is looked at then.
+	recoveryTime    = 5 * time.Second
+	observationTime = 2 * time.Second
 )
 
-// busyCoordinator answers calls one after the other, each when its turn comes, and spends
+// serialCoordinator answers calls one after the other, each when its turn comes, and spends
 // its time also on those that nobody awaits any more.
-type busyCoordinator struct {
+type serialCoordinator struct {
 	processor sync.Mutex
 }
 
-func (c *busyCoordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *serialCoordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.processor.Lock()
-	time.Sleep(overloadCost)
+	time.Sleep(callCost)
 	c.processor.Unlock()
-	writeJSON(w, message.ItemBacklogs{BacklogMs: []int{int(overloadCost.Milliseconds())}})
+	writeJSON(w, message.ItemBacklogs{BacklogMs: []int{int(callCost.Milliseconds())}})
 }
 
-// newRemoteBatches returns the batches of a node whose services another member coordinates.
-func newRemoteBatches(member string) *batchRouter {
+// newRemoteRouter returns the batches of a node whose services another member coordinates.
+func newRemoteRouter(member string) *batchRouter {
 	// The other's incarnation is the newer one; only it serves.
 	m := newMembers(time.Now, "127.0.0.1:1", 1, nil, 0)
 	m.mergeReply(member, message.Gossip{Members: []message.GossipMember{{Address: member, Incarnation: 2, Beat: 1, Serving: true, Capacity: 1}}})
@@ -67,37 +67,39 @@
 // those of an idle system from the push on, and this test, in which a coordinator with four
 // fifths of its load is late for good after a push.
 func TestCoordinatorRecovers(t *testing.T) {
-	coordinator := httptest.NewServer(&busyCoordinator{})
+	coordinator := httptest.NewServer(&serialCoordinator{})
 	defer coordinator.Close()
 	member := strings.TrimPrefix(coordinator.URL, "http://")
-	b := newRemoteBatches(member)
-	stop := keepAlive(t, b, member)
+	b := newRemoteRouter(member)
+	stop := keepMemberAlive(t, b, member)
 	defer stop()
-	usual := func(d time.Duration) (asked, answered int) { return plans(t, b, int(d/overloadUsual), overloadUsual) }
+	usual := func(d time.Duration) (asked, answered int) {
+		return sendPlans(t, b, int(d/normalInterval), normalInterval)
+	}
 	convey.Convey("A coordinator answers again some seconds after a push", t, func() {
 		asked, answered := usual(2 * time.Second)
 		convey.So(answered, convey.ShouldBeGreaterThan, asked*9/10)
-		plans(t, b, overloadPushes, overloadPush)
-		usual(overloadRecovers)
-		asked, answered = usual(overloadSeen)
+		sendPlans(t, b, burstRequests, burstInterval)
+		usual(recoveryTime)
+		asked, answered = usual(observationTime)
 		convey.So(answered, convey.ShouldBeGreaterThan, asked*9/10)
 	})
 }
 
-// keepAlive has the member give signs of life.
-func keepAlive(t *testing.T, b *batchRouter, member string) (stop func()) {
+// keepMemberAlive has the member give signs of life.
+func keepMemberAlive(t *testing.T, b *batchRouter, member string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for ctx.Err() == nil {
 			b.members.mergeReply(member, message.Gossip{})
-			time.Sleep(overloadCost)
+			time.Sleep(callCost)
 		}
 	}()
 	return cancel
 }
 
-// plans announces requests, one at a time, and counts those whose backlog was answered.
-func plans(t *testing.T, b *batchRouter, n int, pause time.Duration) (asked, answered int) {
+// sendPlans announces requests, one at a time, and counts those whose backlog was answered.
+func sendPlans(t *testing.T, b *batchRouter, n int, pause time.Duration) (asked, answered int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for range n {
--- a/internal/gateway/peerclient_test.go
+++ b/internal/gateway/peerclient_test.go
@@ -14,7 +14,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-func TestOnlyUnreachableMembersCountAsLost(t *testing.T) {
+func TestRunItemsFailureReason(t *testing.T) {
 	peers := newPeerClient(time.Now)
 	convey.Convey("Given a member that keeps items waiting", t, func() {
 		release := make(chan struct{})
--- a/internal/gateway/peermessages_test.go
+++ b/internal/gateway/peermessages_test.go
@@ -15,9 +15,9 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// TestMessagesKeepTheirContent sends each kind of message from a node to one whose
+// TestMessageRoundTrip sends each kind of message from a node to one whose
 // clock is an hour ahead.
-func TestMessagesKeepTheirContent(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	sent := time.Now()
 	received := sent.Add(time.Hour)
 	convey.Convey("A group keeps its times as the time that is left", t, func() {
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -15,8 +15,8 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
-// store is a source that several nodes read; each sees it through a reader.
-type store struct {
+// fakeStore is a source that several nodes read; each sees it through a reader.
+type fakeStore struct {
 	mu       sync.Mutex
 	revision view.Revision
 	changes  []view.Changes
@@ -24,8 +24,8 @@
 	changed chan struct{}
 }
 
-func newStore() *store {
-	s := &store{changed: make(chan struct{})}
+func newFakeStore() *fakeStore {
+	s := &fakeStore{changed: make(chan struct{})}
 	s.publish(catalogChange(1))
 	return s
 }
@@ -39,7 +39,7 @@
 	return view.CatalogChange{Catalog: c, Document: []byte(strconv.FormatInt(version, 10))}
 }
 
-func (s *store) publish(c view.Change) {
+func (s *fakeStore) publish(c view.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -48,7 +48,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *store) since(after view.Revision) (view.Changes, <-chan struct{}) {
+func (s *fakeStore) changesAfter(after view.Revision) (view.Changes, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := view.Changes{Revision: s.revision}
@@ -60,38 +60,38 @@
 	return all, s.changed
 }
 
-// reader is one node's way to the store; it remembers how often it was used.
-type reader struct {
-	*store
+// fakeSource is one node's way to the store; it remembers how often it was used.
+type fakeSource struct {
+	*fakeStore
 	mu    sync.Mutex
 	calls int
 }
 
-func (r *reader) count() {
+func (r *fakeSource) countCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls++
 }
 
-func (r *reader) used() int {
+func (r *fakeSource) callCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
-func (r *reader) Snapshot(_ context.Context, answered func()) (view.Changes, error) {
-	r.count()
+func (r *fakeSource) Snapshot(_ context.Context, answered func()) (view.Changes, error) {
+	r.countCall()
 	answered()
-	all, _ := r.since(0)
+	all, _ := r.changesAfter(0)
 	return all, nil
 }
 
-func (r *reader) Watch(ctx context.Context, after view.Revision, wait time.Duration, answered func()) (view.Changes, error) {
-	r.count()
+func (r *fakeSource) Watch(ctx context.Context, after view.Revision, wait time.Duration, answered func()) (view.Changes, error) {
+	r.countCall()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changes, more := r.since(after)
+		changes, more := r.changesAfter(after)
 		if len(changes.List) > 0 {
 			answered()
 			return changes, nil
@@ -107,7 +107,7 @@
 	}
 }
 
-func (r *reader) Decode(document []byte) (view.CatalogChange, error) {
+func (r *fakeSource) Decode(document []byte) (view.CatalogChange, error) {
 	version, err := strconv.ParseInt(string(document), 10, 64)
 	if err != nil {
 		return view.CatalogChange{}, err
@@ -116,23 +116,23 @@
 }
 
 const (
-	fleetSize   = 14
-	strongNodes = 5
+	nodeCount       = 14
+	strongNodeCount = 5
 )
 
-func startFleet(t *testing.T, s *store) ([]*Gateway, []*reader) {
+func startFleet(t *testing.T, s *fakeStore) ([]*Gateway, []*fakeSource) {
 	t.Helper()
 	var nodes []*Gateway
-	var readers []*reader
+	var readers []*fakeSource
 	var seeds []string
-	for i := range fleetSize {
+	for i := range nodeCount {
 		cores := 0.2
-		if i < strongNodes {
+		if i < strongNodeCount {
 			cores = 1
 		}
 		cfg := localSettings()
 		cfg.Peers, cfg.Gateway.Cores, cfg.Gateway.GraceMs = seeds, cores, 2000
-		r := &reader{store: s}
+		r := &fakeSource{fakeStore: s}
 		g, err := New(cfg, Ports{Source: r, Targets: noTargets{}, Callers: noCallers})
 		if err != nil {
 			t.Fatal(err)
@@ -164,8 +164,8 @@
 	t.Fatalf("not within 30 s: %s", what)
 }
 
-// reaching counts the members that a node knows to reach the source.
-func reaching(g *Gateway) int {
+// countReachingSource counts the members that a node knows to reach the source.
+func countReachingSource(g *Gateway) int {
 	n := 0
 	for _, m := range g.State().Members {
 		if m.Hears {
@@ -175,7 +175,7 @@
 	return n
 }
 
-func knows(g *Gateway, target string) bool {
+func hasTarget(g *Gateway, target string) bool {
 	for _, t := range g.State().Targets {
 		if t.Id == target {
 			return true
@@ -184,13 +184,13 @@
 	return false
 }
 
-func TestFewNodesWatchTheSourceForAll(t *testing.T) {
+func TestOnlyReadersWatchSource(t *testing.T) {
 	convey.Convey("Of many nodes", t, func() {
-		s := newStore()
+		s := newFakeStore()
 		nodes, readers := startFleet(t, s)
 		eventually(t, "all nodes know each other", func() bool {
 			for _, n := range nodes {
-				if reaching(n) < strongNodes {
+				if countReachingSource(n) < strongNodeCount {
 					return false
 				}
 			}
@@ -201,7 +201,7 @@
 		allKnow := func(id string) func() bool {
 			return func() bool {
 				for _, n := range nodes {
-					if !knows(n, id) {
+					if !hasTarget(n, id) {
 						return false
 					}
 				}
@@ -211,7 +211,7 @@
 		eventually(t, "all nodes know the first target", allKnow("first"))
 		before := make([]int, len(readers))
 		for i, r := range readers {
-			before[i] = r.used()
+			before[i] = r.callCount()
 		}
 		for i := range 8 {
 			id := fmt.Sprintf("target-%d", i)
@@ -221,16 +221,16 @@
 		convey.Convey("few watch the source, and all receive what changes", func() {
 			watching := 0
 			for i, r := range readers {
-				if r.used()-before[i] >= 4 {
+				if r.callCount()-before[i] >= 4 {
 					watching++
 				}
 			}
-			convey.So(watching, convey.ShouldBeBetweenOrEqual, 1, strongNodes)
+			convey.So(watching, convey.ShouldBeBetweenOrEqual, 1, strongNodeCount)
 		})
 		convey.Convey("and few read a new configuration there, which all receive with what else changes", func() {
 			used := func() (calls int) {
-				for _, r := range readers[strongNodes:] {
-					calls += r.used()
+				for _, r := range readers[strongNodeCount:] {
+					calls += r.callCount()
 				}
 				return calls
 			}
@@ -239,7 +239,7 @@
 			s.publish(view.TargetChange{Target: directory.Target{ID: "last", Service: "s"}})
 			eventually(t, "all nodes know the last target and the new configuration", func() bool {
 				for _, n := range nodes {
-					if !knows(n, "last") || n.views.load().CatalogVersion() != 2 {
+					if !hasTarget(n, "last") || n.views.load().CatalogVersion() != 2 {
 						return false
 					}
 				}
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -14,8 +14,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// logged returns the line that a decision writes.
-func logged(d relay.Decision) map[string]any {
+// loggedLine returns the line that a decision writes.
+func loggedLine(d relay.Decision) map[string]any {
 	var out bytes.Buffer
 	l := &requestLog{log: zerolog.New(&out)}
 	l.Decided("r", d)
@@ -26,7 +26,7 @@
 
 func TestAttemptFailedLog(t *testing.T) {
 	shouldSay := func(next rules.NextAttempt, again bool, want string) {
-		line := logged(relay.AttemptFailed{Attempt: relay.Attempt{Target: "t"}, WillRetry: again, Next: next})
+		line := loggedLine(relay.AttemptFailed{Attempt: relay.Attempt{Target: "t"}, WillRetry: again, Next: next})
 		convey.So(line["message"], convey.ShouldEqual, "request: attempt failed")
 		convey.So(line["again"], convey.ShouldEqual, again)
 		convey.So(line["next"], convey.ShouldEqual, want)
@@ -47,7 +47,7 @@
 		})
 		refused, ok := decision.(rules.Refused)
 		convey.So(ok, convey.ShouldBeTrue)
-		line := logged(relay.Refused{
+		line := loggedLine(relay.Refused{
 			Stages:   []relay.PlannedStage{{Service: "rank", Stage: 1, Items: 4}},
 			Backlogs: []time.Duration{1253 * time.Millisecond}, Estimated: 1533 * time.Millisecond, Left: 1800 * time.Millisecond,
 			Comparison: refused.Comparison,
