--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -111,12 +111,12 @@
 	defer cancel()
 	backlogs := make([]time.Duration, len(stages))
 	var remote sync.WaitGroup
-	for member, numbers := range b.groupByCoordinator(stages) {
+	for member, indices := range b.groupByCoordinator(stages) {
 		if member != "" {
-			remote.Go(func() { b.planAt(ctx, member, request, stages, numbers, backlogs) })
+			remote.Go(func() { b.planAt(ctx, member, request, stages, indices, backlogs) })
 			continue
 		}
-		for _, i := range numbers {
+		for _, i := range indices {
 			backlogs[i] = b.local.plan(ctx, request, stages[i])
 		}
 	}
@@ -127,26 +127,26 @@
 // planAt announces the stages of the given numbers to the member that coordinates
 // them and notes their backlogs; they stay 0, for unknown, when it does not answer.
 func (b *batchRouter) planAt(
-	ctx context.Context, member, request string, stages []relay.PlannedStage, numbers []int, backlogs []time.Duration,
+	ctx context.Context, member, request string, stages []relay.PlannedStage, indices []int, backlogs []time.Duration,
 ) {
-	answer, err := b.peers.planStages(ctx, member, request, selectStages(stages, numbers))
+	estimates, err := b.peers.planStages(ctx, member, request, selectStages(stages, indices))
 	if err != nil {
 		b.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: no backlog from a member")
 		return
 	}
-	for k, i := range numbers {
-		backlogs[i] = answer[k]
+	for k, i := range indices {
+		backlogs[i] = estimates[k]
 	}
 }
 
 // Cancel implements relay.Batcher.
 func (b *batchRouter) Cancel(request string, stages []relay.PlannedStage) {
-	for member, numbers := range b.groupByCoordinator(stages) {
+	for member, indices := range b.groupByCoordinator(stages) {
 		if member != "" {
-			go b.cancelAt(member, request, selectStages(stages, numbers))
+			go b.cancelAt(member, request, selectStages(stages, indices))
 			continue
 		}
-		for _, i := range numbers {
+		for _, i := range indices {
 			b.local.cancel(request, stages[i])
 		}
 	}
@@ -166,19 +166,19 @@
 // groupByCoordinator groups the numbers of stages by the member that coordinates their
 // service; those of this node are under the empty address.
 func (b *batchRouter) groupByCoordinator(stages []relay.PlannedStage) map[string][]int {
-	numbers := make(map[string][]int)
+	indices := make(map[string][]int)
 	for i, s := range stages {
 		member := b.members.remoteCoordinator(s.Service)
-		numbers[member] = append(numbers[member], i)
+		indices[member] = append(indices[member], i)
 	}
-	return numbers
+	return indices
 }
 
 // selectStages returns the stages of the given numbers.
-func selectStages(stages []relay.PlannedStage, numbers []int) []relay.PlannedStage {
-	picked := make([]relay.PlannedStage, len(numbers))
-	for k, i := range numbers {
-		picked[k] = stages[i]
+func selectStages(stages []relay.PlannedStage, indices []int) []relay.PlannedStage {
+	selected := make([]relay.PlannedStage, len(indices))
+	for k, i := range indices {
+		selected[k] = stages[i]
 	}
-	return picked
+	return selected
 }
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -192,12 +192,12 @@
 }
 
 func (c *coordinator) logInspection(e batching.Inspect, report batching.Report, err *verdict.Error) {
-	line := c.log.Debug().Str("service", c.service).Str("target", e.Target.ID)
+	event := c.log.Debug().Str("service", c.service).Str("target", e.Target.ID)
 	if err != nil {
-		line.Err(err).Msg("items: target gave no report, taken for idle")
+		event.Err(err).Msg("items: target gave no report, taken for idle")
 		return
 	}
-	line.Bool("busy", report.Busy).Int64("freeBytes", report.FreeBytes).Msg("items: target inspected")
+	event.Bool("busy", report.Busy).Int64("freeBytes", report.FreeBytes).Msg("items: target inspected")
 }
 
 // runBatch has a target run a batch and returns how that ended. It runs beside the
@@ -227,7 +227,7 @@
 // recordResult reports what the end of a batch, sent at the given time, says of what its items
 // ask for, and says whether its target's process ended. Like call it runs beside the
 // actor.
-func (c *coordinator) recordResult(e batching.Send, began time.Time, err *verdict.Error) (ended bool) {
+func (c *coordinator) recordResult(e batching.Send, sentAt time.Time, err *verdict.Error) (ended bool) {
 	switch {
 	case rules.Outlived(err):
 		for _, item := range e.Items {
@@ -239,7 +239,7 @@
 	case !rules.ConnectionBroke(err):
 		return false
 	}
-	broke := c.now()
+	brokeAt := c.now()
 	ctx, cancel := context.WithTimeout(context.Background(), endedCheckTimeout)
 	defer cancel()
 	if !c.targets.HasEnded(ctx, e.Target) {
@@ -250,7 +250,7 @@
 		Msg("items: target ended while it had the batch")
 	for _, item := range e.Items {
 		if item.Digest != 0 {
-			c.quarantine.TargetEnded(item.Digest, quarantine.Crash{Target: e.Target.Life().String(), Began: began, At: broke, Silent: true})
+			c.quarantine.TargetEnded(item.Digest, quarantine.Crash{Target: e.Target.Life().String(), Began: sentAt, At: brokeAt, Silent: true})
 		}
 	}
 	return true
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -82,22 +82,22 @@
 // lost, else what changes. The only error of a wait is the end of ctx, which the loop
 // checks.
 func (f *sourceFollower) run(ctx context.Context) {
-	whole := true
+	full := true
 	for ctx.Err() == nil {
-		if !whole && f.members.followsReaders() {
+		if !full && f.members.followsReaders() {
 			_ = wait.For(ctx, readerCheckInterval)
 			continue
 		}
 		started := f.now()
-		err := f.read(ctx, whole)
+		err := f.read(ctx, full)
 		switch {
 		case err == nil:
-			whole = false
+			full = false
 			f.recordSuccess()
 			_ = wait.For(ctx, watchPause)
 		case errors.Is(err, ErrHistoryGone):
 			f.log.Info().Int64("revision", int64(f.views.load().Revision)).Msg("source: history gone, reading all")
-			whole = true
+			full = true
 		default:
 			f.recordFailure(started, err)
 			_ = wait.For(ctx, f.drawRetryPause())
@@ -115,25 +115,25 @@
 // recordFailure notes that a call to the source that began at started has failed. The log
 // shows the first of a row of failures.
 func (f *sourceFollower) recordFailure(started time.Time, err error) {
-	lost, reached := f.health.markFailed(started)
+	lost, lastReached := f.health.markFailed(started)
 	f.metrics.sourceFailures.Inc(1)
 	if lost {
-		f.log.Warn().Err(err).Dur("sinceHeard", f.now().Sub(reached)).Msg("source: lost")
+		f.log.Warn().Err(err).Dur("sinceHeard", f.now().Sub(lastReached)).Msg("source: lost")
 	}
 }
 
 // drawRetryPause is how long the node waits after the source failed, drawn at random so
 // that nodes that lost the source together do not return together.
 func (f *sourceFollower) drawRetryPause() time.Duration {
-	least, most := retryBounds(f.views.load().Catalog != nil, f.members.isReader())
-	return least + rand.N(most-least)
+	shortest, longest := retryBounds(f.views.load().Catalog != nil, f.members.isReader())
+	return shortest + rand.N(longest-shortest)
 }
 
 // retryBounds decides how long a node waits after the source failed. Inputs:
 // whether it has a configuration, and whether it is a reader. A node that has one
 // and is no reader can live by what members report, and spares the source. Too
 // short loads a source in trouble; too long delays the first request or a change.
-func retryBounds(configured, reader bool) (least, most time.Duration) {
+func retryBounds(configured, reader bool) (shortest, longest time.Duration) {
 	if configured && !reader {
 		return maxFollowerRetryPause / 2, maxFollowerRetryPause
 	}
@@ -157,8 +157,8 @@
 }
 
 // read makes one call to the source: for the whole, or for what changes.
-func (f *sourceFollower) read(ctx context.Context, whole bool) error {
-	if whole {
+func (f *sourceFollower) read(ctx context.Context, full bool) error {
+	if full {
 		return f.readSnapshot(ctx)
 	}
 	wait, slack := watchBounds(f.health.isDown(), f.members.isReader())
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -14,18 +14,18 @@
 )
 
 func TestWatchBounds(t *testing.T) {
-	bounds := func(down, reader bool, wait, slack time.Duration) {
+	shouldBe := func(down, reader bool, wait, slack time.Duration) {
 		w, s := watchBounds(down, reader)
 		convey.So(w, convey.ShouldEqual, wait)
 		convey.So(s, convey.ShouldEqual, slack)
 	}
 	convey.Convey("A source that is down is probed, by readers and others", t, func() {
-		bounds(true, true, probeWait, probeSlack)
-		bounds(true, false, probeWait, probeSlack)
+		shouldBe(true, true, probeWait, probeSlack)
+		shouldBe(true, false, probeWait, probeSlack)
 	})
 	convey.Convey("Else readers watch for a short time and the others for long", t, func() {
-		bounds(false, true, readerWait, readerSlack)
-		bounds(false, false, watchWait, watchSlack)
+		shouldBe(false, true, readerWait, readerSlack)
+		shouldBe(false, false, watchWait, watchSlack)
 		convey.So(readerWait+readerSlack, convey.ShouldBeLessThan, reachableFor)
 	})
 }
@@ -34,11 +34,11 @@
 	convey.Convey("Only a node that has a configuration and is no reader spares a source that fails", t, func() {
 		for _, c := range []struct {
 			configured, reader bool
-			most               time.Duration
+			longest            time.Duration
 		}{{false, false, maxRetryPause}, {false, true, maxRetryPause}, {true, true, maxRetryPause}, {true, false, maxFollowerRetryPause}} {
-			least, most := retryBounds(c.configured, c.reader)
-			convey.So(most, convey.ShouldEqual, c.most)
-			convey.So(least, convey.ShouldBeBetween, 0, most)
+			shortest, longest := retryBounds(c.configured, c.reader)
+			convey.So(longest, convey.ShouldEqual, c.longest)
+			convey.So(shortest, convey.ShouldBeBetween, 0, longest)
 		}
 	})
 }
@@ -110,30 +110,30 @@
 		}
 		s.publish(view.TargetChange{Target: directory.Target{ID: "t", Service: "s"}})
 		convey.So(f.readSnapshot(t.Context()), convey.ShouldBeNil)
-		known := func(state directory.State) {
+		shouldBeIn := func(state directory.State) {
 			target, ok := f.views.load().Directory.All()["t"]
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(target.State, convey.ShouldEqual, state)
 		}
-		known(directory.Ready)
-		gone := func() {
+		shouldBeIn(directory.Ready)
+		removeTarget := func() {
 			s.publish(view.TargetRemoval{ID: "t"})
 			convey.So(f.readChanges(t.Context(), time.Second, time.Second), convey.ShouldBeNil)
 		}
 		convey.Convey("one that vanishes is gone", func() {
-			gone()
+			removeTarget()
 			convey.So(f.views.load().Directory.All(), convey.ShouldBeEmpty)
 		})
 		convey.Convey("one that vanishes after the source failed has lapsed", func() {
 			f.recordFailure(time.Now(), errors.New("silent"))
-			gone()
-			known(directory.Lapsed)
+			removeTarget()
+			shouldBeIn(directory.Lapsed)
 		})
 		convey.Convey("so has one that the whole no longer lists", func() {
 			f.recordFailure(time.Now(), errors.New("silent"))
 			s.changes = s.changes[:1]
 			convey.So(f.readSnapshot(t.Context()), convey.ShouldBeNil)
-			known(directory.Lapsed)
+			shouldBeIn(directory.Lapsed)
 		})
 	})
 }
--- a/internal/gateway/joining_test.go
+++ b/internal/gateway/joining_test.go
@@ -37,9 +37,9 @@
 			<-ctx.Done()
 			return false
 		})
-		begun := time.Now()
+		started := time.Now()
 		j.run(t.Context())
-		convey.So(time.Since(begun), convey.ShouldBeGreaterThanOrEqualTo, 2*joinTimeout+joinPause)
+		convey.So(time.Since(started), convey.ShouldBeGreaterThanOrEqualTo, 2*joinTimeout+joinPause)
 		j.wait(t.Context())
 	})
 	convey.Convey("Waiting ends with its context", t, func() {
@@ -98,27 +98,27 @@
 // TestFirstConfigWait holds that a request at a node without configuration waits
 // for it no longer than it may, and not when the source is known to fail.
 func TestFirstConfigWait(t *testing.T) {
-	took := func(g *Gateway) time.Duration {
-		begun := time.Now()
+	waited := func(g *Gateway) time.Duration {
+		started := time.Now()
 		g.awaitFirstConfig(t.Context())
-		return time.Since(begun)
+		return time.Since(started)
 	}
 	newGateway := func() *Gateway {
 		return &Gateway{views: newViewKeeper(time.Now, zerolog.Nop(), nil), health: newSourceHealth()}
 	}
 	convey.Convey("A request at a node without configuration", t, func() {
 		convey.Convey("waits while nothing is known of the source", func() {
-			convey.So(took(newGateway()), convey.ShouldBeGreaterThanOrEqualTo, firstConfigWait)
+			convey.So(waited(newGateway()), convey.ShouldBeGreaterThanOrEqualTo, firstConfigWait)
 		})
 		convey.Convey("goes on when the configuration comes", func() {
 			g := newGateway()
 			close(g.views.configured)
-			convey.So(took(g), convey.ShouldBeLessThan, firstConfigWait)
+			convey.So(waited(g), convey.ShouldBeLessThan, firstConfigWait)
 		})
 		convey.Convey("is not held when the source has failed", func() {
 			g := newGateway()
 			g.health.markFailed(time.Now())
-			convey.So(took(g), convey.ShouldBeLessThan, firstConfigWait)
+			convey.So(waited(g), convey.ShouldBeLessThan, firstConfigWait)
 		})
 	})
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -44,8 +44,8 @@
 func listen(cfg *settings.Settings) (*listeners, error) {
 	s := &listeners{}
 	for _, l := range []struct {
-		into    *net.Listener
-		address string
+		listener *net.Listener
+		address  string
 	}{
 		{&s.callers, cfg.Listen.Callers},
 		{&s.peers, cfg.Listen.Peers},
@@ -57,7 +57,7 @@
 			s.close()
 			return nil, errors.Wrap(err, "listen")
 		}
-		*l.into = ln
+		*l.listener = ln
 	}
 	// Connections beyond the limit wait in the system's queue.
 	s.callers = netutil.LimitListener(s.callers, maxCallerConnections(cfg.Gateway.Descriptors))
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -35,7 +35,7 @@
 // TestGossipOfMixedVersions holds what a member answers to nodes of this version and of
 // an earlier one, which neither sends nor accepts the compact form.
 func TestGossipOfMixedVersions(t *testing.T) {
-	answer := func(accept string) (kind string, g message.Gossip) {
+	answer := func(accept string) (contentType string, g message.Gossip) {
 		m := newMembers(time.Now, "10.0.0.1:80", 1, nil, 0)
 		views := newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {})
 		s := &peerServer{now: time.Now, gossip: &gossiper{
@@ -50,20 +50,20 @@
 		w := httptest.NewRecorder()
 		s.serveGossip(w, r)
 		convey.So(w.Code, convey.ShouldEqual, http.StatusOK)
-		kind = w.Header().Get("Content-Type")
-		g, err = gossipcodec.Decode(w.Body, kind)
+		contentType = w.Header().Get("Content-Type")
+		g, err = gossipcodec.Decode(w.Body, contentType)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(m.readsCompact("10.1.0.0:8628"), convey.ShouldBeTrue)
-		return kind, g
+		return contentType, g
 	}
 	convey.Convey("JSON is answered in JSON", t, func() {
-		kind, g := answer("")
-		convey.So(kind, convey.ShouldEqual, "application/json")
+		contentType, g := answer("")
+		convey.So(contentType, convey.ShouldEqual, "application/json")
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
 	})
 	convey.Convey("JSON of a node that reads the compact form is answered in it", t, func() {
-		kind, g := answer(gossipcodec.CompactMediaType)
-		convey.So(kind, convey.ShouldEqual, gossipcodec.CompactMediaType)
+		contentType, g := answer(gossipcodec.CompactMediaType)
+		convey.So(contentType, convey.ShouldEqual, gossipcodec.CompactMediaType)
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
 	})
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -73,15 +73,15 @@
 	b := newRemoteRouter(member)
 	stop := keepMemberAlive(t, b, member)
 	defer stop()
-	usual := func(d time.Duration) (asked, answered int) {
+	sendNormalLoad := func(d time.Duration) (asked, answered int) {
 		return sendPlans(t, b, int(d/normalInterval), normalInterval)
 	}
 	convey.Convey("A coordinator answers again some seconds after a push", t, func() {
-		asked, answered := usual(2 * time.Second)
+		asked, answered := sendNormalLoad(2 * time.Second)
 		convey.So(answered, convey.ShouldBeGreaterThan, asked*9/10)
 		sendPlans(t, b, burstRequests, burstInterval)
-		usual(recoveryTime)
-		asked, answered = usual(observationTime)
+		sendNormalLoad(recoveryTime)
+		asked, answered = sendNormalLoad(observationTime)
 		convey.So(answered, convey.ShouldBeGreaterThan, asked*9/10)
 	})
 }
--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -55,7 +55,7 @@
 // exchangeGossip sends a member what is known of all members and returns what it
 // knows. compact says that the member reads the compact form.
 func (c *peerClient) exchangeGossip(ctx context.Context, member string, in message.Gossip, compact bool) (message.Gossip, error) {
-	body, kind, err := gossipcodec.Encode(in, compact)
+	body, contentType, err := gossipcodec.Encode(in, compact)
 	if err != nil {
 		return message.Gossip{}, err
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return message.Gossip{}, err
 	}
-	req.Header.Set("Content-Type", kind)
+	req.Header.Set("Content-Type", contentType)
 	req.Header.Set("Accept", gossipcodec.CompactMediaType)
 	resp, err := c.client.Do(req)
 	if err != nil {
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -197,10 +197,10 @@
 
 // decodeDelta reads what a member said that changed; catalog is the configuration that came
 // with it, nil for none.
-func decodeDelta(now time.Time, member string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
+func decodeDelta(now time.Time, sender string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
 	d := view.Delta{
 		Since: view.Revision(s.Since), Revision: view.Revision(s.Revision), Removed: s.Gone, Catalog: catalog,
-		Evacuations: decodeEvacuations(now, member, s.Evacuations),
+		Evacuations: decodeEvacuations(now, sender, s.Evacuations),
 	}
 	for _, t := range s.Targets {
 		d.Targets = append(d.Targets, decodeTarget(now, t))
@@ -222,11 +222,11 @@
 }
 
 // decodeEvacuations is what a member said of evacuations.
-func decodeEvacuations(now time.Time, member string, list []message.ViewEvacuation) []view.Evacuation {
+func decodeEvacuations(now time.Time, sender string, list []message.ViewEvacuation) []view.Evacuation {
 	var out []view.Evacuation
 	for _, m := range list {
 		e := view.Evacuation{
-			DataCentre: m.DataCentre, Active: m.Active, Revision: view.Revision(m.Revision), OrderedAt: view.Revision(m.OrderedAt), From: member,
+			DataCentre: m.DataCentre, Active: m.Active, Revision: view.Revision(m.Revision), OrderedAt: view.Revision(m.OrderedAt), From: sender,
 		}
 		if m.HoldsMs > 0 {
 			e.DisputedAt, e.HoldsUntil = view.Revision(m.DisputedAt), now.Add(millis(m.HoldsMs))
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -60,12 +60,12 @@
 		http.Error(w, "the message does not read", http.StatusBadRequest)
 		return
 	}
-	body, kind, err := gossipcodec.Encode(s.gossip.reply(in), r.Header.Get("Accept") == gossipcodec.CompactMediaType)
+	body, contentType, err := gossipcodec.Encode(s.gossip.reply(in), r.Header.Get("Accept") == gossipcodec.CompactMediaType)
 	if err != nil {
 		http.Error(w, "the answer cannot be written", http.StatusInternalServerError)
 		return
 	}
-	w.Header().Set("Content-Type", kind)
+	w.Header().Set("Content-Type", contentType)
 	// As with writeMessage, an error means that the connection is gone.
 	_, _ = w.Write(body)
 	s.gossip.triggerIfBehind()
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -82,26 +82,26 @@
 
 // Prefilled implements relay.Placer. A report that is lost costs the engine's
 // backlog its accuracy until the prompt is forgotten.
-func (p *promptPlacer) Prefilled(service, request string, whole bool) {
+func (p *promptPlacer) Prefilled(service, request string, prefilled bool) {
 	member := p.members.remoteCoordinator(placeRolePrefix + service)
 	if member == "" {
-		p.prefilledLocally(service, request, whole)
+		p.prefilledLocally(service, request, prefilled)
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		if err := p.peers.reportPrefill(ctx, member, service, request, whole); err != nil {
+		if err := p.peers.reportPrefill(ctx, member, service, request, prefilled); err != nil {
 			p.log.Debug().Str("request", request).Str("member", member).Err(err).
 				Msg("prompts: the end of a prefill was not reported")
 		}
 	}()
 }
 
-func (p *promptPlacer) prefilledLocally(service, request string, whole bool) {
+func (p *promptPlacer) prefilledLocally(service, request string, prefilled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chooser(service).Prefilled(p.now(), request, whole)
+	p.chooser(service).Prefilled(p.now(), request, prefilled)
 }
 
 // prune forgets what is known of engines that are gone.
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -153,10 +153,10 @@
 	return nodes, readers
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 600 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -228,13 +228,13 @@
 			convey.So(watching, convey.ShouldBeBetweenOrEqual, 1, strongNodeCount)
 		})
 		convey.Convey("and few read a new configuration there, which all receive with what else changes", func() {
-			used := func() (calls int) {
+			callsOfOthers := func() (calls int) {
 				for _, r := range readers[strongNodeCount:] {
 					calls += r.callCount()
 				}
 				return calls
 			}
-			before := used()
+			before := callsOfOthers()
 			s.publish(catalogChange(2))
 			s.publish(view.TargetChange{Target: directory.Target{ID: "last", Service: "s"}})
 			eventually(t, "all nodes know the last target and the new configuration", func() bool {
@@ -245,7 +245,7 @@
 				}
 				return true
 			})
-			convey.So(used()-before, convey.ShouldBeLessThanOrEqualTo, 1)
+			convey.So(callsOfOthers()-before, convey.ShouldBeLessThanOrEqualTo, 1)
 		})
 	})
 }
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -25,17 +25,17 @@
 }
 
 func TestAttemptFailedLog(t *testing.T) {
-	shouldSay := func(next rules.NextAttempt, again bool, want string) {
+	shouldLog := func(next rules.NextAttempt, again bool, want string) {
 		line := loggedLine(relay.AttemptFailed{Attempt: relay.Attempt{Target: "t"}, WillRetry: again, Next: next})
 		convey.So(line["message"], convey.ShouldEqual, "request: attempt failed")
 		convey.So(line["again"], convey.ShouldEqual, again)
 		convey.So(line["next"], convey.ShouldEqual, want)
 	}
 	convey.Convey("A failed attempt's line says what follows, and why nothing does", t, func() {
-		shouldSay(rules.OtherTarget{}, true, "other target")
-		shouldSay(rules.Recompute{}, true, "recompute inputs")
-		shouldSay(rules.GiveUp{Reason: rules.MayHaveRun}, false, "given up, may have run")
-		shouldSay(rules.GiveUp{Reason: rules.RequestEnded}, false, "given up, request ended")
+		shouldLog(rules.OtherTarget{}, true, "other target")
+		shouldLog(rules.Recompute{}, true, "recompute inputs")
+		shouldLog(rules.GiveUp{Reason: rules.MayHaveRun}, false, "given up, may have run")
+		shouldLog(rules.GiveUp{Reason: rules.RequestEnded}, false, "given up, request ended")
 	})
 }
 
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -22,16 +22,16 @@
 }
 
 func TestShouldReroute(t *testing.T) {
-	elsewhere := func(reason verdict.Reason) bool { return shouldReroute(verdict.New(verdict.NotRun, reason, "why")) }
+	reroutes := func(reason verdict.Reason) bool { return shouldReroute(verdict.New(verdict.NotRun, reason, "why")) }
 	convey.Convey("A group goes to another member when the fault is the member's", t, func() {
-		convey.So(elsewhere(verdict.ReasonConnection), convey.ShouldBeTrue)
-		convey.So(elsewhere(verdict.ReasonLeaving), convey.ShouldBeTrue)
-		convey.So(elsewhere(verdict.ReasonMoved), convey.ShouldBeTrue)
+		convey.So(reroutes(verdict.ReasonConnection), convey.ShouldBeTrue)
+		convey.So(reroutes(verdict.ReasonLeaving), convey.ShouldBeTrue)
+		convey.So(reroutes(verdict.ReasonMoved), convey.ShouldBeTrue)
 	})
 	convey.Convey("but not when it is the group's", t, func() {
-		convey.So(elsewhere(verdict.ReasonDeadline), convey.ShouldBeFalse)
-		convey.So(elsewhere(verdict.ReasonCancelled), convey.ShouldBeFalse)
-		convey.So(elsewhere(verdict.ReasonNoTarget), convey.ShouldBeFalse)
+		convey.So(reroutes(verdict.ReasonDeadline), convey.ShouldBeFalse)
+		convey.So(reroutes(verdict.ReasonCancelled), convey.ShouldBeFalse)
+		convey.So(reroutes(verdict.ReasonNoTarget), convey.ShouldBeFalse)
 	})
 }
 
--- a/internal/gateway/sourcehealth.go
+++ b/internal/gateway/sourcehealth.go
@@ -40,19 +40,19 @@
 func newSourceHealth() *sourceHealth { return &sourceHealth{firstFailure: make(chan struct{})} }
 
 // markReached notes an answer and says whether the source was down before it.
-func (h *sourceHealth) markReached(now time.Time) (regained bool) {
+func (h *sourceHealth) markReached(now time.Time) (recovered bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastReached = now
-	regained = h.down
+	recovered = h.down
 	h.down = false
-	return regained
+	return recovered
 }
 
 // markFailed notes a call that failed and says whether the source was up before
 // it, and when it was last reached. The outage counts from the beginning of the
 // call: it may have ended while the call waited.
-func (h *sourceHealth) markFailed(started time.Time) (lost bool, reached time.Time) {
+func (h *sourceHealth) markFailed(started time.Time) (lost bool, lastReached time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.lastFailure.IsZero() {
@@ -126,10 +126,10 @@
 }
 
 // setWatchCancel notes how to end the current watch.
-func (h *sourceHealth) setWatchCancel(end context.CancelFunc) {
+func (h *sourceHealth) setWatchCancel(cancel context.CancelFunc) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cancelWatch = end
+	h.cancelWatch = cancel
 }
 
 // cancelCurrentWatch ends the current watch, so that the next one begins at the
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -113,8 +113,8 @@
 }
 
 // pollUntil waits until a time, or until something holds.
-func (g *Gateway) pollUntil(end time.Time, holds func() bool) {
-	for g.now().Before(end) && !holds() {
+func (g *Gateway) pollUntil(deadline time.Time, done func() bool) {
+	for g.now().Before(deadline) && !done() {
 		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/gateway/viewkeeper.go
+++ b/internal/gateway/viewkeeper.go
@@ -33,8 +33,8 @@
 }
 
 // newViewKeeper returns a keeper of the empty view.
-func newViewKeeper(now func() time.Time, log zerolog.Logger, changed func(*view.View)) *viewKeeper {
-	k := &viewKeeper{now: now, log: log, onChange: changed, onRejected: func() {}, configured: make(chan struct{})}
+func newViewKeeper(now func() time.Time, log zerolog.Logger, onChange func(*view.View)) *viewKeeper {
+	k := &viewKeeper{now: now, log: log, onChange: onChange, onRejected: func() {}, configured: make(chan struct{})}
 	k.current.Store(view.New())
 	return k
 }
@@ -79,8 +79,8 @@
 
 // isTargetChange says whether a change is a target that was added or changed.
 func isTargetChange(c view.Change) bool {
-	_, is := c.(view.TargetChange)
-	return is
+	_, ok := c.(view.TargetChange)
+	return ok
 }
 
 // logChanges logs what changed between two views.
@@ -124,10 +124,10 @@
 		if e.Active == old.Evacuations.Get(e.DataCentre).Active {
 			continue
 		}
-		text := "view: data centre taken back"
+		msg := "view: data centre taken back"
 		if e.Active {
-			text = "view: data centre evacuated"
+			msg = "view: data centre evacuated"
 		}
-		k.log.Info().Str("dataCentre", e.DataCentre).Int64("revision", int64(e.Revision)).Str("from", e.From).Msg(text)
+		k.log.Info().Str("dataCentre", e.DataCentre).Int64("revision", int64(e.Revision)).Str("from", e.From).Msg(msg)
 	}
 }
