--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -15,12 +15,12 @@
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
-// stateTimeout bounds describing the node, for which each coordinator is asked: a
-// busy one answers within milliseconds.
+// stateTimeout bounds collecting the state dump, which asks every coordinator. A busy
+// coordinator answers within milliseconds.
 const stateTimeout = time.Second
 
-// adminServer answers operators and the balancer: readiness, state and metrics. It
-// changes nothing.
+// adminServer serves readiness, the state dump and metrics to operators and the load
+// balancer. It is read-only.
 type adminServer struct {
 	now          func() time.Time
 	dataCentre   string
@@ -49,7 +49,7 @@
 	}
 }
 
-// phase says whether the node takes requests.
+// phase returns whether the node is starting, serving or leaving.
 func (s *adminServer) phase() message.GatewayStatePhase {
 	switch {
 	case s.shutdown.begun():
@@ -60,7 +60,7 @@
 	return message.GatewayStatePhaseStarting
 }
 
-// state describes what the node knows and holds.
+// state returns a dump of the node's state.
 func (s *adminServer) state() message.GatewayState {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
@@ -79,8 +79,8 @@
 	return state
 }
 
-// describeEvacuations describes evacuations with what members are not sent: when this node
-// learnt of them and from whom.
+// describeEvacuations returns the evacuations with what is not sent to members: when this
+// node learned of each and from whom.
 func describeEvacuations(now time.Time, evacuations view.Evacuations) []message.ViewEvacuation {
 	known := evacuations.All()
 	list := encodeEvacuations(now, known)
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// planTimeout bounds announcing a request's stages to their coordinators, which the
-	// request waits for before it is admitted: a coordinator that takes longer is
-	// overloaded or gone, and the request goes on without its backlog.
+	// planTimeout bounds announcing a request's stages to their coordinators. The request
+	// waits for it before admission. A coordinator that takes longer is overloaded or gone,
+	// and the request continues without its backlog.
 	planTimeout = 100 * time.Millisecond
-	// maxCoordinatorAttempts bounds the members that one group is handed to before this node runs
-	// it itself: members that are wrong about each other settle within that many.
+	// maxCoordinatorAttempts bounds how many members one group is sent to before this node
+	// runs it itself. Members with differing rosters converge within that many attempts.
 	maxCoordinatorAttempts = 3
-	// releaseTimeout bounds passing results that are to be released to a member, and
-	// reporting the end of a prefill. Nobody waits for either.
+	// releaseTimeout bounds forwarding the release of results to a member and reporting the
+	// end of a prefill. Nothing waits for either.
 	releaseTimeout = time.Second
 )
 
-// batchRouter implements relay.Batcher: it routes groups of items, plans and releases to
-// the member that coordinates their service, which may be this node. It owns no
-// state. When a member does not answer, this node does without the plan, releases
-// the results itself, and hands the group to the next member.
+// batchRouter implements relay.Batcher. It routes groups of items, plans and releases to the
+// member that coordinates their service, which may be this node. It has no state of its own.
+// If a member does not answer, this node continues without the plan, releases the results
+// itself, or sends the group to the next member.
 type batchRouter struct {
 	now     func() time.Time
 	log     zerolog.Logger
@@ -36,7 +36,7 @@
 	peers   *peerClient
 	local   *coordinators
 	joiner  *joiner
-	// exchange gossips with a member and says whether it answered.
+	// exchange exchanges gossip with a member and reports whether it answered.
 	exchange func(ctx context.Context, member string) bool
 }
 
@@ -51,8 +51,8 @@
 	return b.local.run(ctx, service, group, inputsRead)
 }
 
-// runAtCoordinator has the member run a group that coordinates the service by what
-// this node knows, which may be this node.
+// runAtCoordinator runs a group at the member that coordinates the service according to this
+// node's roster, which may be this node.
 func (b *batchRouter) runAtCoordinator(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	member := b.members.remoteCoordinator(service)
 	if member == "" {
@@ -71,11 +71,11 @@
 	return results, err
 }
 
-// shouldReroute decides whether a group that its coordinator did not run goes to
-// another one: when the member cannot be reached, is leaving, or no longer coordinates
-// the service. Any other error is about the group, so another member would give it
-// too. A wrong yes runs items twice; a wrong no fails a request that could have been
-// answered. See docs/decisions/0012-batches.md, "Failure".
+// shouldReroute decides whether a group that its coordinator did not run is sent to another
+// member: if the coordinator is unreachable, is leaving, or no longer coordinates the
+// service. Any other error concerns the group itself, so another member would return it too.
+// A wrong yes runs items twice; a wrong no fails a request that could have been answered. See
+// docs/decisions/0012-batches.md, "Failure".
 func shouldReroute(err *verdict.Error) bool {
 	switch err.Reason() {
 	case verdict.ReasonConnection, verdict.ReasonLeaving, verdict.ReasonMoved:
@@ -93,14 +93,14 @@
 	b.local.release(service, results)
 }
 
-// releaseAt has the member that coordinates a service release results. When it does
-// not answer, this node releases them itself.
+// releaseAt releases results at the member that coordinates a service. If the member does not
+// answer, this node releases them itself.
 func (b *batchRouter) releaseAt(member, service string, results []batching.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := b.peers.releaseResults(ctx, member, service, results); err != nil {
 		b.log.Debug().Str("service", service).Str("member", member).Int("results", len(results)).Err(err).
-			Msg("items: member took no releases, releasing locally")
+			Msg("items: releasing results at a member failed, releasing locally")
 		b.local.release(service, results)
 	}
 }
@@ -124,14 +124,14 @@
 	return backlogs
 }
 
-// planAt announces the stages of the given numbers to the member that coordinates
-// them and notes their backlogs; they stay 0, for unknown, when it does not answer.
+// planAt announces the stages with the given indices to the member that coordinates them and
+// stores their backlogs. They stay 0, for unknown, if the member does not answer.
 func (b *batchRouter) planAt(
 	ctx context.Context, member, request string, stages []relay.PlannedStage, indices []int, backlogs []time.Duration,
 ) {
 	estimates, err := b.peers.planStages(ctx, member, request, selectStages(stages, indices))
 	if err != nil {
-		b.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: no backlog from a member")
+		b.log.Debug().Str("request", request).Str("member", member).Err(err).Msg("items: planning stages at a member failed")
 		return
 	}
 	for k, i := range indices {
@@ -152,19 +152,19 @@
 	}
 }
 
-// cancelAt withdraws planned stages from the member that coordinates them. A plan
-// that stays there ends by itself when its stage is past due.
+// cancelAt cancels planned stages at the member that coordinates them. A plan that is not
+// cancelled expires when its stage is past due.
 func (b *batchRouter) cancelAt(member, request string, stages []relay.PlannedStage) {
 	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
 	defer cancel()
 	if err := b.peers.cancelStages(ctx, member, request, stages); err != nil {
 		b.log.Debug().Str("request", request).Str("member", member).Err(err).
-			Msg("items: a plan was not withdrawn at a member")
+			Msg("items: cancelling a plan at a member failed")
 	}
 }
 
-// groupByCoordinator groups the numbers of stages by the member that coordinates their
-// service; those of this node are under the empty address.
+// groupByCoordinator groups the indices of stages by the member that coordinates their
+// service. The empty address stands for this node.
 func (b *batchRouter) groupByCoordinator(stages []relay.PlannedStage) map[string][]int {
 	indices := make(map[string][]int)
 	for i, s := range stages {
@@ -174,7 +174,7 @@
 	return indices
 }
 
-// selectStages returns the stages of the given numbers.
+// selectStages returns the stages with the given indices.
 func selectStages(stages []relay.PlannedStage, indices []int) []relay.PlannedStage {
 	selected := make([]relay.PlannedStage, len(indices))
 	for k, i := range indices {
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -10,22 +10,20 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// defaultMaxBodyBytes bounds the bytes of a body before a configuration is known. Not
-// measured.
+// defaultMaxBodyBytes bounds the body of a request while no configuration is known.
 const defaultMaxBodyBytes = 4 << 20
 
-// callerServer implements Relay for the adapter's handler. It owns the count of requests
-// in flight.
+// callerServer implements Relay for the adapter's handler. It counts the requests in flight.
 type callerServer struct {
 	now      func() time.Time
 	views    *viewKeeper
 	shutdown *shutdownState
 	relay    *relay.Server
-	// inFlight counts callers' requests without a final answer.
+	// inFlight counts the requests without a final answer.
 	inFlight atomic.Int64
 }
 
-// countInFlight counts the requests in flight around the adapter's handler.
+// countInFlight wraps the adapter's handler to count the requests in flight.
 func (c *callerServer) countInFlight(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.inFlight.Add(1)
--- a/internal/gateway/catchup.go
+++ b/internal/gateway/catchup.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// deltaTimeout bounds fetching from a member what changed: some kilobytes, over links
-	// that may be full.
+	// deltaTimeout bounds fetching a delta from a member: some kilobytes, over links that may
+	// be saturated.
 	deltaTimeout = 1500 * time.Millisecond
-	// memberCatalogTimeout bounds fetching from a member a configuration that it knows,
-	// before the source is asked for it. A member that passes 0.5 MB on to a dozen
-	// others over 200 Mbit/s takes 0.3 s; where links are too slow for that, the source
-	// answers well within the seconds in which a configuration has to be in force.
+	// memberCatalogTimeout bounds fetching a new catalog from a member before the source is
+	// asked for it. A member that passes 0.5 MB on to a dozen others over 200 Mbit/s takes
+	// 0.3 s. Where links are too slow for that, the source answers well within the seconds in
+	// which a new catalog has to come into force.
 	memberCatalogTimeout = 800 * time.Millisecond
-	// newCatalogSlack is how long beyond probeWait the source's answer may take to
-	// begin at a node that reads there a configuration which members know already.
+	// newCatalogSlack is how long after probeWait the source's answer may start when a node
+	// reads a catalog there that members know already.
 	newCatalogSlack = 1500 * time.Millisecond
 )
 
-// catchUpIfBehind catches up with the member that is furthest ahead, when this node
-// counts as behind. It does not wait for the end of that; one runs at a time.
+// catchUpIfBehind starts catching up with the member that is furthest ahead if this node
+// counts as behind. It does not wait for the result; one runs at a time.
 func (f *sourceFollower) catchUpIfBehind(ctx context.Context) {
 	newest := f.members.aheadOf(f.views.load())
 	if !f.health.isBehind(f.now(), newest.member != "", newest.followsReaders) {
@@ -39,11 +39,10 @@
 	}()
 }
 
-// catchUp takes over what a member knows beyond this node. A node that leaves the
-// source to the readers reads a new configuration there when the member does not hand
-// it on soon: the links between members may be too slow for many to pass it on. With
-// each configuration read at the source by each node, 16 configurations cost 295 nodes
-// 4,700 calls in a minute.
+// catchUp takes over what a member knows beyond this node. A node that leaves the source to
+// the readers asks the source for a new catalog only if the member does not pass it on soon:
+// the links between members may be too slow for many transfers at once. When every node read
+// every new catalog at the source, 16 catalogs cost 295 nodes 4,700 calls in a minute.
 func (f *sourceFollower) catchUp(ctx context.Context, newest aheadMember) {
 	newCatalog := int64(newest.version) > f.views.load().CatalogVersion()
 	if !newCatalog {
@@ -61,13 +60,12 @@
 	if err == nil {
 		return
 	}
-	f.log.Debug().Err(err).Str("member", newest.member).Msg("source: a new configuration was not read, asking the member again")
+	f.log.Debug().Err(err).Str("member", newest.member).Msg("source: reading a new configuration failed, asking the member again")
 	f.fetchFromMember(ctx, newest.member, answerTimeout)
 }
 
-// fetchFromMember fetches what a member knows beyond this node and applies it, and
-// says whether the member answered. When it did not, the next round of gossip tries
-// again.
+// fetchFromMember fetches what a member knows beyond this node, applies it, and reports
+// whether the member answered. If it did not, the next gossip round tries again.
 func (f *sourceFollower) fetchFromMember(ctx context.Context, member string, limit time.Duration) (answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -75,13 +73,13 @@
 	snapshot, err := f.peers.fetchView(ctx, member, v.Revision, v.CatalogVersion())
 	if err != nil {
 		f.log.Debug().Str("member", member).Int64("revision", int64(v.Revision)).Err(err).
-			Msg("view: a member that is ahead gave no answer")
+			Msg("view: fetching changes from a member failed")
 		return false
 	}
 	catalog, err := f.decodeCatalog(snapshot)
 	switch {
 	case err != nil:
-		f.log.Error().Str("member", member).Err(err).Msg("view: a member's configuration was refused")
+		f.log.Error().Str("member", member).Err(err).Msg("view: configuration from a member rejected")
 		return false
 	case isDelta(snapshot):
 		f.applyDelta(member, snapshot, catalog)
@@ -91,8 +89,8 @@
 	return true
 }
 
-// decodeCatalog reads the configuration that a member sent, by the same checks as one of
-// the source; nil for none.
+// decodeCatalog decodes the catalog in a member's snapshot with the same checks as one read
+// from the source; nil if there is none.
 func (f *sourceFollower) decodeCatalog(s message.ViewSnapshot) (*view.CatalogChange, error) {
 	if s.Document == "" {
 		return nil, nil
@@ -105,16 +103,15 @@
 	return &catalog, err
 }
 
-// applyDelta takes over what changed at a member, with a new configuration if there is
-// one.
+// applyDelta applies a member's delta, with its new catalog if it has one.
 func (f *sourceFollower) applyDelta(member string, s message.ViewSnapshot, catalog *view.CatalogChange) {
 	d := decodeDelta(f.now(), member, s, catalog)
 	f.log.Info().Str("member", member).Int("since", s.Since).Int("revision", s.Revision).
-		Msg("view: changes reported by a member")
+		Msg("view: applying changes from a member")
 	f.views.apply(d.Changes(), func(now time.Time, v *view.View) *view.View { return v.WithDelta(now, d) })
 }
 
-// applySnapshot takes over all that a member knows.
+// applySnapshot replaces the view by a member's snapshot.
 func (f *sourceFollower) applySnapshot(member string, s message.ViewSnapshot, catalog view.CatalogChange) {
 	ch := view.Changes{Revision: view.Revision(s.Revision), List: []view.Change{catalog}}
 	now := f.now()
@@ -123,15 +120,16 @@
 	}
 	evacuations := decodeEvacuations(now, member, s.Evacuations)
 	if s.Evacuations == nil {
-		// A member of an earlier version knows of none, so that its list lifts none.
+		// A member of an earlier version does not know of evacuations, so its list lifts
+		// none.
 		evacuations = f.views.load().Evacuations.All()
 	}
 	for _, e := range evacuations {
 		ch.List = append(ch.List, view.EvacuationChange{Evacuation: e})
 	}
 	f.log.Info().Str("member", member).Int64("version", catalog.Catalog.Version).Int("revision", s.Revision).
-		Msg("view: taken from a member")
-	// Without changes to log: the line above stands for all of them.
+		Msg("view: applying a snapshot from a member")
+	// No changes are passed for logging; the line above stands for all of them.
 	f.views.apply(view.Changes{}, func(now time.Time, v *view.View) *view.View {
 		return v.WithSnapshot(now, ch, time.Time{})
 	})
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -16,33 +16,34 @@
 )
 
 const (
-	// tickInterval is how often a core with work receives the time: a sixth of a batch, by
-	// which an expired item or a stuck batch is noticed late at most.
+	// tickInterval is how often a core with work is sent the time. It is a sixth of a batch
+	// and bounds how late an expired item or a stuck batch is noticed.
 	tickInterval = 40 * time.Millisecond
-	// ownershipCheckInterval is how often a coordinator with work checks whether the service is
-	// still its own: a part of what two coordinators at once cost.
+	// ownershipCheckInterval is how often a coordinator with work checks whether this node
+	// still coordinates the service. It adds to the time for which two members coordinate the
+	// service at once.
 	ownershipCheckInterval = 100 * time.Millisecond
-	// stateLogInterval is how often a coordinator logs its state while it has work. Not
-	// measured: it bounds the volume of the log.
+	// stateLogInterval is how often a coordinator with work logs its state. It bounds the
+	// volume of the log.
 	stateLogInterval = time.Second
 )
 
-// tick has the core receive the time; it is sent at due.
+// tick passes the time to the core. It should arrive at due.
 type tick struct{ due time.Time }
 
-// inputsRead says that a group's items count as having read their inputs.
+// inputsRead says that a group's items are assumed to have read their inputs.
 type inputsRead struct{ group *pendingGroup }
 
-// cancelGroup says that nobody waits for a group any more.
+// cancelGroup says that nothing waits for a group any more.
 type cancelGroup struct{ group *pendingGroup }
 
-// flushDiscards has the gathered results discarded.
+// flushDiscards sends the collected discards.
 type flushDiscards struct{}
 
-// handBack says that another node coordinates the service from now on.
+// handBack says that another node now coordinates the service.
 type handBack struct{}
 
-// planStage announces a plan and takes the backlog before it.
+// planStage announces a plan. The backlog ahead of it is sent to the channel.
 type planStage struct {
 	plan    batching.Plan
 	backlog chan time.Duration
@@ -51,23 +52,22 @@
 // stateRequest asks for the state.
 type stateRequest struct{ state chan batching.State }
 
-// coordinator assembles the batches of one service: the actor around a batching
-// core, which decides. It gives the core its events, sends its batches to targets,
-// and keeps what the core does not: the groups, the results that are to be
-// discarded, and whether this node coordinates the service.
+// coordinator assembles the batches of one service. It is the actor around a batching core,
+// which makes the decisions. It passes events to the core, sends its batches to targets, and
+// holds what the core does not: the groups, the results to discard, and whether this node
+// coordinates the service.
 type coordinator struct {
 	coordinatorConfig
 	service string
 	core    *batching.Core
-	// gate says what targets ask for.
+	// gate applies the limits and pauses that targets ask for.
 	gate        backpressure.Gate
 	lastToken   batching.Token
 	items       map[batching.Token]*pendingItem
 	tickPending bool
-	// leaving says that another node runs what has not started.
+	// leaving is set when another node is to run what has not started.
 	leaving bool
-	// owned says whether this node was to coordinate the service when that was last
-	// checked.
+	// owned is whether this node coordinated the service at the last check.
 	owned              bool
 	ownershipCheckedAt time.Time
 	// stateLoggedAt is when the state was last logged.
@@ -122,7 +122,7 @@
 	time.AfterFunc(d, func() { c.system.Root.Send(self, msg) })
 }
 
-// handle passes an event to the core and carries out what it decides.
+// handle passes an event to the core and carries out the effects that it returns.
 func (c *coordinator) handle(ev batching.Event) {
 	now := c.now()
 	for _, effect := range c.core.Handle(now, ev) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// logState logs what the coordinator holds, at most once in stateLogInterval.
+// logState logs the state, at most once per stateLogInterval.
 func (c *coordinator) logState(now time.Time) {
 	if now.Sub(c.stateLoggedAt) < stateLogInterval {
 		return
@@ -161,7 +161,8 @@
 		Int64("expired", s.Expired).Int64("refused", s.Refused).Float64("perSecond", s.ItemsPerSecond).Msg("items: state")
 }
 
-// sendBatch sends a batch, after what is to be discarded at the same target.
+// sendBatch sends a batch to its target, preceded by the discards collected for the same
+// target.
 func (c *coordinator) sendBatch(now time.Time, e batching.Send) {
 	discard := c.discards.take(e.Target.Life())
 	c.metrics.recordBatch(c.service, len(e.Items))
@@ -175,11 +176,11 @@
 	}()
 }
 
-// inspectTimeout bounds an inspection; meanwhile the target gets no batch. An answer
-// takes some milliseconds.
+// inspectTimeout bounds an inspection, during which the target gets no batch. An answer takes
+// some milliseconds.
 const inspectTimeout = 200 * time.Millisecond
 
-// inspect asks a target what it does and holds.
+// inspect asks a target what it is running and holding.
 func (c *coordinator) inspect(e batching.Inspect) {
 	self := c.self
 	go func() {
@@ -194,14 +195,14 @@
 func (c *coordinator) logInspection(e batching.Inspect, report batching.Report, err *verdict.Error) {
 	event := c.log.Debug().Str("service", c.service).Str("target", e.Target.ID)
 	if err != nil {
-		event.Err(err).Msg("items: target gave no report, taken for idle")
+		event.Err(err).Msg("items: inspecting a target failed, treating it as idle")
 		return
 	}
 	event.Bool("busy", report.Busy).Int64("freeBytes", report.FreeBytes).Msg("items: target inspected")
 }
 
-// runBatch has a target run a batch and returns how that ended. It runs beside the
-// actor, so it touches none of its state.
+// runBatch runs a batch at its target and returns the result. It runs outside the actor, so
+// it must not touch the actor's state.
 func (c *coordinator) runBatch(now time.Time, e batching.Send) batching.Finished {
 	ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 	defer cancel()
@@ -211,12 +212,13 @@
 	})
 	if err != nil {
 		c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Int("items", len(e.Items)).
-			Dur("took", c.now().Sub(now)).Err(err).Msg("items: call failed")
+			Dur("took", c.now().Sub(now)).Err(err).Msg("items: batch failed")
 	}
 	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, Ended: c.recordResult(e, now, err)}
 }
 
-// permitCall is asked just before the first byte of a batch is written.
+// permitCall is called just before the first byte of a batch is written; an error forbids the
+// call.
 func (c *coordinator) permitCall(t directory.Target) error {
 	if c.gate.HeldBack(t.Life()) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target takes no new work")
@@ -224,9 +226,9 @@
 	return c.permit(t.ID)
 }
 
-// recordResult reports what the end of a batch, sent at the given time, says of what its items
-// ask for, and says whether its target's process ended. Like call it runs beside the
-// actor.
+// recordResult tells the quarantine what the result of a batch, sent at the given time, says
+// about its items. It reports whether the target's process has ended. Like runBatch it runs
+// outside the actor.
 func (c *coordinator) recordResult(e batching.Send, sentAt time.Time, err *verdict.Error) (ended bool) {
 	switch {
 	case rules.Outlived(err):
@@ -247,7 +249,7 @@
 	}
 	c.metrics.recordTargetEnd()
 	c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Strs("digests", uniqueDigests(e.Items)).
-		Msg("items: target ended while it had the batch")
+		Msg("items: target process ended while it ran a batch")
 	for _, item := range e.Items {
 		if item.Digest != 0 {
 			c.quarantine.TargetEnded(item.Digest, quarantine.Crash{Target: e.Target.Life().String(), Began: sentAt, At: brokeAt, Silent: true})
@@ -256,11 +258,11 @@
 	return true
 }
 
-// endedCheckTimeout bounds the question whether a target has ended, which its batch's items
-// wait for: its instance refuses a connection within a round trip.
+// endedCheckTimeout bounds checking whether a target's process has ended, which the items of
+// its batch wait for. The target's instance refuses a connection within a round trip.
 const endedCheckTimeout = 200 * time.Millisecond
 
-// uniqueDigests lists what the items of a batch ask for, each once.
+// uniqueDigests returns the digests of the items of a batch, without duplicates.
 func uniqueDigests(items []batching.Item) []string {
 	var list []string
 	for _, item := range items {
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -21,7 +21,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// coordinatorConfig is what a coordinator works with.
+// coordinatorConfig holds the dependencies and settings of a coordinator.
 type coordinatorConfig struct {
 	now     func() time.Time
 	log     zerolog.Logger
@@ -31,20 +31,19 @@
 	metrics *metrics
 	// retries bounds the retries of each service.
 	retries retrybudget.Policy
-	// margin widens what cold targets get.
+	// margin widens the limits of cold targets.
 	margin warmup.Margin
-	// quarantine hears of the items that targets ended with.
+	// quarantine records the items that crash their targets.
 	quarantine *quarantine.Keeper
-	// backpressure knows what targets ask for.
+	// backpressure holds the limits and pauses that targets ask for.
 	backpressure *backpressure.Keeper
-	// permit is called just before the first byte of a call to a target is written;
-	// an error forbids it.
+	// permit is called just before the first byte of a call to a target is written; an error
+	// forbids the call.
 	permit func(target string) error
 }
 
-// coordinators owns this node's coordinators, one actor a service, and the lock over
-// their list. They are created on first use and stay. It counts the groups that this
-// node runs.
+// coordinators owns this node's coordinators, one actor per service, and the lock that guards
+// them. Coordinators are created on first use and never removed.
 type coordinators struct {
 	coordinatorConfig
 	views *viewKeeper
@@ -55,10 +54,10 @@
 	runningGroups atomic.Int64
 }
 
-// idle says whether this node runs no group.
+// idle reports whether this node runs no groups.
 func (c *coordinators) idle() bool { return c.runningGroups.Load() == 0 }
 
-// getOrSpawn returns the coordinator of a service at this node.
+// getOrSpawn returns this node's coordinator of a service and creates it if there is none.
 func (c *coordinators) getOrSpawn(service string) *actor.PID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,9 +90,9 @@
 	}
 }
 
-// handBack has the groups that wait for their first call handed back, for the
-// member that takes this node's coordination over. It does nothing when there is no
-// other member: the last node finishes its work itself.
+// handBack returns the groups whose first call has not started to their senders, for the
+// member that coordinates the services from now on. It does nothing if there is no other
+// member: the last node finishes its work itself.
 func (c *coordinators) handBack() {
 	if c.members.coordinator("") == "" {
 		return
@@ -105,7 +104,7 @@
 	}
 }
 
-// run has the items of a group run by batches that this node assembles.
+// run runs the items of a group in batches that this node assembles.
 func (c *coordinators) run(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	c.runningGroups.Add(1)
 	defer c.runningGroups.Add(-1)
@@ -121,12 +120,12 @@
 	}
 }
 
-// release has results released at the targets that hold them.
+// release releases results at the targets that hold them.
 func (c *coordinators) release(service string, results []batching.Result) {
 	sendReleases(c.system, c.getOrSpawn(service), results)
 }
 
-// sendReleases has a coordinator release results, by target.
+// sendReleases asks a coordinator to release results, grouped by target.
 func sendReleases(system *actor.ActorSystem, pid *actor.PID, results []batching.Result) {
 	byTarget := map[string][]string{}
 	for _, r := range results {
@@ -137,8 +136,8 @@
 	}
 }
 
-// plan announces a planned stage to its coordinator and returns the backlog before
-// it; 0, for unknown, when ctx ends first.
+// plan announces a planned stage to its coordinator and returns the backlog ahead of it; 0,
+// for unknown, if ctx is done first.
 func (c *coordinators) plan(ctx context.Context, request string, s relay.PlannedStage) time.Duration {
 	p := &planStage{
 		plan:    batching.Plan{Request: request, Stage: s.Stage, Items: s.Items, Due: s.Due},
@@ -153,13 +152,13 @@
 	}
 }
 
-// cancel withdraws a planned stage.
+// cancel cancels a planned stage.
 func (c *coordinators) cancel(request string, s relay.PlannedStage) {
 	c.system.Root.Send(c.getOrSpawn(s.Service), batching.CancelPlan{Request: request, Stage: s.Stage})
 }
 
-// states returns the state of each coordinator by its service, without those that
-// have not answered when ctx ends.
+// states returns the states of the coordinators by service, without those that have not
+// answered when ctx is done.
 func (c *coordinators) states(ctx context.Context) map[string]batching.State {
 	c.mu.Lock()
 	services := maps.Clone(c.services)
--- a/internal/gateway/discards.go
+++ b/internal/gateway/discards.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	// discardDelay gathers results for one call that discards them. With 8 ms worth was
-	// lower by 0.003, within its standard error; longer holds memory that items wait for.
+	// discardDelay is how long discards are collected before they are sent in one call. 8 ms
+	// makes no significant difference (0.003 in the score); a longer delay holds memory that
+	// items wait for.
 	discardDelay = 25 * time.Millisecond
-	// discardTimeout bounds that call. A target that does not answer drops the results
-	// itself when they expire.
+	// discardTimeout bounds that call. A target that does not answer drops the results when
+	// they expire.
 	discardTimeout = time.Second
 )
 
-// discardQueue gathers results to discard, by the life of their target. Its coordinator owns it.
+// discardQueue collects the results to discard, by the life of their target. It belongs to
+// one coordinator.
 type discardQueue struct {
 	log      zerolog.Logger
 	targets  Targets
 	byTarget map[directory.Life]*batching.Discard
-	// scheduled says whether the coordinator is going to receive flushDiscards.
+	// scheduled is set while a flushDiscards message is on its way to the coordinator.
 	scheduled bool
 }
 
-// add gathers results, and says whether flushDiscards is to be scheduled.
+// add adds results and reports whether flushDiscards must be scheduled.
 func (d *discardQueue) add(e batching.Discard) (schedule bool) {
 	p := d.byTarget[e.Target.Life()]
 	if p == nil {
@@ -41,14 +43,14 @@
 	return schedule
 }
 
-// take removes and returns what is gathered for a target; nil for nothing.
+// take removes and returns the discards collected for a target; nil if there are none.
 func (d *discardQueue) take(target directory.Life) *batching.Discard {
 	p := d.byTarget[target]
 	delete(d.byTarget, target)
 	return p
 }
 
-// flush discards all that is gathered.
+// flush sends all collected discards.
 func (d *discardQueue) flush() {
 	d.scheduled = false
 	for id, p := range d.byTarget {
@@ -57,12 +59,11 @@
 	}
 }
 
-// send discards results at their target. A target that cannot be reached drops them
-// itself when they expire.
+// send discards results at their target. An unreachable target drops them when they expire.
 func (d *discardQueue) send(p *batching.Discard) {
 	ctx, cancel := context.WithTimeout(context.Background(), discardTimeout)
 	defer cancel()
 	if err := d.targets.Release(ctx, p.Target, p.Handles); err != nil {
-		d.log.Debug().Str("target", p.Target.ID).Int("results", len(p.Handles)).Err(err).Msg("items: results were not discarded")
+		d.log.Debug().Str("target", p.Target.ID).Int("results", len(p.Handles)).Err(err).Msg("items: discarding results failed")
 	}
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -13,57 +13,56 @@
 	"github.com/honeydyke/honeydyke/internal/wait"
 )
 
-// How long calls to the source wait and how long after that their answers may take
-// to begin. The head of an answer must come within both; its rest has
-// answerTimeout, as a slow link needs long for a large configuration.
+// A call to the source waits for changes for a while (wait), and its answer may take longer
+// to start (slack). The header of the answer must arrive within both together. The rest of
+// the answer has answerTimeout, since a large configuration takes long over a slow link.
 const (
-	// readerWait and readerSlack are for the readers. A connection that has silently died
-	// is noticed within both, well before a new configuration has to be in force.
+	// readerWait and readerSlack apply to the readers. They bound how long a dead connection
+	// goes unnoticed, well below the time in which a new configuration has to come into
+	// force.
 	readerWait = 1200 * time.Millisecond
 	// readerSlack: see readerWait.
 	readerSlack = 400 * time.Millisecond
-	// watchWait and watchSlack are for the other nodes. Their watches are ended
-	// when a member is known to be ahead, so that they may wait for long and spare
-	// the source.
+	// watchWait and watchSlack apply to the other nodes. Their watches are cancelled when a
+	// member is known to be ahead, so they can wait long, which spares the source.
 	watchWait = 20 * time.Second
-	// watchSlack: see watchWait. It is longer than readerSlack, as nobody waits for it.
+	// watchSlack: see watchWait. It is longer than readerSlack because nothing waits for it.
 	watchSlack = 700 * time.Millisecond
-	// probeWait and probeSlack are for a source that is down, so that the end of its
-	// trouble is noticed soon.
+	// probeWait and probeSlack apply while the source is down, so that its recovery is
+	// noticed soon.
 	probeWait = 100 * time.Millisecond
 	// probeSlack: see probeWait.
 	probeSlack = 600 * time.Millisecond
-	// snapshotTimeout bounds the time to the head of the whole, which a source that is
-	// slow gives after a second or two.
+	// snapshotTimeout bounds the time until the header of a snapshot arrives, which takes a
+	// slow source a second or two.
 	snapshotTimeout = 3 * time.Second
-	// answerTimeout bounds the rest of an answer whose head has come: a large
+	// answerTimeout bounds the rest of an answer whose header has arrived. A large
 	// configuration takes seconds over a slow link that nodes share.
 	answerTimeout = 6 * time.Second
 )
 
-// How long a node pauses between its calls to the source.
+// Pauses between the calls of a node to the source.
 const (
-	// watchPause is how long changes gather between two watches, which saves calls to
-	// the source during a release. Each change is late by as much.
+	// watchPause is the pause between two watches. Collecting changes for that long saves
+	// calls to the source during a rollout, and delays each change by as much.
 	watchPause = 250 * time.Millisecond
-	// minRetryPause and maxRetryPause bound the pause after a failure, at a node without a
-	// configuration and at readers: such a node serves nobody until the source answers.
+	// minRetryPause and maxRetryPause bound the pause after a failure at readers and at nodes
+	// without a configuration, which serve no requests until the source answers.
 	minRetryPause = 100 * time.Millisecond
 	// maxRetryPause: see minRetryPause.
 	maxRetryPause = 500 * time.Millisecond
-	// maxFollowerRetryPause is the longest pause after a failure at the other nodes; the shortest
-	// is half of it. Hundreds of nodes that all return to a source in trouble keep it
-	// there.
+	// maxFollowerRetryPause is the longest pause after a failure at the other nodes; the
+	// shortest is half of it. Hundreds of nodes that all return at once to a failing source
+	// keep it from recovering.
 	maxFollowerRetryPause = 2 * time.Second
-	// readerCheckInterval is how often a node that leaves the source to the readers checks that it
-	// still may: half of a round of gossip, by which that changes.
+	// readerCheckInterval is how often a node that leaves the source to the readers checks
+	// that it still may. It is half a gossip round, and the answer changes only by gossip.
 	readerCheckInterval = 250 * time.Millisecond
 )
 
-// sourceFollower keeps the view up to date: it watches the source, or leaves that to
-// the readers among the members, and catches up with a member that is ahead. While
-// the source fails the node goes on with the view that it has, and takes over what
-// members know.
+// sourceFollower keeps the view up to date. It watches the source, or leaves that to the
+// readers among the members, and catches up with a member that is ahead. While the source is
+// failing, the node keeps using its view and takes updates from members.
 type sourceFollower struct {
 	source  Source
 	views   *viewKeeper
@@ -74,13 +73,13 @@
 	log     zerolog.Logger
 	now     func() time.Time
 
-	// catchingUp is true while a member's view is being fetched.
+	// catchingUp is set while updates are fetched from a member.
 	catchingUp atomic.Bool
 }
 
-// run reads the source until ctx ends: all of it at first and after its history is
-// lost, else what changes. The only error of a wait is the end of ctx, which the loop
-// checks.
+// run reads the source until ctx is done: a full snapshot at first and whenever the source's
+// history no longer covers the view, and changes otherwise. wait.For fails only when ctx is
+// done, which the loop checks.
 func (f *sourceFollower) run(ctx context.Context) {
 	full := true
 	for ctx.Err() == nil {
@@ -96,7 +95,7 @@
 			f.recordSuccess()
 			_ = wait.For(ctx, watchPause)
 		case errors.Is(err, ErrHistoryGone):
-			f.log.Info().Int64("revision", int64(f.views.load().Revision)).Msg("source: history gone, reading all")
+			f.log.Info().Int64("revision", int64(f.views.load().Revision)).Msg("source: history no longer covers the view, reading a snapshot")
 			full = true
 		default:
 			f.recordFailure(started, err)
@@ -105,15 +104,15 @@
 	}
 }
 
-// recordSuccess notes that the source has answered.
+// recordSuccess records that the source has answered.
 func (f *sourceFollower) recordSuccess() {
 	if f.health.markReached(f.now()) {
 		f.log.Info().Int64("revision", int64(f.views.load().Revision)).Msg("source: reachable again")
 	}
 }
 
-// recordFailure notes that a call to the source that began at started has failed. The log
-// shows the first of a row of failures.
+// recordFailure records that a call to the source failed; the call began at started. Only the
+// first of consecutive failures is logged.
 func (f *sourceFollower) recordFailure(started time.Time, err error) {
 	lost, lastReached := f.health.markFailed(started)
 	f.metrics.sourceFailures.Inc(1)
@@ -122,17 +121,17 @@
 	}
 }
 
-// drawRetryPause is how long the node waits after the source failed, drawn at random so
-// that nodes that lost the source together do not return together.
+// drawRetryPause returns how long the node waits after a failure. The pause is random, so
+// that nodes that lost the source together do not return to it together.
 func (f *sourceFollower) drawRetryPause() time.Duration {
 	shortest, longest := retryBounds(f.views.load().Catalog != nil, f.members.isReader())
 	return shortest + rand.N(longest-shortest)
 }
 
-// retryBounds decides how long a node waits after the source failed. Inputs:
-// whether it has a configuration, and whether it is a reader. A node that has one
-// and is no reader can live by what members report, and spares the source. Too
-// short loads a source in trouble; too long delays the first request or a change.
+// retryBounds decides how long a node waits after a failure of the source. Inputs: whether
+// the node has a configuration, and whether it is a reader. A node that has one and is no
+// reader can rely on the members' reports, and spares the source. If the pause is too short,
+// it loads a failing source; if it is too long, it delays the first request or a change.
 func retryBounds(configured, reader bool) (shortest, longest time.Duration) {
 	if configured && !reader {
 		return maxFollowerRetryPause / 2, maxFollowerRetryPause
@@ -140,12 +139,11 @@
 	return minRetryPause, maxRetryPause
 }
 
-// watchBounds decides how long a watch waits at the source, and how much longer
-// the head of its answer may take. Inputs, in the order in which they count:
-// whether the last call to the source failed, and whether the node is one of the
-// readers, by its roster of this moment. Too long delays the discovery of a
-// connection that has silently died; too short costs calls to the source. See
-// docs/decisions/0011-the-gateway.md, "What a node knows".
+// watchBounds decides how long a watch waits at the source, and how much longer the header of
+// its answer may take. Inputs, in order of precedence: whether the last call to the source
+// failed, and whether the node is currently a reader according to its roster. If the bounds
+// are too long, a dead connection is noticed late; if they are too short, they cost calls to
+// the source. See docs/decisions/0011-the-gateway.md, "What a node knows".
 func watchBounds(down, reader bool) (wait, slack time.Duration) {
 	switch {
 	case down:
@@ -156,7 +154,7 @@
 	return watchWait, watchSlack
 }
 
-// read makes one call to the source: for the whole, or for what changes.
+// read makes one call to the source: for a full snapshot, or for changes.
 func (f *sourceFollower) read(ctx context.Context, full bool) error {
 	if full {
 		return f.readSnapshot(ctx)
@@ -174,7 +172,7 @@
 		return err
 	}
 	if known := f.views.load().Revision; ch.Revision < known {
-		f.log.Warn().Int64("revision", int64(known)).Int64("listed", int64(ch.Revision)).Msg("source: the whole is older than the view, not taken")
+		f.log.Warn().Int64("revision", int64(known)).Int64("listed", int64(ch.Revision)).Msg("source: dropped a snapshot older than the view")
 	}
 	f.views.apply(ch, func(now time.Time, v *view.View) *view.View {
 		return v.WithSnapshot(now, ch, f.health.lastOutage())
@@ -182,9 +180,9 @@
 	return nil
 }
 
-// readChanges waits for what changes at the source. When a member's view was taken
-// over meanwhile, the answer is dropped, as it could be older; the next watch
-// brings it again.
+// readChanges waits for changes at the source. If a member's updates were applied meanwhile,
+// the answer may be older than the view and is dropped; the next watch returns the changes
+// again.
 func (f *sourceFollower) readChanges(ctx context.Context, wait, slack time.Duration) error {
 	ctx, answered, cancel := withAnswerTimeout(ctx, wait+slack)
 	defer cancel()
@@ -204,8 +202,9 @@
 	return nil
 }
 
-// withAnswerTimeout returns a context that ends when no answer has begun within limit,
-// or when one that has begun takes longer than answerTimeout.
+// withAnswerTimeout returns a context that is cancelled if no answer has started within
+// limit, or if an answer takes longer than answerTimeout once it has started. The caller
+// calls answered when the answer starts.
 func withAnswerTimeout(ctx context.Context, limit time.Duration) (_ context.Context, answered func(), cancel context.CancelFunc) {
 	ctx, end := context.WithCancel(ctx)
 	timer := time.AfterFunc(limit, end)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,18 +1,18 @@
-// Package gateway runs one node that relays requests by a configuration which a
-// trusted store publishes. It follows the store, finds its members by gossip,
-// assembles the batches of batch services together with them, and stops without
-// cutting work.
+// Package gateway runs one gateway node. A node relays requests to targets according to a
+// configuration that a trusted store, the source, publishes. It watches the source, finds the
+// other nodes, its members, by gossip, assembles the batches of batch services together with
+// them, and shuts down gracefully.
 //
-// It owns the node's view of the configuration and the targets (viewKeeper), the
-// health of the source (sourceHealth), the roster of members (members), and one
-// coordinator for each batch service that this node coordinates (coordinators). The
-// rules of batching, placement, membership and relaying are in packages below it,
-// which do no input or output.
+// The parts of a node own its state: the view of the configuration and the targets
+// (viewKeeper), the health of the source (sourceHealth), the roster of members (members), and
+// one coordinator for each batch service that this node coordinates (coordinators). The rules
+// of batching, placement, membership and relaying are in the packages below this one, which
+// perform no I/O.
 //
-// It relies on the source: without it the node goes on with the view that it has,
-// and takes over what members know. It relies on members for the work that one node
-// does for all: without them each node does its own. It speaks to callers, targets
-// and the source through Ports, which an adapter supplies. It keeps nothing on disk.
+// While the source is unreachable, the node keeps using its view and takes updates from
+// members. Some work is done by one member for all of them; a node that knows no others does
+// it for itself. Callers, targets and the source are reached through Ports, which an adapter
+// supplies. Nothing is stored on disk.
 package gateway
 
 import (
@@ -37,7 +37,7 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-// Gateway is one node: it wires the parts, runs them and stops them. Create it with
+// Gateway is one node. It creates the parts, runs them and shuts them down. Create it with
 // New.
 type Gateway struct {
 	cfg   *settings.Settings
@@ -65,20 +65,21 @@
 	servers   servers
 }
 
-// servers are the HTTP servers of a node's sockets.
+// servers are the HTTP servers of the node's listeners.
 type servers struct{ callers, peers, admin, ready *http.Server }
 
-// Option changes a Gateway under construction.
+// Option configures a Gateway.
 type Option func(*Gateway)
 
-// WithLogger sets the log; it is silent by default.
+// WithLogger sets the logger; nothing is logged by default.
 func WithLogger(log zerolog.Logger) Option { return func(g *Gateway) { g.log = log } }
 
-// WithClock sets the clock, which must be monotonic; that of package boottime by default.
+// WithClock sets the clock, which must be monotonic. The default is the clock of package
+// boottime.
 func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.now = now } }
 
-// New returns a gateway that listens but serves nothing until Run. The settings must
-// have a gateway section; a port 0 in them takes a free port.
+// New returns a gateway that listens but serves nothing until Run. The settings must have a
+// gateway section. Port 0 in an address picks a free port.
 func New(cfg *settings.Settings, ports Ports, opts ...Option) (*Gateway, error) {
 	g := &Gateway{
 		cfg: cfg, ports: ports, log: zerolog.Nop(), now: boottime.New().Now,
@@ -100,7 +101,7 @@
 	return g, nil
 }
 
-// createParts creates the parts that work by the members and the view.
+// createParts creates the parts that depend on the members and the view.
 func (g *Gateway) createParts(started time.Time) {
 	peers := newPeerClient(g.now)
 	g.follower = &sourceFollower{
@@ -140,7 +141,7 @@
 	g.createServers()
 }
 
-// createServers creates the parts that callers, members and operators speak to.
+// createServers creates the parts that serve callers, members and operators.
 func (g *Gateway) createServers() {
 	g.callers = &callerServer{now: g.now, views: g.views, shutdown: g.shutdown, relay: g.relay}
 	g.admin = &adminServer{
@@ -158,10 +159,10 @@
 	}
 }
 
-// discardLogger keeps the actor system's own lines out of the log.
+// discardLogger keeps the log lines of the actor system out of the node's log.
 func discardLogger(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// onViewChange notifies those who depend on the view, in this order.
+// onViewChange notifies the parts that depend on the view, in this order.
 func (g *Gateway) onViewChange(v *view.View) {
 	g.coordinators.configure(v)
 	g.relay.Prune(v.Directory)
@@ -172,36 +173,36 @@
 	g.gossip.trigger()
 }
 
-// onQuarantineChange has members hear of requests that end their targets, and counts those
-// that are held.
+// onQuarantineChange counts the held requests and triggers gossip about requests that crash
+// their targets.
 func (g *Gateway) onQuarantineChange(held int) {
 	g.metrics.heldRequests.Update(float64(held))
 	g.gossip.trigger()
 }
 
-// onLimitsChange has members hear of the limits of targets, and counts them.
+// onLimitsChange counts the targets with a limit and triggers gossip about the limits.
 func (g *Gateway) onLimitsChange(limited int) {
 	g.metrics.limitedTargets.Update(float64(limited))
 	g.gossip.trigger()
 }
 
-// CallerAddress returns the address that callers use.
+// CallerAddress returns the address that serves callers.
 func (g *Gateway) CallerAddress() string { return g.listeners.callers.Addr().String() }
 
-// PeerAddress returns the address that other nodes use.
+// PeerAddress returns the address that serves other nodes.
 func (g *Gateway) PeerAddress() string { return g.listeners.peers.Addr().String() }
 
-// AdminAddress returns the address that operators read from.
+// AdminAddress returns the address that serves operators.
 func (g *Gateway) AdminAddress() string { return g.listeners.admin.Addr().String() }
 
-// ReadyAddress returns the address that the balancer checks.
+// ReadyAddress returns the address that serves the load balancer's readiness checks.
 func (g *Gateway) ReadyAddress() string { return g.listeners.ready.Addr().String() }
 
-// State describes what the node knows and holds.
+// State returns a dump of the node's state.
 func (g *Gateway) State() message.GatewayState { return g.admin.state() }
 
-// Run serves until ctx ends and then stops as planned: it informs the balancer
-// and its members, and finishes the work in flight within the time to stop.
+// Run serves until ctx is done and then shuts down gracefully: it informs the load balancer
+// and the members, and finishes the requests in flight within the grace period.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -219,7 +220,7 @@
 	return nil
 }
 
-// join joins the members once the node has a configuration.
+// join joins the cluster once the node has a configuration.
 func (g *Gateway) join(ctx context.Context) {
 	select {
 	case <-g.views.configured:
@@ -228,16 +229,15 @@
 	}
 }
 
-// serve serves a socket until the stop closes it.
+// serve serves a listener until the server is shut down.
 func (g *Gateway) serve(s *http.Server, ln net.Listener) {
 	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		g.log.Error().Str("address", ln.Addr().String()).Err(err).Msg("node: no longer listening")
+		g.log.Error().Str("address", ln.Addr().String()).Err(err).Msg("node: serving a listener failed")
 	}
 }
 
-// Reload applies the settings that may change while the node runs: the addresses
-// at which members are looked for.
+// Reload applies the settings that may change while the node runs: the seed addresses.
 func (g *Gateway) Reload(cfg *settings.Settings) {
 	g.members.setSeeds(cfg.Peers)
-	g.log.Info().Strs("peers", cfg.Peers).Msg("settings: read again")
+	g.log.Info().Strs("peers", cfg.Peers).Msg("settings: reloaded")
 }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -14,24 +14,23 @@
 )
 
 const (
-	// gossipInterval is how often a node exchanges with other members. The times of
-	// package membership are multiples of it; half of it doubles the bytes.
+	// gossipInterval is the time between two gossip rounds. The timeouts of package
+	// membership are multiples of it. Half the interval doubles the traffic.
 	gossipInterval = 500 * time.Millisecond
-	// gossipPartners is how many it exchanges with in a round: an eligible one and one at
-	// random, which is what 300 members need to agree (membership.TestManyMembersAgree).
+	// gossipPartners is how many members a node exchanges gossip with per round: an eligible
+	// one and a random one, which is what 300 members need to agree
+	// (membership.TestManyMembersAgree).
 	gossipPartners = 2
-	// gossipTimeout bounds one exchange; it ends before the next round begins. Not
-	// measured.
+	// gossipTimeout bounds one exchange, so that it ends before the next round starts.
 	gossipTimeout = 400 * time.Millisecond
-	// triggerDelay gathers changes before a triggered round: targets of a release change
-	// together.
+	// triggerDelay is how long changes are collected before a triggered round, since the
+	// targets of a rollout change together.
 	triggerDelay = 50 * time.Millisecond
 )
 
-// gossiper exchanges with other members what is known of all of them, from time to
-// time and at once when something changed. It reports this node's status. A member
-// that does not answer costs nothing but the exchange: the roster drops it once its
-// heartbeat stands still.
+// gossiper exchanges what is known of all members with other members, periodically and at
+// once when something changes, and reports this node's status. A member that does not answer
+// costs only the exchange: the roster drops it once its heartbeat stops rising.
 type gossiper struct {
 	now      func() time.Time
 	members  *members
@@ -39,9 +38,11 @@
 	views    *viewKeeper
 	health   *sourceHealth
 	shutdown *shutdownState
-	// quarantine knows the requests that end their targets, which members report to each other.
+	// quarantine holds the requests that crash their targets, which members report to each
+	// other.
 	quarantine *quarantine.Keeper
-	// backpressure knows what targets ask for, which members report to each other too.
+	// backpressure holds the limits that targets ask for, which members report to each other
+	// too.
 	backpressure *backpressure.Keeper
 	log          zerolog.Logger
 	// catchUpIfBehind catches up with a member that is ahead of this node.
@@ -51,7 +52,7 @@
 	triggered chan struct{}
 }
 
-// publishStatus sets what this node reports of itself.
+// publishStatus updates the status that this node reports.
 func (g *gossiper) publishStatus() {
 	v := g.views.load()
 	g.members.setStatus(func() membership.Status {
@@ -62,7 +63,7 @@
 	})
 }
 
-// run exchanges until ctx ends.
+// run runs gossip rounds until ctx is done.
 func (g *gossiper) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -72,7 +73,7 @@
 			return
 		case <-timer.C:
 		case <-g.triggered:
-			// Its only error is the end of ctx, which ends the loop.
+			// It fails only when ctx is done, which ends the loop.
 			_ = wait.For(ctx, triggerDelay)
 		}
 		g.round(ctx)
@@ -80,7 +81,7 @@
 	}
 }
 
-// trigger has the next round begin at once.
+// trigger starts the next round at once.
 func (g *gossiper) trigger() {
 	select {
 	case g.triggered <- struct{}{}:
@@ -88,8 +89,8 @@
 	}
 }
 
-// round exchanges with some members. Before it, the view is brought to the present: a source
-// in which nothing changes does not do that.
+// round exchanges gossip with some members. It first expires what is outdated in the view,
+// since a source without changes does not cause that.
 func (g *gossiper) round(ctx context.Context) {
 	g.views.expire()
 	g.publishStatus()
@@ -102,9 +103,9 @@
 	g.catchUpIfBehind(ctx)
 }
 
-// exchange sends a member what is known of all members, merges what it knows, and
-// says whether it answered. Why it did not is not logged: an address among the
-// seeds may be without a node for long.
+// exchange sends a member what is known of all members, merges the answer, and reports
+// whether the member answered. Failures are not logged: a seed address may be without a node
+// for long.
 func (g *gossiper) exchange(ctx context.Context, member string) bool {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
@@ -118,7 +119,7 @@
 	return true
 }
 
-// reply merges what a member reported and returns what to answer.
+// reply merges a member's report and returns the answer to it.
 func (g *gossiper) reply(in message.Gossip) message.Gossip {
 	out := g.members.mergeAndReport(in)
 	if len(in.Members) > 0 {
@@ -128,16 +129,17 @@
 	return g.withReports(out)
 }
 
-// withReports adds what this node knows of requests that end their targets, and of targets'
-// limits.
+// withReports adds what this node knows of requests that crash their targets and of the
+// targets' limits.
 func (g *gossiper) withReports(out message.Gossip) message.Gossip {
 	out.Suspects, out.HeldSum = g.quarantine.Recent()
 	out.Limits = g.backpressure.Recent()
 	return out
 }
 
-// mergeSuspects takes in what a member answered of requests that end their targets. When
-// the two hold other requests, as after a start or a cut, this node asks for all.
+// mergeSuspects merges a member's report of requests that crash their targets. If the two
+// nodes hold different requests, as after a start or a partition, this node fetches all that
+// the member holds.
 func (g *gossiper) mergeSuspects(ctx context.Context, member string, in message.Gossip) {
 	g.quarantine.Merge(member, in.Suspects)
 	if !g.quarantine.Compare(in.HeldSum) {
@@ -145,15 +147,15 @@
 	}
 	held, err := g.peers.fetchHeldRequests(ctx, member)
 	if err != nil {
-		g.log.Debug().Str("member", member).Err(err).Msg("quarantine: the member did not say what it holds")
+		g.log.Debug().Str("member", member).Err(err).Msg("quarantine: fetching a member's held requests failed")
 		return
 	}
 	g.quarantine.Merge(member, held)
 }
 
-// triggerIfBehind has a round begin when a member turns out to be ahead of this node: at
-// once when this node leaves the source to the readers, else when its own watch
-// should have delivered the change.
+// triggerIfBehind triggers a round when a member turns out to be ahead of this node: at once
+// if this node leaves the source to the readers, otherwise when its own watch should have
+// returned the change.
 func (g *gossiper) triggerIfBehind() {
 	newest := g.members.aheadOf(g.views.load())
 	switch {
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -5,7 +5,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// submitGroup submits a group to the core, or hands it back when the node is leaving.
+// submitGroup submits a group's items to the core, or hands the group back if the node is
+// leaving.
 func (c *coordinator) submitGroup(g *pendingGroup) {
 	if c.leaving {
 		c.closeGroup(g, errLeaving())
@@ -21,8 +22,8 @@
 	c.handle(batching.Submit{Items: items})
 }
 
-// markStarted notes that items are part of a batch, and has the groups whose inputs
-// are being read report that their read time later.
+// markStarted records that items are part of a batch. Groups whose inputs are now being read
+// report them as read after their read time.
 func (c *coordinator) markStarted(e batching.Send) {
 	for _, item := range e.Items {
 		p, known := c.items[item.Token]
@@ -40,7 +41,8 @@
 	}
 }
 
-// resolveItem ends an item; the last one ends its group, and so does one that failed.
+// resolveItem records the result of an item. The last result closes its group, and so does an
+// error.
 func (c *coordinator) resolveItem(e batching.Resolve) {
 	p, known := c.items[e.Token]
 	if !known {
@@ -68,8 +70,8 @@
 	}
 }
 
-// closeGroup ends a group; with an error its other items are withdrawn and their
-// results released.
+// closeGroup closes a group. If there is an error, its other items are withdrawn and their
+// results are released.
 func (c *coordinator) closeGroup(g *pendingGroup, err *verdict.Error) {
 	g.closed = true
 	g.err = err
--- a/internal/gateway/joining.go
+++ b/internal/gateway/joining.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// joinTimeout bounds one exchange with a seed while this node joins: a seed that does
-	// not answer holds up the node's first batches. An answer takes some milliseconds, and
-	// up to hundreds while hundreds of nodes start together.
+	// joinTimeout bounds one exchange with a seed while this node joins. A seed that does not
+	// answer delays the node's first batches. An answer takes some milliseconds, and up to
+	// hundreds while hundreds of nodes start together.
 	joinTimeout = 150 * time.Millisecond
-	// joinPause is the time between the two exchanges: nodes that start together have
-	// their configuration within some 20 ms of each other.
+	// joinPause is the pause between the two exchanges. Nodes that start together get their
+	// configuration within about 20 ms of each other.
 	joinPause = 50 * time.Millisecond
 )
 
-// joiner is the time from a node's first configuration until it has exchanged with
-// its seeds. Until then it does not know who coordinates, and would begin work that
-// is another member's.
+// joiner joins the cluster: it exchanges gossip with the seeds once the node has its first
+// configuration. Until then the node does not know which member coordinates a service, and
+// would start work that belongs to another.
 type joiner struct {
 	members  *members
 	exchange func(ctx context.Context, member string) bool
 
-	// joined is closed at the end.
+	// joined is closed when the node has joined.
 	joined chan struct{}
 }
 
@@ -33,12 +33,12 @@
 	return &joiner{members: m, exchange: exchange, joined: make(chan struct{})}
 }
 
-// run exchanges twice with all seeds: in the first exchange they learn of this node,
-// in the second this node learns of those that started with it. It is called once.
+// run exchanges gossip with all seeds twice: in the first exchange they learn of this node,
+// in the second this node learns of those that started with it. It must be called once.
 func (j *joiner) run(ctx context.Context) {
 	defer close(j.joined)
 	j.exchangeWithSeeds(ctx)
-	// Its only error is the end of ctx, which also ends the exchanges.
+	// It fails only when ctx is done, which also ends the exchanges.
 	_ = wait.For(ctx, joinPause)
 	j.exchangeWithSeeds(ctx)
 }
@@ -53,7 +53,7 @@
 	all.Wait()
 }
 
-// wait waits until this node has joined, or ctx ends.
+// wait waits until this node has joined or ctx is done.
 func (j *joiner) wait(ctx context.Context) {
 	select {
 	case <-j.joined:
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -13,34 +13,34 @@
 
 // Limits of the HTTP servers.
 const (
-	// readTimeout bounds reading a request with its body: the largest body allowed over a
-	// link of some Mbit/s.
+	// readTimeout bounds reading a request with its body: the largest allowed body over a
+	// link of a few Mbit/s.
 	readTimeout = 30 * time.Second
-	// headerTimeout bounds reading a request's header, so that connections that send
-	// nothing end.
+	// headerTimeout bounds reading a request's header, so that connections that send nothing
+	// are closed.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long an unused connection stays open: longer than callers and
+	// idleTimeout is how long an idle connection stays open. It is longer than callers and
 	// members keep theirs, so that they close first.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds a request's header: far above what the catalog allows, which
-	// the adapter checks.
+	// maxHeaderBytes bounds a request's header. It is far above the limit of the catalog,
+	// which the adapter enforces.
 	maxHeaderBytes = 64 << 10
 )
 
 const (
-	// callerDescriptorShare is the part of the process's descriptors that callers may take; the rest
-	// is for targets, members and the source, of which a node of 295 had 1,150 connections
-	// at most.
+	// callerDescriptorShare is the fraction of the process's file descriptors that callers
+	// may use. The rest is for targets, members and the source, to which a node among 295 had
+	// at most 1,150 connections.
 	callerDescriptorShare = 0.6
-	// defaultDescriptors is assumed when the settings name none: the usual limit of a
-	// process on Linux.
+	// defaultDescriptors is assumed if the settings name no number: the usual limit of a
+	// Linux process.
 	defaultDescriptors = 1024
 )
 
-// listeners are the addresses that a node listens on.
+// listeners are the node's listeners.
 type listeners struct{ callers, peers, admin, ready net.Listener }
 
-// listen opens all sockets, or none.
+// listen opens all listeners, or none.
 func listen(cfg *settings.Settings) (*listeners, error) {
 	s := &listeners{}
 	for _, l := range []struct {
@@ -59,13 +59,12 @@
 		}
 		*l.listener = ln
 	}
-	// Connections beyond the limit wait in the system's queue.
+	// Connections beyond the limit wait in the kernel's accept queue.
 	s.callers = netutil.LimitListener(s.callers, maxCallerConnections(cfg.Gateway.Descriptors))
 	return s, nil
 }
 
-// close closes the sockets that are open. An error cannot matter: nothing has been
-// accepted from them.
+// close closes the open listeners. Errors are ignored: no connection has been accepted yet.
 func (s *listeners) close() {
 	for _, ln := range []net.Listener{s.callers, s.peers, s.admin, s.ready} {
 		if ln != nil {
@@ -74,8 +73,8 @@
 	}
 }
 
-// maxCallerConnections decides how many connections callers may have open, by the file
-// descriptors of the process; 0 for unknown. Too many leave the node without
+// maxCallerConnections decides how many connections callers may have open. Input: the number
+// of file descriptors of the process; 0 if unknown. Too many leave the node without
 // connections to targets, members and the source; too few make callers wait.
 func maxCallerConnections(descriptors int) int {
 	if descriptors <= 0 {
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -10,19 +10,19 @@
 )
 
 // A member that runs a group for this node counts as lost after livenessInterval and
-// livenessTimeout together, 1.05 s at most after its last sign of life and one check.
-// With a limit on the wait for items instead, members were suspected 256 times on a
-// quiet day, when their queues were long.
+// livenessTimeout together: 1.05 s at most after its last contact and one check. When the
+// wait for items was limited instead, members were suspected 256 times on a quiet day because
+// their queues were long.
 const (
-	// livenessInterval is how long a sign of life counts, and how often it is checked.
+	// livenessInterval is how long a contact proves that a member is alive, and how often
+	// that is checked.
 	livenessInterval = 700 * time.Millisecond
-	// livenessTimeout bounds asking a member for a sign of life.
+	// livenessTimeout bounds a liveness check of a member.
 	livenessTimeout = 350 * time.Millisecond
 )
 
-// runAt has a member run the items of a group. It waits for the member for as long as
-// that shows signs of life, however long its queue, and gives up on one that does not:
-// then the error's reason is ReasonConnection.
+// runAt runs the items of a group at a member. It waits for as long as the member is alive,
+// however long its queue. If the member is not, the error has the reason ReasonConnection.
 func (b *batchRouter) runAt(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -49,7 +49,7 @@
 	}
 }
 
-// isAlive says whether a member gave a sign of life lately or answers now.
+// isAlive reports whether a member was in contact recently or answers now.
 func (b *batchRouter) isAlive(ctx context.Context, member string) bool {
 	if isRecentContact(b.now().Sub(b.members.lastContact(member))) {
 		return true
@@ -59,10 +59,10 @@
 	return b.exchange(ctx, member)
 }
 
-// isRecentContact decides whether a member that runs a group is still there, by the
-// time since its last sign of life, which the roster knows by direct contact or by
-// the rise of its heartbeat at third members. A member that does not count is asked
-// directly before it is given up. Giving up too early has items run twice, at this
-// member and the next; too late, they miss their time. See
+// isRecentContact decides whether a member that runs a group counts as alive. Input: the time
+// since its last contact, which the roster knows from direct exchanges or from a rise of the
+// member's heartbeat reported by others. A member that does not count as alive is asked
+// directly before it is given up. Giving up too early runs items twice, at this member and
+// the next; giving up too late delays them past their due time. See
 // docs/decisions/0012-batches.md, "Failure".
 func isRecentContact(silentFor time.Duration) bool { return silentFor < livenessInterval }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -10,8 +10,8 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// members guards the roster: what this node knows of all members by gossip. It
-// owns the roster and its lock; it sends nothing.
+// members guards the roster: what this node knows of all members by gossip. It owns the
+// roster and its lock, and sends nothing.
 type members struct {
 	now  func() time.Time
 	self string
@@ -20,68 +20,68 @@
 	roster *membership.Roster
 }
 
-// newMembers returns the members of a node that knows only itself and its seeds.
-// capacity is in thousandths of a core; 0 for unknown.
+// newMembers returns the members of a node that knows only itself and its seeds. capacity is
+// in thousandths of a core; 0 if unknown.
 func newMembers(now func() time.Time, self string, incarnation int64, seeds []string, capacity int) *members {
 	roster := membership.NewRoster(self, incarnation, seeds)
 	roster.SetCapacity(capacity)
 	return &members{now: now, self: self, roster: roster}
 }
 
-// setStatus sets what this node reports of itself. The status is read under the
-// lock, so that of two concurrent calls the later one sees what is newer.
+// setStatus sets the status that this node reports. status is called with the lock held, so
+// that the later of two concurrent calls sets the newer status.
 func (m *members) setStatus(status func() membership.Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.roster.SetStatus(status())
 }
 
-// setSeeds replaces the addresses at which members are looked for.
+// setSeeds replaces the seed addresses.
 func (m *members) setSeeds(seeds []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.roster.SetSeeds(seeds)
 }
 
-// seeds returns the addresses at which members are looked for.
+// seeds returns the seed addresses.
 func (m *members) seeds() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Seeds()
 }
 
-// coordinator returns the member that coordinates a service; empty when no
-// member serves.
+// coordinator returns the member that coordinates a service; empty if no member serves.
 func (m *members) coordinator(service string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return placement.Coordinator(service, m.roster.Eligible(m.now()))
 }
 
-// coldRolePrefix begins the name under which the member is chosen that gives out the requests
-// of a cold target of a plain service.
+// coldRolePrefix is the prefix of the role of the member that sends requests to a cold target
+// of a plain service.
 const coldRolePrefix = "cold/"
 
-// settled says whether this node gives out what is scarce (Roster.Settled).
+// settled reports whether this node knows the other members well enough to own a role
+// (Roster.Settled).
 func (m *members) settled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Settled(m.now())
 }
 
-// ownsRole says whether this node is the member that gives out what is scarce, by a name
-// for it.
+// ownsRole reports whether this node is the one member that owns a role, such as sending
+// requests to a cold target.
 func (m *members) ownsRole(role string) bool {
 	return m.settled() && m.coordinator(role) == m.self
 }
 
-// ownsColdTarget says whether this node gives out the requests of a cold target of a plain
-// service.
+// ownsColdTarget reports whether this node is the member that sends requests to a cold target
+// of a plain service.
 func (m *members) ownsColdTarget(target string) bool { return m.ownsRole(coldRolePrefix + target) }
 
-// rank returns how many of the members that may do something for all come before this node,
-// by the name of it, and how many there are; 0 members when this node may not, or knows the
-// others too little.
+// rank returns how many of the members that are eligible for a role come before this node,
+// and how many there are; 0 members if this node is not eligible or does not know the others
+// well enough.
 func (m *members) rank(role string) (before, members int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,8 +92,8 @@
 	return placement.Rank(role, m.roster.Eligible(now), m.self)
 }
 
-// remoteCoordinator returns the member that coordinates a service; empty when that
-// is this node, or when no member serves, so that each node does its own work.
+// remoteCoordinator returns the other member that coordinates a service; empty if it is this
+// node, or if no member serves and each node does its own work.
 func (m *members) remoteCoordinator(service string) string {
 	if address := m.coordinator(service); address != m.self {
 		return address
@@ -101,46 +101,46 @@
 	return ""
 }
 
-// suspect passes over a member that failed a call, for a while.
+// suspect marks a member that failed a call as suspected, so that it is skipped for a while.
 func (m *members) suspect(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.roster.Suspect(m.now(), address)
 }
 
-// lastContact returns when a member last gave a sign of life; zero for never.
+// lastContact returns when a member was last known to be alive; zero if never.
 func (m *members) lastContact(address string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.LastContact(address)
 }
 
-// isReader says whether this node is one of those that watch the source for all.
+// isReader reports whether this node is one of the readers, which watch the source for all.
 func (m *members) isReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.IsReader(m.now())
 }
 
-// followsReaders says whether this node leaves the source to other members,
-// which report what changes.
+// followsReaders reports whether this node leaves the source to the readers, which report
+// what changes.
 func (m *members) followsReaders() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.FollowsReaders(m.now())
 }
 
-// aheadMember is what a member knows beyond this node.
+// aheadMember describes a member that is ahead of this node.
 type aheadMember struct {
-	// member is the member that knows most; empty for none.
+	// member is the address of the member that is furthest ahead; empty if none is ahead.
 	member string
-	// version is that of the member's configuration.
+	// version is the version of the member's catalog.
 	version int
-	// followsReaders says whether this node leaves the source to others.
+	// followsReaders is whether this node leaves the source to the readers.
 	followsReaders bool
 }
 
-// aheadOf returns what members know beyond a view.
+// aheadOf returns the member that is furthest ahead of a view.
 func (m *members) aheadOf(v *view.View) aheadMember {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -149,9 +149,8 @@
 	return aheadMember{member: newest, version: m.roster.VersionOf(newest), followsReaders: m.roster.FollowsReaders(now)}
 }
 
-// beginRound starts a round of gossip: it raises this node's heartbeat, drops
-// members that have been silent for long, and returns up to n partners and a
-// seed.
+// beginRound starts a gossip round: it increments this node's heartbeat, drops members that
+// have been silent for long, and returns up to n partners and a seed.
 func (m *members) beginRound(n int) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -161,21 +160,21 @@
 	return m.roster.Partners(now, n)
 }
 
-// report returns what to report to another member.
+// report returns the gossip to send to another member.
 func (m *members) report() message.Gossip {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Gossip(m.now())
 }
 
-// readsCompact says whether a member is known to read the compact form of gossip.
+// readsCompact reports whether a member is known to decode the compact form of gossip.
 func (m *members) readsCompact(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.ReadsCompact(address)
 }
 
-// mergeReply merges the answer of a member that was called, which is a sign of life.
+// mergeReply merges the reply of a member that was called, which proves that it is alive.
 func (m *members) mergeReply(address string, in message.Gossip) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,7 +183,7 @@
 	m.roster.Contacted(now, address)
 }
 
-// mergeAndReport merges what a member reported and returns what to answer.
+// mergeAndReport merges a member's report and returns the gossip to answer with.
 func (m *members) mergeAndReport(in message.Gossip) message.Gossip {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -193,21 +192,21 @@
 	return m.roster.Gossip(now)
 }
 
-// size returns how many members are known to live, this node included.
+// size returns the number of live members, including this node.
 func (m *members) size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.Size(m.now())
 }
 
-// peakSize returns the most members that were ever known to live at once.
+// peakSize returns the highest number of members that were ever known to be live at once.
 func (m *members) peakSize() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.roster.PeakSize()
 }
 
-// list returns all members that are known, for the state dump.
+// list returns all known members, for the state dump.
 func (m *members) list() []message.GossipMember {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,31 +12,33 @@
 	"github.com/honeydyke/honeydyke/internal/telemetry"
 )
 
-// metricsInterval is how often counts reach the exposition: more often than it is read.
+// metricsInterval is how often metrics are reported to the exposition. It is shorter than the
+// interval at which they are scraped.
 const metricsInterval = 5 * time.Second
 
-// latencyBuckets are the bounds of latency histograms: from 5 ms to 20 s.
+// latencyBuckets are the bucket bounds of latency histograms, from 5 ms to 20 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
-// batchBuckets are the bounds of the histogram of items in a batch.
+// batchBuckets are the bucket bounds of the histogram of items per batch.
 var batchBuckets = tally.ValueBuckets{1, 2, 4, 6, 8, 12, 16, 24, 32, 48, 64}
 
-// metrics owns the gateway's counters and histograms.
+// metrics owns the gateway's counters, gauges and histograms.
 type metrics struct {
 	scope          tally.Scope
 	handler        http.Handler
 	sourceCalls    tally.Counter
 	sourceFailures tally.Counter
-	// targetEnds counts attempts whose target ended meanwhile.
+	// targetEnds counts attempts during which the target's process ended.
 	targetEnds tally.Counter
-	// rejectedEntries counts entries of the source that did not read.
+	// rejectedEntries counts entries of the source that could not be decoded.
 	rejectedEntries tally.Counter
-	// heldRequests is how many requests this node holds back because they end their targets.
+	// heldRequests is the number of requests that this node holds back because they crash
+	// their targets.
 	heldRequests tally.Gauge
-	// limitedTargets is how many targets this node knows to have named a limit.
+	// limitedTargets is the number of targets that are known to ask for a limit.
 	limitedTargets tally.Gauge
-	// evacuatedDataCentres is how many data centres this node takes for evacuated, coldTargets how many
-	// targets it took for cold when the view last changed.
+	// evacuatedDataCentres is the number of data centres that this node considers evacuated,
+	// coldTargets the number of targets that were cold when the view last changed.
 	evacuatedDataCentres, coldTargets tally.Gauge
 }
 
@@ -52,7 +54,7 @@
 	}
 }
 
-// labelValue returns a value as a label may hold it.
+// labelValue returns s as a label value, with underscores instead of hyphens.
 func labelValue(s string) string { return strings.ReplaceAll(s, "-", "_") }
 
 func (m *metrics) recordRequest(o *relay.Outcome) {
@@ -72,7 +74,7 @@
 	}
 }
 
-// recordView counts what of a view takes no new work, or little.
+// recordView counts the evacuated data centres and the cold targets of a view.
 func (m *metrics) recordView(now time.Time, v *view.View) {
 	cold := 0
 	for _, t := range v.Directory.All() {
--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -24,21 +24,20 @@
 )
 
 const (
-	// peerDialTimeout bounds connecting to a member, which takes milliseconds; one without
-	// power does not answer at all.
+	// peerDialTimeout bounds connecting to a member, which takes milliseconds. A member
+	// without power does not answer at all.
 	peerDialTimeout = 300 * time.Millisecond
-	// peerIdleTimeout is how long an unused connection to a member stays open: half of the
-	// time for which the member keeps it.
+	// peerIdleTimeout is how long an idle connection to a member stays open: half as long as
+	// the member keeps it.
 	peerIdleTimeout = 30 * time.Second
-	// peerIdleConns is how many unused connections to one member stay open: a group holds
-	// one for as long as its batch takes. How many a busy coordinator needs was not
-	// measured.
+	// peerIdleConns is how many idle connections to one member stay open. A group holds one
+	// for as long as its batch takes.
 	peerIdleConns = 32
 )
 
-// peerClient calls other members: one method for each message, which translates
-// it and returns what the member answered. It owns the HTTP client. Callers bound
-// the calls by their contexts; a call that fails is not retried here.
+// peerClient calls other members. It has one method per message, which encodes the message
+// and decodes the answer. Callers bound the calls by their contexts; failed calls are not
+// retried here.
 type peerClient struct {
 	now    func() time.Time
 	client *http.Client
@@ -52,8 +51,8 @@
 	}}}
 }
 
-// exchangeGossip sends a member what is known of all members and returns what it
-// knows. compact says that the member reads the compact form.
+// exchangeGossip sends gossip to a member and returns its answer. compact tells whether the
+// member decodes the compact form.
 func (c *peerClient) exchangeGossip(ctx context.Context, member string, in message.Gossip, compact bool) (message.Gossip, error) {
 	body, contentType, err := gossipcodec.Encode(in, compact)
 	if err != nil {
@@ -69,7 +68,7 @@
 	if err != nil {
 		return message.Gossip{}, err
 	}
-	// Its error cannot matter: what was to be read has been read.
+	// The error does not matter: everything needed has been read.
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return message.Gossip{}, errors.Errorf("member %s answered with status %d", member, resp.StatusCode)
@@ -77,8 +76,8 @@
 	return gossipcodec.Decode(io.LimitReader(resp.Body, wire.MaxAnswerBytes), resp.Header.Get("Content-Type"))
 }
 
-// runItems has a member run the items of a group. It calls inputsRead when the
-// member reports that the items have read their inputs.
+// runItems runs the items of a group at a member. It calls inputsRead when the member reports
+// that the items have read their inputs.
 func (c *peerClient) runItems(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	now := c.now()
 	ctx, cancel := context.WithTimeout(ctx, group.Deadline.Sub(now))
@@ -98,9 +97,9 @@
 	return decodeResults(out.Results), nil
 }
 
-// contextReason says why a call or a group got no answer, by the context that it
-// ran in. When its time was over or nobody waits for it any more, that says nothing of
-// the member.
+// contextReason returns the reason of the failure of a call or group that got no answer,
+// according to its context. If its deadline has passed or it was cancelled, that does not
+// mean that the member is lost.
 func contextReason(ctx context.Context) verdict.Reason {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
@@ -111,14 +110,13 @@
 	return verdict.ReasonConnection
 }
 
-// releaseResults has the coordinator of a service release results.
+// releaseResults releases results at the coordinator of a service.
 func (c *peerClient) releaseResults(ctx context.Context, member, service string, results []batching.Result) error {
 	in := message.ItemRelease{Service: service, Results: encodeResults(results)}
 	return c.call(ctx, http.MethodPost, member, wire.PathRelease, in, nil)
 }
 
-// planStages announces planned stages to their coordinator and returns the
-// backlog of each.
+// planStages announces planned stages to their coordinator and returns the backlog of each.
 func (c *peerClient) planStages(ctx context.Context, member, request string, stages []relay.PlannedStage) ([]time.Duration, error) {
 	var out message.ItemBacklogs
 	err := c.call(ctx, http.MethodPost, member, wire.PathPlan, encodePlan(c.now(), request, stages), &out)
@@ -126,35 +124,34 @@
 		return nil, err
 	}
 	if len(out.BacklogMs) != len(stages) {
-		return nil, errors.Errorf("member %s gave %d backlogs for %d stages", member, len(out.BacklogMs), len(stages))
+		return nil, errors.Errorf("member %s returned %d backlogs for %d stages", member, len(out.BacklogMs), len(stages))
 	}
 	return decodeBacklogs(out), nil
 }
 
-// cancelStages withdraws planned stages from their coordinator.
+// cancelStages cancels planned stages at their coordinator.
 func (c *peerClient) cancelStages(ctx context.Context, member, request string, stages []relay.PlannedStage) error {
 	in := encodePlan(c.now(), request, stages)
 	in.Cancelled = true
 	return c.call(ctx, http.MethodPost, member, wire.PathPlan, in, nil)
 }
 
-// placePrompt has a member choose the engine for a prompt; one without identity
-// for none.
+// placePrompt has a member choose the engine for a prompt. The engine is empty if there is
+// none.
 func (c *peerClient) placePrompt(ctx context.Context, member, service string, q placement.Prompt) (relay.Placed, error) {
 	var out message.PromptPlaced
 	err := c.call(ctx, http.MethodPost, member, wire.PathPlace, encodePrompt(service, q), &out)
 	return relay.Placed{Engine: out.Target, CopyFrom: out.CopyFrom}, err
 }
 
-// reportPrefill reports to the member that placed a prompt that its prefill has
-// ended; prefilled says whether the first event came.
+// reportPrefill tells the member that placed a prompt that its prefill has ended. prefilled
+// is whether the first event arrived.
 func (c *peerClient) reportPrefill(ctx context.Context, member, service, request string, prefilled bool) error {
 	in := message.PromptRead{Service: service, Request: request, Whole: prefilled}
 	return c.call(ctx, http.MethodPost, member, wire.PathRead, in, nil)
 }
 
-// fetchView returns what a member knows beyond a revision and a version of the
-// configuration.
+// fetchView returns what a member knows beyond a revision and a version of the catalog.
 func (c *peerClient) fetchView(ctx context.Context, member string, since view.Revision, version int64) (message.ViewSnapshot, error) {
 	query := url.Values{
 		paramSince: {strconv.FormatInt(int64(since), 10)}, paramVersion: {strconv.FormatInt(version, 10)},
@@ -172,8 +169,7 @@
 	return out.Requests, err
 }
 
-// call sends JSON to a member and reads its JSON answer into out, unless that is
-// nil.
+// call sends JSON to a member and decodes its JSON answer into out, unless that is nil.
 func (c *peerClient) call(ctx context.Context, method, member, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -187,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	// Its error cannot matter: what was to be read has been read.
+	// The error does not matter: everything needed has been read.
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("member %s answered with status %d", member, resp.StatusCode)
@@ -203,8 +199,8 @@
 	return decoder.Decode(out)
 }
 
-// itemsReply is a member's answer to a group: possibly a report that the inputs
-// have been read, and then the results.
+// itemsReply is a member's answer to a group: optionally a report that the inputs have been
+// read, followed by the results.
 type itemsReply struct {
 	message.ItemResults
 	onInputsRead func()
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -20,24 +20,24 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// This file translates the messages between members. They carry times as
-// milliseconds from their sending, as members' clocks may differ.
+// The functions in this file encode and decode the messages between members. Messages carry
+// times as milliseconds relative to their sending, since the members' clocks may differ.
 
 // Parameters of a request for a member's view.
 const (
-	// paramSince is the revision from which the changes are wanted.
+	// paramSince is the revision after which changes are requested.
 	paramSince = "since"
-	// paramVersion is the version of the configuration that the asking node knows.
+	// paramVersion is the version of the catalog that the requesting node knows.
 	paramVersion = "version"
-	// paramCatalog says that the asking node takes a new configuration beside the
-	// targets that changed. A node that does not say so gets the whole.
+	// paramCatalog is set if the requesting node accepts a new catalog in a delta. Otherwise
+	// it gets a snapshot.
 	paramCatalog = "catalog"
 )
 
-// millis is a number of milliseconds as a duration.
+// millis returns n milliseconds as a duration.
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// millisUntil returns how many whole milliseconds after now t is.
+// millisUntil returns the number of whole milliseconds from now until t.
 func millisUntil(now, t time.Time) int { return int(t.Sub(now).Milliseconds()) }
 
 func encodeGroup(now time.Time, service string, g relay.Group) message.ItemGroup {
@@ -52,10 +52,10 @@
 func decodeGroup(now time.Time, in message.ItemGroup) relay.Group {
 	readTime := millis(in.ReadMs)
 	if readTime == 0 {
-		// A member of an earlier version does not say.
+		// A member of an earlier version does not send the read time.
 		readTime = rules.InputsReadTime(rules.Transfer{})
 	}
-	// A member of an earlier version does not say what the items ask for.
+	// A member of an earlier version does not send the digest.
 	digest, _ := quarantine.ParseDigest(in.Digest)
 	return relay.Group{
 		ReadTime: readTime, Digest: digest,
@@ -65,7 +65,7 @@
 	}
 }
 
-// encodeAnswer is the answer to a group that ended with results or an error.
+// encodeAnswer encodes the answer to a group that ended with results or an error.
 func encodeAnswer(results []batching.Result, err *verdict.Error) message.ItemResults {
 	out := message.ItemResults{Results: encodeResults(results)}
 	if err != nil {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// decodeRefusal is the error of an answer without results.
+// decodeRefusal returns the error in an answer without results.
 func decodeRefusal(out message.ItemResults) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.Reason(out.Reason), "%s", out.Text).WithRetryAfter(millis(out.RetryAfterMs))
 }
@@ -142,7 +142,7 @@
 	}
 	parts := in.Shared
 	if len(parts) == 0 {
-		// A member of an earlier version sends the last part and the length of all.
+		// A member of an earlier version sends only the last part and the total length.
 		parts = []message.PromptPart{{Key: in.Key, Tokens: in.SharedTokens}}
 	}
 	for _, part := range parts {
@@ -160,10 +160,10 @@
 	return q, nil
 }
 
-// formatKey is the hash of a part of a prompt as members exchange it.
+// formatKey returns the hash of a prompt part as members exchange it.
 func formatKey(key uint64) string { return strconv.FormatUint(key, keyBase) }
 
-// How hashes of parts of prompts are written.
+// Format of the hashes of prompt parts.
 const (
 	// keyBase is hexadecimal, which is shorter than decimal.
 	keyBase = 16
@@ -171,7 +171,7 @@
 	keyBits = 64
 )
 
-// encodeSnapshot is all that a view holds.
+// encodeSnapshot encodes a whole view.
 func encodeSnapshot(now time.Time, v *view.View) message.ViewSnapshot {
 	return message.ViewSnapshot{
 		Revision: int(v.Revision), Document: base64.StdEncoding.EncodeToString(v.Document), Targets: encodeTargets(now, v.Directory),
@@ -179,7 +179,7 @@
 	}
 }
 
-// encodeDelta is what changed; document is the text of a new configuration, nil for
+// encodeDelta encodes a delta. document is the text of a new configuration; nil if there is
 // none.
 func encodeDelta(now time.Time, d view.Delta, document []byte) message.ViewSnapshot {
 	m := message.ViewSnapshot{
@@ -192,11 +192,11 @@
 	return m
 }
 
-// isDelta says whether a member sent what changed instead of all that it knows.
+// isDelta reports whether a member sent a delta instead of a snapshot.
 func isDelta(s message.ViewSnapshot) bool { return s.Since > 0 }
 
-// decodeDelta reads what a member said that changed; catalog is the configuration that came
-// with it, nil for none.
+// decodeDelta decodes a member's delta. catalog is the catalog that came with it; nil if
+// there is none.
 func decodeDelta(now time.Time, sender string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
 	d := view.Delta{
 		Since: view.Revision(s.Since), Revision: view.Revision(s.Revision), Removed: s.Gone, Catalog: catalog,
@@ -208,8 +208,9 @@
 	return d
 }
 
-// encodeEvacuations is what members are sent of evacuations. The list is never nil:
-// without one a member counts as of an earlier version, which knows of none.
+// encodeEvacuations encodes the evacuations that are sent to members. The list is never nil:
+// a member that sends none counts as of an earlier version, which does not know of
+// evacuations.
 func encodeEvacuations(now time.Time, list []view.Evacuation) []message.ViewEvacuation {
 	out := make([]message.ViewEvacuation, len(list))
 	for i, e := range list {
@@ -221,7 +222,7 @@
 	return out
 }
 
-// decodeEvacuations is what a member said of evacuations.
+// decodeEvacuations decodes the evacuations that a member sent.
 func decodeEvacuations(now time.Time, sender string, list []message.ViewEvacuation) []view.Evacuation {
 	var out []view.Evacuation
 	for _, m := range list {
@@ -239,10 +240,10 @@
 // decodeDocument returns the text of the configuration that a member sent.
 func decodeDocument(s message.ViewSnapshot) ([]byte, error) {
 	document, err := base64.StdEncoding.DecodeString(s.Document)
-	return document, errors.Wrap(err, "the configuration is not base64")
+	return document, errors.Wrap(err, "decode the configuration")
 }
 
-// encodeTargets lists the targets in the order of their identities.
+// encodeTargets encodes the targets, sorted by ID.
 func encodeTargets(now time.Time, d *directory.Directory) []message.ViewTarget {
 	list := make([]message.ViewTarget, 0, len(d.All()))
 	for _, id := range slices.Sorted(maps.Keys(d.All())) {
@@ -251,8 +252,8 @@
 	return list
 }
 
-// encodeTarget describes a target to a member. One whose entry has expired and
-// which is about to be dropped has the shortest time there is: 0 says not expired.
+// encodeTarget encodes a target. If its entry has expired and it is about to be removed, the
+// remaining time is 1 ms, since 0 means that the target has not lapsed.
 func encodeTarget(now time.Time, t directory.Target) message.ViewTarget {
 	m := message.ViewTarget{
 		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.Born),
@@ -271,7 +272,7 @@
 	return m
 }
 
-// decodeTarget is a target that a member described.
+// decodeTarget decodes a target that a member sent.
 func decodeTarget(now time.Time, t message.ViewTarget) directory.Target {
 	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int32(t.Slots), Born: int64(t.Born)}
 	switch {
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -14,8 +14,8 @@
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
-// peerServer answers other members. It owns nothing: each handler reads a message
-// and passes it to the part that it is for.
+// peerServer serves the other members. It has no state of its own: each handler decodes a
+// message and passes it to the part that handles it.
 type peerServer struct {
 	now          func() time.Time
 	views        *viewKeeper
@@ -38,7 +38,7 @@
 	return mux
 }
 
-// readJSON reads a message, and refuses one that does not parse.
+// readJSON decodes the body of a request, and answers with an error if it is malformed.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, wire.MaxAnswerBytes)).Decode(into)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return err == nil
 }
 
-// writeJSON writes a message. An error means that the connection is gone, which
-// its other end sees for itself.
+// writeJSON writes a message. An error means that the connection is broken, which the other
+// end notices itself.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
@@ -66,7 +66,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", contentType)
-	// As with writeMessage, an error means that the connection is gone.
+	// As with writeJSON, an error means that the connection is broken.
 	_, _ = w.Write(body)
 	s.gossip.triggerIfBehind()
 }
@@ -82,8 +82,8 @@
 	answer.finish(encodeAnswer(results, err))
 }
 
-// itemsReplyWriter writes the answer to a group; the report that the inputs have been read
-// may come at any moment before the end.
+// itemsReplyWriter writes the answer to a group. The report that the inputs have been read
+// may be written at any time before the end.
 type itemsReplyWriter struct {
 	mu    sync.Mutex
 	w     http.ResponseWriter
@@ -97,7 +97,7 @@
 		return
 	}
 	writeJSON(a.w, message.ItemResults{Results: []message.ItemResult{}, Started: true})
-	// As with writeMessage, an error means that the connection is gone.
+	// As with writeJSON, an error means that the connection is broken.
 	_ = http.NewResponseController(a.w).Flush()
 }
 
@@ -141,7 +141,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	// Without an engine the target is empty, which says so.
+	// An empty target means that there is no engine.
 	placed, _ := s.prompts.placeLocally(in.Service, q)
 	writeJSON(w, message.PromptPlaced{Target: placed.Engine, CopyFrom: placed.CopyFrom})
 }
@@ -153,8 +153,9 @@
 	}
 }
 
-// serveView answers with what changed since the revision that the asking node has,
-// when it has the same configuration and that is known, else with the whole.
+// serveView answers with a delta from the requesting node's revision if the history covers it
+// and the node has the same catalog or accepts a new one in a delta, and with a snapshot
+// otherwise.
 func (s *peerServer) serveView(w http.ResponseWriter, r *http.Request) {
 	v := s.views.load()
 	if v.Catalog == nil {
@@ -162,7 +163,7 @@
 		return
 	}
 	now := s.now()
-	// A revision that does not parse counts as none: the answer is the whole.
+	// A malformed revision counts as none: the answer is a snapshot.
 	since, _ := strconv.ParseInt(r.FormValue(paramSince), 10, 64)
 	d, known := v.DeltaSince(view.Revision(since))
 	sameCatalog := r.FormValue(paramVersion) == strconv.FormatInt(v.CatalogVersion(), 10)
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -7,7 +7,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// pendingGroup is a group that waits for its results. The coordinator owns it until
+// pendingGroup is a group that waits for its results. It belongs to the coordinator until
 // done is closed.
 type pendingGroup struct {
 	group   relay.Group
@@ -16,13 +16,13 @@
 	tokens  []batching.Token
 	// pending counts the items without a result.
 	pending int
-	// onInputsRead is called once all items count as having read their inputs; nil
-	// when nobody wants to know.
+	// onInputsRead is called once all items are assumed to have read their inputs; it may be
+	// nil.
 	onInputsRead func()
-	// unread counts the items that have not been part of a batch that reads its
-	// inputs at once.
+	// unread counts the items that have not been part of a batch that reads its inputs at
+	// once.
 	unread int
-	// started says whether any item has been part of a batch.
+	// started is whether any item has been part of a batch.
 	started bool
 	closed  bool
 	done    chan struct{}
@@ -32,27 +32,26 @@
 type pendingItem struct {
 	group *pendingGroup
 	index int
-	// reading says whether the item has been part of a batch that reads its inputs
-	// at once.
+	// reading is whether the item has been part of a batch that reads its inputs at once.
 	reading bool
 }
 
-// markReading notes that one more item is part of a batch that reads its inputs at
-// once, and decides whether the inputs count as read after the group's ReadTime: when that holds
-// for all items, and the group has inputs that somebody waits to release.
+// markReading records that one more item is part of a batch that reads its inputs at once. It
+// decides whether the inputs count as read once the group's ReadTime has passed: if that
+// holds for all items, and the group has inputs whose release somebody waits for.
 //
-// A batch reads at once only where its target is known to have no other call
-// (batching.Send.TargetIdle): else the batch may wait there and find its inputs gone
-// (307 items of a day without this, 138 with it). The inputs of other
-// batches are released when the batch has ended. Too early, an item finds its inputs
-// gone and they are computed again; too late, they take memory that other items wait
-// for. See docs/decisions/0012-batches.md, "Result memory" and "Inputs".
+// A batch reads its inputs at once only if its target is known to have no other call
+// (batching.Send.TargetIdle). Otherwise the batch may wait at the target and find its inputs
+// released: 307 items in a day without this condition, 138 with it. The inputs of other
+// batches are released when the batch has ended. If inputs are released too early, an item
+// does not find them and they are computed again; if too late, they take memory that other
+// items wait for. See docs/decisions/0012-batches.md, "Result memory" and "Inputs".
 func (g *pendingGroup) markReading() bool {
 	g.unread--
 	return g.unread == 0 && len(g.group.Inputs) > 0 && g.onInputsRead != nil
 }
 
-// availableResults returns the results that are there.
+// availableResults returns the results that have arrived.
 func (g *pendingGroup) availableResults() []batching.Result {
 	var results []batching.Result
 	for _, r := range g.results {
@@ -63,8 +62,8 @@
 	return results
 }
 
-// newItems returns the group's items, with the tokens that follow last. suspected says that a
-// target ended with one before.
+// newItems creates the group's items, with the tokens that follow last. suspected reports
+// whether a target crashed with an item before.
 func (g *pendingGroup) newItems(last batching.Token, suspected func(quarantine.Digest) bool) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
 	for i := range items {
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -15,20 +15,20 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// ErrHistoryGone says that the source no longer knows what changed since a
-// revision, or came back from an older copy; the whole must be read again.
-var ErrHistoryGone = errors.New("the source's history does not reach back so far")
+// ErrHistoryGone means that the source no longer knows what changed since a revision, or was
+// restored from an older copy. A snapshot must be read.
+var ErrHistoryGone = errors.New("the source's history no longer covers the revision")
 
-// Source publishes the configuration and the targets. Each call invokes answered
-// when the head of the answer has come: an answer that is being transferred may
-// take far longer than a source that is silent is given.
+// Source publishes the configuration and the targets. Each call invokes answered when the
+// header of the answer arrives: transferring an answer may take far longer than the time
+// allowed to a source that does not answer.
 type Source interface {
-	// Snapshot reads everything.
+	// Snapshot reads the complete state.
 	Snapshot(ctx context.Context, answered func()) (view.Changes, error)
-	// Watch waits up to wait for changes after a revision. It fails with
-	// ErrHistoryGone when the source no longer knows them all.
+	// Watch waits up to wait for changes after a revision. It returns ErrHistoryGone if the
+	// source no longer knows all of them.
 	Watch(ctx context.Context, after view.Revision, wait time.Duration, answered func()) (view.Changes, error)
-	// Decode reads the text of a configuration that a member passed on.
+	// Decode decodes the text of a configuration that a member passed on.
 	Decode(document []byte) (view.CatalogChange, error)
 }
 
@@ -36,39 +36,39 @@
 type BatchCall struct {
 	Target directory.Target
 	Items  []batching.Item
-	// Now is the time from which the items' remaining time counts.
+	// Now is the time relative to which the items' remaining time is computed.
 	Now time.Time
-	// Permit is called just before the first byte is written; an error forbids it.
+	// Permit is called just before the first byte is written; an error forbids the call.
 	Permit func() error
 }
 
 // Targets sends calls to targets.
 type Targets interface {
 	relay.Upstream
-	// OnSignal has heard called with the head of every answer of a target. It is called once,
-	// before all other methods.
+	// OnSignal registers a function to call with the signals in the header of every answer.
+	// It is called once, before all other methods.
 	OnSignal(heard func(directory.Target, backpressure.Signal))
-	// RunBatch runs items at a target and returns one outcome for each, in order.
+	// RunBatch runs items at a target and returns one outcome per item, in order.
 	RunBatch(ctx context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error)
-	// Inspect asks a target of a batch service what it does and holds.
+	// Inspect asks a target of a batch service what it is running and holding.
 	Inspect(ctx context.Context, t directory.Target) (batching.Report, *verdict.Error)
 	// Release releases results at the target that holds them.
 	Release(ctx context.Context, t directory.Target, handles []string) error
 }
 
-// Relay serves one request of a caller.
+// Relay serves the requests of callers.
 type Relay interface {
 	Serve(ctx context.Context, req *relay.Request, out relay.Responder) *verdict.Error
-	// BodyLimit is the most bytes of a request's body.
+	// BodyLimit returns the maximum size of a request body in bytes.
 	BodyLimit() int64
-	// Leaving says whether callers should close their connections.
+	// Leaving reports whether callers should close their connections.
 	Leaving() bool
 }
 
-// Ports are what an adapter supplies.
+// Ports are the dependencies that an adapter supplies.
 type Ports struct {
 	Source  Source
 	Targets Targets
-	// Callers returns the handler that callers speak to.
+	// Callers returns the handler that serves callers.
 	Callers func(Relay) http.Handler
 }
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// placeTimeout bounds asking the member that places a service's prompts; after it the
-	// node chooses by itself. An answer takes a millisecond or two where data centres are
-	// near; the wait delays the first event.
+	// placeTimeout bounds asking the member that places a service's prompts, after which the
+	// node chooses by itself. An answer takes a millisecond or two between nearby data
+	// centres. The wait delays the first event.
 	placeTimeout = 60 * time.Millisecond
-	// placeRolePrefix begins the name under which the coordinator of a service's prompts is
-	// chosen, so that it may be another member than that of its items.
+	// placeRolePrefix is the prefix of the role of the member that places a service's
+	// prompts, so that it may be another member than the coordinator of its items.
 	placeRolePrefix = "prompts/"
 )
 
 // promptPlacer implements relay.Placer: the member that coordinates a service's prompts
-// chooses the engines for all nodes. It owns the choosers of the services that this
-// node coordinates, and the lock over them. When the coordinator does not answer in
-// time, the caller chooses without it.
+// chooses the engines for all nodes. It owns the choosers of the services that this node
+// coordinates, and the lock that guards them. If the coordinator does not answer in time, the
+// caller chooses without it.
 type promptPlacer struct {
 	now     func() time.Time
 	log     zerolog.Logger
@@ -39,7 +39,7 @@
 	choosers map[string]*placement.EngineChooser
 }
 
-// chooser returns the chooser of a service; the caller holds the lock.
+// chooser returns the chooser of a service. The caller must hold the lock.
 func (p *promptPlacer) chooser(service string) *placement.EngineChooser {
 	c := p.choosers[service]
 	if c == nil {
@@ -60,13 +60,13 @@
 	placed, err := p.peers.placePrompt(ctx, member, service, q)
 	if err != nil {
 		p.log.Debug().Str("request", q.Request).Str("member", member).Err(err).
-			Msg("prompts: the member that places them gave no answer, choosing locally")
+			Msg("prompts: placing at a member failed, choosing locally")
 		return relay.Placed{}, false
 	}
 	return placed, placed.Engine != ""
 }
 
-// placeLocally chooses the engine for a prompt; false when none takes it.
+// placeLocally chooses the engine for a prompt; false if there is none.
 func (p *promptPlacer) placeLocally(service string, q placement.Prompt) (relay.Placed, bool) {
 	v := p.views.load()
 	p.mu.Lock()
@@ -80,8 +80,8 @@
 	return relay.Placed{Engine: placed.ID, CopyFrom: placed.CopyFrom}, ok
 }
 
-// Prefilled implements relay.Placer. A report that is lost costs the engine's
-// backlog its accuracy until the prompt is forgotten.
+// Prefilled implements relay.Placer. If a report is lost, the estimated backlog of the engine
+// is inaccurate until the prompt expires.
 func (p *promptPlacer) Prefilled(service, request string, prefilled bool) {
 	member := p.members.remoteCoordinator(placeRolePrefix + service)
 	if member == "" {
@@ -93,7 +93,7 @@
 		defer cancel()
 		if err := p.peers.reportPrefill(ctx, member, service, request, prefilled); err != nil {
 			p.log.Debug().Str("request", request).Str("member", member).Err(err).
-				Msg("prompts: the end of a prefill was not reported")
+				Msg("prompts: reporting the end of a prefill failed")
 		}
 	}()
 }
@@ -104,7 +104,7 @@
 	p.chooser(service).Prefilled(p.now(), request, prefilled)
 }
 
-// prune forgets what is known of engines that are gone.
+// prune drops what is known of engines that no longer exist.
 func (p *promptPlacer) prune(d *directory.Directory) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -16,33 +16,35 @@
 )
 
 const (
-	// fullLogRate is how many requests a second have all their decisions logged: some four
-	// lines each, 60 KB a second. Beyond, a part of them is, drawn by the request's
-	// identity so that one request's lines stay together at all nodes; failures always
-	// are.
+	// fullLogRate is how many requests per second have all their decisions logged: about four
+	// lines each, 60 KB per second. Above that rate a sample is logged, chosen by the
+	// request's ID so that all nodes log the lines of the same requests. Failures are always
+	// logged.
 	fullLogRate = 50.0
-	// sampleWindow is how long requests are counted for, to set the next window's part.
+	// sampleWindow is the window in which requests are counted to set the sample ratio of the
+	// next window.
 	sampleWindow = time.Second
-	// sampleBuckets is how finely the part of logged requests is set.
+	// sampleBuckets is the resolution of the sample ratio.
 	sampleBuckets = 1000
 )
 
-// requestLog implements relay.Observer: it logs and counts what became of requests.
-// It owns the sample of those that are logged in full.
+// requestLog implements relay.Observer. It logs and counts the outcomes of requests and
+// decides which of them are logged in full.
 type requestLog struct {
 	now     func() time.Time
 	log     zerolog.Logger
 	metrics *metrics
 
 	mu sync.Mutex
-	// windowStart is when the current window began, and count its requests so far.
+	// windowStart is when the current window started, count the number of its requests so
+	// far.
 	windowStart time.Time
 	count       int
-	// sampleRatio is the part of requests that is logged, from the last window.
+	// sampleRatio is the fraction of requests that is logged in full, from the last window.
 	sampleRatio float64
 }
 
-// sampled counts a request and says whether it is logged in full.
+// sampled counts a request and reports whether it is logged in full.
 func (l *requestLog) sampled(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,12 +76,12 @@
 	case relay.TargetEnded:
 		l.metrics.recordTargetEnd()
 		l.log.Warn().Str("request", request).Str("target", d.Target).Str("digest", d.Digest.String()).Int("events", d.Events).
-			Dur("took", d.Took).Msg("request: target ended while it had the request")
+			Dur("took", d.Took).Msg("request: target process ended while it ran the request")
 	}
 }
 
-// logRefused writes what was planned and what admission compared: the wait for
-// others' work with its bound, and what the bound was made of.
+// logRefused logs the planned stages and what admission compared: the wait for other
+// requests' work, its bound, and the terms of the bound.
 func logRefused(ev *zerolog.Event, d relay.Refused) {
 	ev.Dur("lasts", d.Estimated).Dur("left", d.Left)
 	for i, s := range d.Stages {
@@ -91,7 +93,7 @@
 		Bool("retried", d.Retried).Msg("request: refused, the stages would take too long")
 }
 
-// describeNext says what follows a failed attempt.
+// describeNext describes what follows a failed attempt.
 func describeNext(next rules.NextAttempt) string {
 	switch next := next.(type) {
 	case rules.Resend:
@@ -113,8 +115,8 @@
 	return ev.Str("verdict", err.Verdict().String()).Str("reason", string(err.Reason())).Str("error", err.Error())
 }
 
-// Ended implements relay.Observer. A request that ended well is one of many;
-// one that did not is always logged.
+// Ended implements relay.Observer. Successful requests are sampled, failed ones are always
+// logged.
 func (l *requestLog) Ended(o *relay.Outcome) {
 	l.metrics.recordRequest(o)
 	if o.Err == nil && len(o.Attempts) <= 1 && !l.sampled(o.Request.ID) {
@@ -123,7 +125,7 @@
 	l.logRequest(o)
 }
 
-// logRequest writes one line with what decided the request's end.
+// logRequest logs the outcome of a request in one line.
 func (l *requestLog) logRequest(o *relay.Outcome) {
 	ev := l.log.Info()
 	if o.Err != nil && o.Err.Reason() != verdict.ReasonCancelled {
@@ -159,7 +161,8 @@
 	ev.Msg("request: ended")
 }
 
-// formatAttempts lists target, status or reason, and milliseconds of each attempt.
+// formatAttempts formats the target, the reason or status, and the milliseconds of each
+// attempt.
 func formatAttempts(attempts []relay.Attempt) string {
 	texts := make([]string, len(attempts))
 	for i, a := range attempts {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,71 +8,73 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-// The times of a planned stop, from the signal on:
+// Schedule of a graceful shutdown, from the signal on:
 //
-//	0                          not ready, members informed, idle connections closed
-//	acceptAfterSignal            new requests are refused
-//	listenerCloseDelay            the listener closes (grace/2 when that is shorter)
-//	grace - abortMargin       requests without an answer are refused
-//	grace - exitMargin         the node ends, whatever is in flight
+//	0                        not ready, members informed, idle connections closed
+//	acceptAfterSignal        new requests are refused
+//	listenerCloseDelay       the listener closes (grace/2 if that is shorter)
+//	grace - abortMargin      unanswered requests are refused
+//	grace - exitMargin       the node exits, whatever is in flight
 //
-// So acceptAfterSignal comes before listenerCloseDelay, for the refusals to reach those
-// who still connect, and abortMargin is above exitMargin, for the refusals to
-// reach their callers before the end.
+// acceptAfterSignal must be shorter than listenerCloseDelay, so that the refusals reach
+// clients that still connect, and abortMargin longer than exitMargin, so that the refusals
+// reach their callers before the node exits.
 const (
-	// defaultGracePeriod is the time to stop when the settings name none: the grace period
-	// of the users' deployments.
+	// defaultGracePeriod is used if the settings name none. It is the grace period of the
+	// users' deployments.
 	defaultGracePeriod = 8 * time.Second
-	// listenerCloseDelay is how long the balancer is given to send nobody new: two questions,
-	// a second apart, and the way of the last connections. One was opened 3.001 s after
-	// the signal.
+	// listenerCloseDelay is how long the load balancer has to stop sending requests: two
+	// health checks, a second apart, and the time for the last connections to arrive. One was
+	// opened 3.001 s after the signal.
 	listenerCloseDelay = 3 * time.Second
-	// acceptAfterSignal is how long after the signal new requests are still taken: one that
-	// was taken after 3.001 s was cut at the end of the grace time.
+	// acceptAfterSignal is how long after the signal new requests are still accepted. One
+	// that was accepted after 3.001 s was cut off at the end of the grace period.
 	acceptAfterSignal = 2500 * time.Millisecond
-	// leavingRetryAfter is after how long a client that a leaving node refused may ask
-	// another: at once, but for those that were refused together.
+	// leavingRetryAfter is how long a client that a leaving node refused waits before it
+	// tries another node. It is above 0 only for the sake of clients that were refused
+	// together.
 	leavingRetryAfter = 50 * time.Millisecond
-	// abortMargin is how long before the end of the grace time requests without an answer
-	// are refused: twice exitMargin, for the refusals to arrive.
+	// abortMargin is how long before the end of the grace period unanswered requests are
+	// refused: twice exitMargin, so that the refusals arrive.
 	abortMargin = time.Second
-	// exitMargin is kept free of the grace time, which the platform's clock measures: a
-	// process that is late by as much still ends by itself.
+	// exitMargin is how long before the end of the grace period the node exits. The platform
+	// measures the period by its own clock, and a process that is late by as much still exits
+	// by itself.
 	exitMargin = 500 * time.Millisecond
-	// drainPollInterval is how often the stop checks whether work is in flight.
+	// drainPollInterval is how often the shutdown checks whether work is in flight.
 	drainPollInterval = 25 * time.Millisecond
 )
 
-// shutdownState says whether the node is leaving, and since when. It begins once.
+// shutdownState holds whether the node is leaving, and since when. A shutdown begins at most
+// once.
 type shutdownState struct{ since atomic.Pointer[time.Time] }
 
 func (d *shutdownState) begin(now time.Time) { d.since.Store(&now) }
 
 func (d *shutdownState) begun() bool { return d.since.Load() != nil }
 
-// refusesRequests decides whether a leaving node refuses new requests: from
-// acceptAfterSignal on, when the balancer has had time to send them elsewhere. What
-// came before can be finished in time.
+// refusesRequests decides whether a leaving node refuses new requests: from acceptAfterSignal
+// on, when the load balancer has had time to send them to other nodes. Earlier ones can be
+// finished in time.
 func (d *shutdownState) refusesRequests(now time.Time) bool {
 	since := d.since.Load()
 	return since != nil && now.Sub(*since) >= acceptAfterSignal
 }
 
-// shutdownSchedule are the moments of a planned stop.
+// shutdownSchedule holds the times of the steps of a shutdown.
 type shutdownSchedule struct {
-	// closeListener is when no new connections are taken any more.
+	// closeListener is when the node stops accepting connections.
 	closeListener time.Time
-	// abort is when requests without an answer are refused.
+	// abort is when unanswered requests are refused.
 	abort time.Time
-	// exit is when the node ends, whatever is in flight.
+	// exit is when the node exits, whatever is in flight.
 	exit time.Time
 }
 
-// planShutdown decides what a planned stop does when. Inputs: when the signal came, and
-// the grace time. Too early, work is cut that would have ended; too late, the
-// platform kills the process in the middle of it. See
-// docs/decisions/0010-planned-stop.md, and the table of signals in
-// docs/OPERATIONS.md.
+// planShutdown decides when the steps of a graceful shutdown happen. Inputs: the time of the
+// signal and the grace period. If a step is too early, it cuts off work that would have
+// finished; if it is too late, the platform kills the process in the middle of it. See
+// docs/decisions/0010-planned-stop.md, and the table of signals in docs/OPERATIONS.md.
 func planShutdown(started time.Time, grace time.Duration) shutdownSchedule {
 	return shutdownSchedule{
 		closeListener: started.Add(min(listenerCloseDelay, grace/2)),
@@ -81,7 +83,7 @@
 	}
 }
 
-// gracePeriod returns the time to stop.
+// gracePeriod returns the grace period of the settings, or the default.
 func gracePeriod(cfg *settings.Gateway) time.Duration {
 	if cfg.GraceMs > 0 {
 		return millis(cfg.GraceMs)
@@ -89,8 +91,8 @@
 	return defaultGracePeriod
 }
 
-// shutDown finishes the work in flight, within the grace time. Idle connections are
-// closed at once; new ones are taken until the balancer has had time to notice.
+// shutDown finishes the work in flight within the grace period. Idle connections are closed
+// at once; new ones are accepted until the load balancer has had time to notice.
 func (g *Gateway) shutDown() {
 	started := g.now()
 	grace := gracePeriod(g.cfg.Gateway)
@@ -106,13 +108,13 @@
 	defer cancel()
 	giveUp := time.AfterFunc(steps.abort.Sub(g.now()), g.relay.Stop)
 	defer giveUp.Stop()
-	// Its error is the end of ctx; the last line shows how much was cut.
+	// It fails only when ctx is done; the last log line shows how much was cut off.
 	_ = g.servers.callers.Shutdown(ctx)
 	g.pollUntil(steps.exit, func() bool { return g.callers.inFlight.Load() == 0 && g.coordinators.idle() })
 	g.log.Info().Int64("cut", g.callers.inFlight.Load()).Dur("took", g.now().Sub(started)).Msg("stop: ended")
 }
 
-// pollUntil waits until a time, or until something holds.
+// pollUntil waits until a deadline or until done returns true.
 func (g *Gateway) pollUntil(deadline time.Time, done func() bool) {
 	for g.now().Before(deadline) && !done() {
 		time.Sleep(drainPollInterval)
--- a/internal/gateway/viewkeeper.go
+++ b/internal/gateway/viewkeeper.go
@@ -12,27 +12,27 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// viewKeeper owns the node's view: the configuration and the targets that it works
-// by. Readers load the current view without a lock; changes are applied one after
-// the other. It logs what changed and notifies those who depend on it.
+// viewKeeper owns the node's view: the configuration and the targets that it uses. Readers
+// load the current view without a lock; changes are applied one at a time. It logs what
+// changed and notifies the parts that depend on the view.
 type viewKeeper struct {
 	now func() time.Time
 	log zerolog.Logger
-	// onChange is called under the lock, in the order of the views, when the
+	// onChange is called with the lock held, in the order of the views, when the
 	// configuration or the targets have changed.
 	onChange func(*view.View)
-	// onRejected counts an entry of the source that was refused.
+	// onRejected is called for each entry of the source that cannot be decoded.
 	onRejected func()
 
 	current atomic.Pointer[view.View]
-	// configured is closed when the first configuration is in force and those who
-	// depend on it have been notified.
+	// configured is closed when the first configuration is in force and the parts that depend
+	// on it have been notified.
 	configured chan struct{}
-	// mu orders the changes; it is held while changed runs.
+	// mu serialises the changes. It is held while onChange runs.
 	mu sync.Mutex
 }
 
-// newViewKeeper returns a keeper of the empty view.
+// newViewKeeper returns a keeper of an empty view.
 func newViewKeeper(now func() time.Time, log zerolog.Logger, onChange func(*view.View)) *viewKeeper {
 	k := &viewKeeper{now: now, log: log, onChange: onChange, onRejected: func() {}, configured: make(chan struct{})}
 	k.current.Store(view.New())
@@ -42,7 +42,7 @@
 // load returns the current view.
 func (k *viewKeeper) load() *view.View { return k.current.Load() }
 
-// permit forbids a call to a target that takes no new work by the current view.
+// permit returns an error if a target takes no new work according to the current view.
 func (k *viewKeeper) permit(target string) error {
 	if k.load().Directory.Usable(target, k.now()) {
 		return nil
@@ -50,8 +50,7 @@
 	return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target, or its data centre, takes no new work")
 }
 
-// apply replaces the current view by what change returns for it. ch is what the log
-// shows of the change.
+// apply replaces the current view by the result of change. ch lists the changes to log.
 func (k *viewKeeper) apply(ch view.Changes, change func(now time.Time, v *view.View) *view.View) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -72,12 +71,12 @@
 	}
 }
 
-// expire ends what only holds for a time in the current view.
+// expire ends what has expired in the current view.
 func (k *viewKeeper) expire() {
 	k.apply(view.Changes{}, func(_ time.Time, v *view.View) *view.View { return v })
 }
 
-// isTargetChange says whether a change is a target that was added or changed.
+// isTargetChange reports whether a change adds or updates a target.
 func isTargetChange(c view.Change) bool {
 	_, ok := c.(view.TargetChange)
 	return ok
@@ -92,12 +91,12 @@
 	restored := next.Revision.IsRestoredSince(old.Revision)
 	if restored {
 		k.log.Warn().Int64("revision", int64(next.Revision)).Int64("was", int64(old.Revision)).
-			Msg("view: the source has come back from an older copy")
+			Msg("view: source was restored from an older copy")
 	}
 	k.logEvacuations(old, next)
 	if restored || old.Catalog == nil && next.Catalog != nil {
-		// One line for all: a line each costs a weak node that starts with hundreds of
-		// targets more time than to read them. The state dump lists them.
+		// One line stands for all targets: a line each takes a slow node that starts with
+		// hundreds of targets longer than reading them. The state dump lists them.
 		k.log.Info().Int("targets", len(next.Directory.All())).Int64("revision", int64(ch.Revision)).Msg("view: targets listed")
 		ch.List = slices.DeleteFunc(slices.Clone(ch.List), isTargetChange)
 	}
@@ -107,18 +106,18 @@
 			k.log.Info().Str("target", c.Target.ID).Str("service", c.Target.Service).Str("address", c.Target.Address).
 				Str("state", c.Target.State.String()).Int64("born", c.Target.Born).Int64("revision", int64(ch.Revision)).Msg("view: target")
 		case view.TargetRemoval:
-			k.log.Info().Str("target", c.ID).Int64("revision", int64(ch.Revision)).Msg("view: target gone")
+			k.log.Info().Str("target", c.ID).Int64("revision", int64(ch.Revision)).Msg("view: target removed")
 		case view.RejectedEntry:
 			k.onRejected()
-			k.log.Error().Str("key", c.Key).Str("why", c.Reason).Msg("view: entry refused")
+			k.log.Error().Str("key", c.Key).Str("why", c.Reason).Msg("view: entry rejected")
 		case view.CatalogChange, view.EvacuationChange:
 		}
 	}
 }
 
-// logEvacuations logs which data centres are evacuated from now on, and which were
-// taken back. It compares views and not changes, as a list of all keys takes back what
-// is missing there.
+// logEvacuations logs which data centres have been evacuated and which evacuations have been
+// lifted. It compares views instead of changes, since a complete listing lifts the
+// evacuations that it lacks.
 func (k *viewKeeper) logEvacuations(old, next *view.View) {
 	for _, e := range next.Evacuations.All() {
 		if e.Active == old.Evacuations.Get(e.DataCentre).Active {
