--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -11,7 +11,7 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// newEvacuatedFollower returns a follower whose node knows of one evacuation.
+// newEvacuatedFollower returns a follower whose view has one evacuated data centre.
 func newEvacuatedFollower() *sourceFollower {
 	views := newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {})
 	views.apply(view.Changes{}, func(now time.Time, v *view.View) *view.View {
@@ -22,26 +22,26 @@
 	return &sourceFollower{views: views, now: time.Now, log: zerolog.Nop()}
 }
 
-// TestMemberSnapshotEvacuations holds what a member's list of all that it knows means for
-// evacuations: one of this version takes back what it does not name; one of an earlier
-// version, which knows of none, leaves them as they are.
+// TestMemberSnapshotEvacuations guards against evacuations that are lifted by mistake by a
+// member's snapshot. A snapshot lifts the evacuations that it lacks, except one from a member
+// of an earlier version, which does not know of evacuations.
 func TestMemberSnapshotEvacuations(t *testing.T) {
 	active := func(f *sourceFollower) bool { return f.views.load().Evacuations.Get("d").Active }
 	whole := message.ViewSnapshot{Revision: 7, Targets: []message.ViewTarget{}}
-	convey.Convey("An evacuation that a member does not name", t, func() {
+	convey.Convey("An evacuation that a member's snapshot lacks", t, func() {
 		f := newEvacuatedFollower()
-		convey.Convey("is over", func() {
+		convey.Convey("is lifted", func() {
 			whole.Evacuations = []message.ViewEvacuation{}
 			f.applySnapshot("m", whole, catalogChange(2))
 			convey.So(active(f), convey.ShouldBeFalse)
 		})
-		convey.Convey("goes on when the member is of an earlier version", func() {
+		convey.Convey("stays active if the member is of an earlier version", func() {
 			whole.Evacuations = nil
 			f.applySnapshot("m", whole, catalogChange(2))
 			convey.So(active(f), convey.ShouldBeTrue)
 		})
 	})
-	convey.Convey("The state shows who said that a data centre is evacuated", t, func() {
+	convey.Convey("The state dump shows who reported an evacuation", t, func() {
 		f := newEvacuatedFollower()
 		whole.Evacuations = []message.ViewEvacuation{{DataCentre: "e", Active: true, Revision: 6}}
 		f.applySnapshot("m", whole, catalogChange(2))
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -19,11 +19,11 @@
 		convey.So(w, convey.ShouldEqual, wait)
 		convey.So(s, convey.ShouldEqual, slack)
 	}
-	convey.Convey("A source that is down is probed, by readers and others", t, func() {
+	convey.Convey("A source that is down is probed by readers and other nodes", t, func() {
 		shouldBe(true, true, probeWait, probeSlack)
 		shouldBe(true, false, probeWait, probeSlack)
 	})
-	convey.Convey("Else readers watch for a short time and the others for long", t, func() {
+	convey.Convey("Otherwise readers use short watches and other nodes long ones", t, func() {
 		shouldBe(false, true, readerWait, readerSlack)
 		shouldBe(false, false, watchWait, watchSlack)
 		convey.So(readerWait+readerSlack, convey.ShouldBeLessThan, reachableFor)
@@ -31,7 +31,7 @@
 }
 
 func TestRetryBounds(t *testing.T) {
-	convey.Convey("Only a node that has a configuration and is no reader spares a source that fails", t, func() {
+	convey.Convey("Only a node that has a configuration and is not a reader uses the long pause", t, func() {
 		for _, c := range []struct {
 			configured, reader bool
 			longest            time.Duration
@@ -44,11 +44,11 @@
 }
 
 func TestShouldCatchUp(t *testing.T) {
-	convey.Convey("A node whose own watch can still deliver the change waits for it", t, func() {
+	convey.Convey("A node whose own watch may still return the change waits for it", t, func() {
 		convey.So(shouldCatchUp(behindAfter-1, false, false), convey.ShouldBeFalse)
 		convey.So(shouldCatchUp(behindAfter, false, false), convey.ShouldBeTrue)
 	})
-	convey.Convey("One that leaves the source to readers, or cannot reach it, does not", t, func() {
+	convey.Convey("A node that leaves the source to readers, or cannot reach it, does not wait", t, func() {
 		convey.So(shouldCatchUp(0, true, false), convey.ShouldBeTrue)
 		convey.So(shouldCatchUp(0, false, true), convey.ShouldBeTrue)
 	})
@@ -56,16 +56,16 @@
 
 func TestSourceHealth(t *testing.T) {
 	start := time.Now()
-	convey.Convey("A source that was never reached is not reachable, and has no age", t, func() {
+	convey.Convey("A source that was never reached is not reachable and has no age", t, func() {
 		h := newSourceHealth()
 		convey.So(h.isReachable(start), convey.ShouldBeFalse)
 		convey.So(h.ageMs(start), convey.ShouldEqual, -1)
-		convey.Convey("once reached it is, for a while", func() {
+		convey.Convey("it is reachable for reachableFor after an answer", func() {
 			convey.So(h.markReached(start), convey.ShouldBeFalse)
 			convey.So(h.isReachable(start.Add(reachableFor)), convey.ShouldBeTrue)
 			convey.So(h.isReachable(start.Add(reachableFor+1)), convey.ShouldBeFalse)
 			convey.So(h.ageMs(start.Add(time.Second)), convey.ShouldEqual, 1000)
-			convey.Convey("until a call fails; the outage counts from that call's beginning", func() {
+			convey.Convey("and until a call fails; the outage counts from the start of that call", func() {
 				lost, reached := h.markFailed(start.Add(time.Second))
 				convey.So(lost, convey.ShouldBeTrue)
 				convey.So(reached, convey.ShouldEqual, start)
@@ -75,7 +75,7 @@
 				convey.So(lost, convey.ShouldBeFalse)
 				convey.So(h.markReached(start.Add(3*time.Second)), convey.ShouldBeTrue)
 			})
-			convey.Convey("a member that is ahead counts from when that was first known", func() {
+			convey.Convey("the time that a member is ahead counts from when that was first known", func() {
 				convey.So(h.isBehind(start, true, false), convey.ShouldBeFalse)
 				convey.So(h.isBehind(start.Add(behindAfter), true, false), convey.ShouldBeTrue)
 				convey.So(h.isBehind(start.Add(behindAfter), false, false), convey.ShouldBeFalse)
@@ -86,7 +86,7 @@
 }
 
 func TestSourceStateLog(t *testing.T) {
-	convey.Convey("A source that fails twice and returns leaves one line for each change", t, func() {
+	convey.Convey("Only the first of consecutive failures or answers is logged", t, func() {
 		var lines []string
 		log := zerolog.New(io.Discard).Hook(zerolog.HookFunc(func(_ *zerolog.Event, _ zerolog.Level, msg string) { lines = append(lines, msg) }))
 		f := &sourceFollower{
@@ -102,7 +102,7 @@
 }
 
 func TestTargetsLapseAfterOutage(t *testing.T) {
-	convey.Convey("Given a follower that knows a target", t, func() {
+	convey.Convey("Given a follower with a target in its view", t, func() {
 		s := newFakeStore()
 		f := &sourceFollower{
 			source: &fakeSource{fakeStore: s}, health: newSourceHealth(), metrics: newMetrics(), log: zerolog.Nop(), now: time.Now,
@@ -120,16 +120,16 @@
 			s.publish(view.TargetRemoval{ID: "t"})
 			convey.So(f.readChanges(t.Context(), time.Second, time.Second), convey.ShouldBeNil)
 		}
-		convey.Convey("one that vanishes is gone", func() {
+		convey.Convey("a target that the source removes is removed", func() {
 			removeTarget()
 			convey.So(f.views.load().Directory.All(), convey.ShouldBeEmpty)
 		})
-		convey.Convey("one that vanishes after the source failed has lapsed", func() {
+		convey.Convey("a target that the source removes after an outage lapses", func() {
 			f.recordFailure(time.Now(), errors.New("silent"))
 			removeTarget()
 			shouldBeIn(directory.Lapsed)
 		})
-		convey.Convey("so has one that the whole no longer lists", func() {
+		convey.Convey("a target that a snapshot lacks after an outage lapses", func() {
 			f.recordFailure(time.Now(), errors.New("silent"))
 			s.changes = s.changes[:1]
 			convey.So(f.readSnapshot(t.Context()), convey.ShouldBeNil)
--- a/internal/gateway/handback_test.go
+++ b/internal/gateway/handback_test.go
@@ -16,7 +16,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// blockingTargets run batches once they are released.
+// blockingTargets run batches but return only once release is closed.
 type blockingTargets struct {
 	noTargets
 	// started receives the size of each batch.
@@ -34,8 +34,8 @@
 	return outcomes, nil
 }
 
-// newSingleTargetGateway returns a gateway with a batch service of one target. It does
-// not run.
+// newSingleTargetGateway returns a gateway with a batch service of one target. It is not
+// running.
 func newSingleTargetGateway(t *testing.T, targets Targets) *Gateway {
 	t.Helper()
 	g, err := New(localSettings(), Ports{Targets: targets, Callers: noCallers})
@@ -55,14 +55,14 @@
 	return g
 }
 
-// groupResult is how a group ended.
+// groupResult is the result of a group.
 type groupResult struct {
 	results []batching.Result
 	err     *verdict.Error
 }
 
-// awaitResult returns how a group ended; one that never does ends with an error of its
-// own.
+// awaitResult returns the result of a group, or an internal error if it takes longer than 10
+// s.
 func awaitResult(group <-chan groupResult) groupResult {
 	select {
 	case r := <-group:
@@ -74,7 +74,7 @@
 
 func TestHandBack(t *testing.T) {
 	group := relay.Group{Count: 1, Bytes: 1, Due: time.Now().Add(time.Hour), Deadline: time.Now().Add(time.Hour)}
-	convey.Convey("Given a node with a batch at a target and a group that waits", t, func() {
+	convey.Convey("Given a node with a running batch and a waiting group", t, func() {
 		targets := &blockingTargets{started: make(chan int), release: make(chan struct{})}
 		g := newSingleTargetGateway(t, targets)
 		run := func() <-chan groupResult {
@@ -93,17 +93,17 @@
 		}
 		g.shutdown.begin(g.now())
 		g.gossip.publishStatus()
-		convey.Convey("when it leaves and there is another, what waits is handed back and the batch is finished", func() {
+		convey.Convey("when it leaves and there is another member, the waiting group is handed back and the batch finishes", func() {
 			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true}}})
 			g.coordinators.handBack()
 			convey.So(awaitResult(waiting).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
-			convey.Convey("nor does it take more", func() {
+			convey.Convey("and new groups are refused", func() {
 				convey.So(awaitResult(run()).err.Reason(), convey.ShouldEqual, verdict.ReasonLeaving)
 			})
 			close(targets.release)
 			convey.So(awaitResult(running).results, convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("when another member comes to coordinate the service, what waits goes there and what still comes is run", func() {
+		convey.Convey("when another member takes over the service, the waiting group is handed back and later groups are run", func() {
 			g.shutdown.since.Store(nil)
 			g.gossip.publishStatus()
 			g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{{Address: "10.0.0.1:1", Incarnation: 1, Beat: 1, Serving: true, Capacity: 800}}})
@@ -114,7 +114,7 @@
 			convey.So(<-targets.started, convey.ShouldEqual, 1)
 			convey.So(awaitResult(late).err, convey.ShouldBeNil)
 		})
-		convey.Convey("when it leaves as the last one, it goes on with both", func() {
+		convey.Convey("when it leaves as the last member, both finish", func() {
 			g.coordinators.handBack()
 			close(targets.release)
 			convey.So(awaitResult(running).err, convey.ShouldBeNil)
--- a/internal/gateway/joining_test.go
+++ b/internal/gateway/joining_test.go
@@ -13,11 +13,11 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// TestJoining holds that a node asks each of its seeds twice, and that one that is
-// silent delays it for no longer than it may.
+// TestJoining guards against nodes that start work before they know the other members, and
+// against a seed that does not answer and delays the start for too long.
 func TestJoining(t *testing.T) {
 	newMember := func(seeds ...string) *members { return newMembers(time.Now, "10.0.0.1:1", 1, seeds, 0) }
-	convey.Convey("Each seed but the node itself is asked twice, then the node has joined", t, func() {
+	convey.Convey("The node joins after two exchanges with each seed but itself", t, func() {
 		asked := make(chan string, 10)
 		j := newJoiner(newMember("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"), func(_ context.Context, member string) bool {
 			asked <- member
@@ -32,7 +32,7 @@
 		}
 		convey.So(counts, convey.ShouldResemble, map[string]int{"10.0.0.2:1": 2, "10.0.0.3:1": 2})
 	})
-	convey.Convey("A seed that never answers is given up", t, func() {
+	convey.Convey("A seed that does not answer is given up after joinTimeout", t, func() {
 		j := newJoiner(newMember("10.0.0.2:1"), func(ctx context.Context, _ string) bool {
 			<-ctx.Done()
 			return false
@@ -42,18 +42,18 @@
 		convey.So(time.Since(started), convey.ShouldBeGreaterThanOrEqualTo, 2*joinTimeout+joinPause)
 		j.wait(t.Context())
 	})
-	convey.Convey("Waiting ends with its context", t, func() {
+	convey.Convey("Waiting ends when the context is cancelled", t, func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		newJoiner(newMember(), nil).wait(ctx)
 	})
 }
 
-// TestMovedGroupIsRerouted holds that a group that this node hands back, as another
-// member has come to coordinate its service, is sent there. It ended its request as
-// "moved" before.
+// TestMovedGroupIsRerouted guards against requests that fail with the reason "moved": a group
+// that this node hands back because another member has taken over the service must be sent to
+// that member.
 func TestMovedGroupIsRerouted(t *testing.T) {
-	convey.Convey("A group handed back to its own node is tried at the next coordinator", t, func() {
+	convey.Convey("A group that its own node hands back is sent to the next coordinator", t, func() {
 		targets := &blockingTargets{started: make(chan int), release: make(chan struct{})}
 		g := newSingleTargetGateway(t, targets)
 		close(g.joiner.joined)
@@ -76,7 +76,7 @@
 		for g.coordinators.states(t.Context())["s"].Waiting == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		// The other member does not answer, so that the node runs the group itself.
+		// The other member does not answer, so the node runs the group itself in the end.
 		g.members.mergeAndReport(message.Gossip{Members: []message.GossipMember{
 			{Address: refusingAddress(t), Incarnation: 1, Beat: 1, Serving: true, Capacity: 800},
 		}})
@@ -84,7 +84,7 @@
 			for range targets.started {
 			}
 		}()
-		// The target is busy until the group was tried at the other member.
+		// The target stays busy until the group has been sent to the other member.
 		for end := time.Now().Add(5 * time.Second); g.members.remoteCoordinator("s") != "" && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestFirstConfigWait holds that a request at a node without configuration waits
-// for it no longer than it may, and not when the source is known to fail.
+// TestFirstConfigWait guards against requests that are held for too long at a node without a
+// configuration, in particular if the source is known to fail.
 func TestFirstConfigWait(t *testing.T) {
 	waited := func(g *Gateway) time.Duration {
 		started := time.Now()
@@ -107,15 +107,15 @@
 		return &Gateway{views: newViewKeeper(time.Now, zerolog.Nop(), nil), health: newSourceHealth()}
 	}
 	convey.Convey("A request at a node without configuration", t, func() {
-		convey.Convey("waits while nothing is known of the source", func() {
+		convey.Convey("waits while the source has neither answered nor failed", func() {
 			convey.So(waited(newGateway()), convey.ShouldBeGreaterThanOrEqualTo, firstConfigWait)
 		})
-		convey.Convey("goes on when the configuration comes", func() {
+		convey.Convey("continues when the configuration arrives", func() {
 			g := newGateway()
 			close(g.views.configured)
 			convey.So(waited(g), convey.ShouldBeLessThan, firstConfigWait)
 		})
-		convey.Convey("is not held when the source has failed", func() {
+		convey.Convey("is not held if the source has failed", func() {
 			g := newGateway()
 			g.health.markFailed(time.Now())
 			convey.So(waited(g), convey.ShouldBeLessThan, firstConfigWait)
@@ -123,7 +123,7 @@
 	})
 }
 
-// refusingAddress is the address of a member that refuses connections.
+// refusingAddress returns an address that refuses connections.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLimitedListener(t *testing.T) {
-	convey.Convey("A listener at its limit accepts when a connection has ended", t, func() {
+	convey.Convey("A listener at its limit accepts again when a connection is closed", t, func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		ln := netutil.LimitListener(inner, 1)
@@ -36,7 +36,7 @@
 		convey.So(first.Close(), convey.ShouldNotBeNil)
 		conn := <-second
 		convey.So(conn, convey.ShouldNotBeNil)
-		convey.Convey("and ends its wait when it is closed", func() {
+		convey.Convey("and returns from Accept when it is closed", func() {
 			ended := make(chan error)
 			go func() {
 				_, err := ln.Accept()
--- a/internal/gateway/liveness_test.go
+++ b/internal/gateway/liveness_test.go
@@ -18,7 +18,7 @@
 
 func TestRunAt(t *testing.T) {
 	group := relay.Group{Count: 1, Deadline: time.Now().Add(time.Minute)}
-	convey.Convey("Given a member that answers after its sign of life has been checked", t, func() {
+	convey.Convey("Given a member that answers only after a liveness check", t, func() {
 		release := make(chan struct{})
 		member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			<-release
@@ -35,12 +35,12 @@
 		caller := &batchRouter{
 			now: time.Now, members: newMembers(time.Now, "10.0.0.1:1", 1, nil, 0), peers: newPeerClient(time.Now),
 		}
-		convey.Convey("one that shows no sign of life is given up", func() {
+		convey.Convey("it is given up if a check fails", func() {
 			caller.exchange = func(context.Context, string) bool { return false }
 			_, err := caller.runAt(t.Context(), address, "s", group, nil)
 			convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonConnection)
 		})
-		convey.Convey("one that shows them is awaited", func() {
+		convey.Convey("it is awaited while the checks succeed", func() {
 			var checks atomic.Int64
 			caller.exchange = func(_ context.Context, member string) bool {
 				if checks.Add(1) == 2 {
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -18,22 +18,22 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// newQuarantine returns a keeper that nobody hears of.
+// newQuarantine returns a keeper whose changes are not reported.
 func newQuarantine() *quarantine.Keeper {
 	return quarantine.NewKeeper(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, GivesOut: func(string) bool { return false },
 	})
 }
 
-// newBackpressure returns a keeper of limits that nobody hears of.
+// newBackpressure returns a keeper whose changes are not reported.
 func newBackpressure() *backpressure.Keeper {
 	return backpressure.NewKeeper(backpressure.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, Rank: func(string) (before, members int) { return 0, 1 },
 	})
 }
 
-// TestGossipOfMixedVersions holds what a member answers to nodes of this version and of
-// an earlier one, which neither sends nor accepts the compact form.
+// TestGossipOfMixedVersions guards against answers that a member of an earlier version cannot
+// decode: it neither sends nor accepts the compact form.
 func TestGossipOfMixedVersions(t *testing.T) {
 	answer := func(accept string) (contentType string, g message.Gossip) {
 		m := newMembers(time.Now, "10.0.0.1:80", 1, nil, 0)
@@ -56,12 +56,12 @@
 		convey.So(m.readsCompact("10.1.0.0:8628"), convey.ShouldBeTrue)
 		return contentType, g
 	}
-	convey.Convey("JSON is answered in JSON", t, func() {
+	convey.Convey("JSON is answered with JSON", t, func() {
 		contentType, g := answer("")
 		convey.So(contentType, convey.ShouldEqual, "application/json")
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
 	})
-	convey.Convey("JSON of a node that reads the compact form is answered in it", t, func() {
+	convey.Convey("JSON from a node that accepts the compact form is answered in that form", t, func() {
 		contentType, g := answer(gossipcodec.CompactMediaType)
 		convey.So(contentType, convey.ShouldEqual, gossipcodec.CompactMediaType)
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,21 +17,23 @@
 )
 
 const (
-	// callCost is what a coordinator's one processor spends on each call, 50 a second.
+	// callCost is the processor time that a coordinator spends on each call: it can handle 50
+	// a second.
 	callCost = 20 * time.Millisecond
-	// burstInterval is the time between two requests in a push of burstRequests, four times
-	// what the coordinator carries, and normalInterval that before and after, four fifths.
+	// burstInterval is the time between requests in a burst of burstRequests, which is four
+	// times the coordinator's capacity. normalInterval is the time between requests before
+	// and after the burst, four fifths of the capacity.
 	burstInterval  = 5 * time.Millisecond
 	burstRequests  = 400
 	normalInterval = 25 * time.Millisecond
-	// recoveryTime is how long after the push the coordinator may be late, and
-	// observationTime how long it is looked at then.
+	// recoveryTime is how long after the burst the coordinator may answer late.
+	// observationTime is how long it is observed after that.
 	recoveryTime    = 5 * time.Second
 	observationTime = 2 * time.Second
 )
 
-// serialCoordinator answers calls one after the other, each when its turn comes, and spends
-// its time also on those that nobody awaits any more.
+// serialCoordinator answers calls one at a time, including those that nothing waits for any
+// more.
 type serialCoordinator struct {
 	processor sync.Mutex
 }
@@ -43,9 +45,9 @@
 	writeJSON(w, message.ItemBacklogs{BacklogMs: []int{int(callCost.Milliseconds())}})
 }
 
-// newRemoteRouter returns the batches of a node whose services another member coordinates.
+// newRemoteRouter returns the router of a node whose services another member coordinates.
 func newRemoteRouter(member string) *batchRouter {
-	// The other's incarnation is the newer one; only it serves.
+	// Only the other member serves, and its incarnation is newer.
 	m := newMembers(time.Now, "127.0.0.1:1", 1, nil, 0)
 	m.mergeReply(member, message.Gossip{Members: []message.GossipMember{{Address: member, Incarnation: 2, Beat: 1, Serving: true, Capacity: 1}}})
 	return &batchRouter{
@@ -54,18 +56,15 @@
 	}
 }
 
-// TestCoordinatorRecovers tells an incident: a push of six seconds left a fleet's pipelines
-// standing still for thirty.
+// TestCoordinatorRecovers guards against a coordinator that stays overloaded after a burst. A
+// backlog that is not answered within planTimeout counts as none, so an overloaded
+// coordinator bounds its load least, and plans that nothing waits for any more delay it
+// further.
 //
-// Seen: from the push on 3,500 requests in two seconds were admitted, held until their time
-// was over and sent again by their clients; the stages made some ten batches a second. How
-// it came about: one member coordinated all stages. Late by more than a request waits for
-// its backlog, it got every request of every node, and what nobody awaited any more made it
-// later. It ended with that member, by a planned stop. Cause: a backlog that a coordinator
-// does not answer in time counted as none, so that the load which it got was least bounded
-// when it was most overloaded. Proof: the planned times of the day's requests, which are
-// those of an idle system from the push on, and this test, in which a coordinator with four
-// fifths of its load is late for good after a push.
+// After a burst of 6 s, the one coordinator of all stages was late for 30 s, until it shut
+// down. In 2 s, 3,500 requests were admitted as if the system were idle, held until their
+// deadlines and retried by their clients, while the stages ran about ten batches a second.
+// Here a coordinator at four fifths of its capacity stays late after a burst.
 func TestCoordinatorRecovers(t *testing.T) {
 	coordinator := httptest.NewServer(&serialCoordinator{})
 	defer coordinator.Close()
@@ -76,7 +75,7 @@
 	sendNormalLoad := func(d time.Duration) (asked, answered int) {
 		return sendPlans(t, b, int(d/normalInterval), normalInterval)
 	}
-	convey.Convey("A coordinator answers again some seconds after a push", t, func() {
+	convey.Convey("A coordinator answers in time again some seconds after a burst", t, func() {
 		asked, answered := sendNormalLoad(2 * time.Second)
 		convey.So(answered, convey.ShouldBeGreaterThan, asked*9/10)
 		sendPlans(t, b, burstRequests, burstInterval)
@@ -86,7 +85,7 @@
 	})
 }
 
-// keepMemberAlive has the member give signs of life.
+// keepMemberAlive keeps recording contact with the member.
 func keepMemberAlive(t *testing.T, b *batchRouter, member string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
@@ -98,7 +97,8 @@
 	return cancel
 }
 
-// sendPlans announces requests, one at a time, and counts those whose backlog was answered.
+// sendPlans sends n plans with a pause after each and counts those whose backlog was
+// answered.
 func sendPlans(t *testing.T, b *batchRouter, n int, pause time.Duration) (asked, answered int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
--- a/internal/gateway/peermessages_test.go
+++ b/internal/gateway/peermessages_test.go
@@ -15,12 +15,12 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// TestMessageRoundTrip sends each kind of message from a node to one whose
+// TestMessageRoundTrip encodes each kind of message at a node and decodes it at one whose
 // clock is an hour ahead.
 func TestMessageRoundTrip(t *testing.T) {
 	sent := time.Now()
 	received := sent.Add(time.Hour)
-	convey.Convey("A group keeps its times as the time that is left", t, func() {
+	convey.Convey("The times of a group are sent as remaining time", t, func() {
 		g := relay.Group{
 			Request: "r", Stage: 2, Count: 3, Source: "s", Inputs: []string{"i"}, ReadTime: time.Second, Bytes: 4,
 			Due: sent.Add(time.Second), Deadline: sent.Add(-time.Second), Priority: 5, DataCentre: "d",
@@ -29,14 +29,14 @@
 		g.Due, g.Deadline = received.Add(time.Second), received.Add(-time.Second)
 		convey.So(got, convey.ShouldResemble, g)
 	})
-	convey.Convey("So does a plan, and its backlogs are durations", t, func() {
+	convey.Convey("So are those of a plan, and its backlogs are durations", t, func() {
 		stages := []relay.PlannedStage{{Service: "s", Stage: 1, Items: 2, Due: sent.Add(time.Minute)}}
 		got := decodePlan(received, encodePlan(sent, "r", stages))
 		stages[0].Due = received.Add(time.Minute)
 		convey.So(got, convey.ShouldResemble, stages)
 		convey.So(decodeBacklogs(message.ItemBacklogs{BacklogMs: []int{250, 0}}), convey.ShouldResemble, []time.Duration{250 * time.Millisecond, 0})
 	})
-	convey.Convey("Results and refusals stay what they are", t, func() {
+	convey.Convey("Results and refusals keep their content", t, func() {
 		results := []batching.Result{{Handle: "h", Target: "t", DataCentre: "d"}}
 		convey.So(decodeResults(encodeAnswer(results, nil).Results), convey.ShouldResemble, results)
 		refusal := verdict.New(verdict.NotRun, verdict.ReasonOverload, "why").WithRetryAfter(time.Second)
@@ -45,7 +45,7 @@
 		convey.So(got.Text(), convey.ShouldEqual, "why")
 		convey.So(got.RetryAfter(), convey.ShouldEqual, time.Second)
 	})
-	convey.Convey("A prompt keeps its key in all its bits", t, func() {
+	convey.Convey("A prompt keeps all 64 bits of its keys", t, func() {
 		q := placement.Prompt{
 			Request: "r", Shared: []placement.SharedPart{{Key: 1<<63 + 1, Tokens: 2}, {Key: 5, Tokens: 1}}, Tokens: 3, Slack: time.Second, Exclude: []string{"e"},
 			InputBytes: map[string]int64{"d": 4},
@@ -53,17 +53,17 @@
 		got, err := decodePrompt(encodePrompt("s", q))
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(got, convey.ShouldResemble, q)
-		convey.Convey("and one that does not parse is refused", func() {
+		convey.Convey("and a malformed key is an error", func() {
 			_, err := decodePrompt(message.PromptPlace{Key: "not a number"})
 			convey.So(err, convey.ShouldNotBeNil)
 		})
 	})
-	convey.Convey("A prompt of a member that sends no parts has its last part alone", t, func() {
+	convey.Convey("A prompt from a member that sends no parts has one part", t, func() {
 		got, err := decodePrompt(message.PromptPlace{Key: "a", SharedTokens: 7})
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(got.Shared, convey.ShouldResemble, []placement.SharedPart{{Key: 10, Tokens: 7}})
 	})
-	convey.Convey("A target keeps its state, and the time until it expires", t, func() {
+	convey.Convey("A target keeps its state and the time until it expires", t, func() {
 		target := directory.Target{ID: "t", Service: "s", Address: "a", DataCentre: "d", Slots: 1}
 		convey.So(decodeTarget(received, encodeTarget(sent, target)), convey.ShouldResemble, target)
 		target.State = directory.Draining
@@ -72,27 +72,27 @@
 		got := decodeTarget(received, encodeTarget(sent, target))
 		convey.So(got.State, convey.ShouldEqual, directory.Lapsed)
 		convey.So(got.StateUntil, convey.ShouldEqual, received.Add(time.Second))
-		convey.Convey("and is still expired when that time is over", func() {
+		convey.Convey("and is still lapsed when that time has passed", func() {
 			got := decodeTarget(received, encodeTarget(sent.Add(time.Minute), target))
 			convey.So(got.State, convey.ShouldEqual, directory.Lapsed)
 		})
 	})
-	convey.Convey("A delta stays a delta, and a whole view a whole", t, func() {
+	convey.Convey("A delta and a snapshot can be told apart", t, func() {
 		d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t"}}, Removed: []string{"gone"}}
 		m := encodeDelta(sent, d, nil)
 		convey.So(isDelta(m), convey.ShouldBeTrue)
 		convey.So(decodeDelta(received, "", m, nil), convey.ShouldResemble, d)
 		whole := encodeSnapshot(sent, view.New())
 		convey.So(isDelta(whole), convey.ShouldBeFalse)
-		convey.Convey("whose configuration is refused when it is not base64", func() {
+		convey.Convey("and a configuration that is not base64 is an error", func() {
 			_, err := decodeDocument(message.ViewSnapshot{Document: "!"})
 			convey.So(err, convey.ShouldNotBeNil)
 		})
 	})
 }
 
-// TestDeltaMessages holds that what changed arrives as it was sent, with a new
-// configuration and without.
+// TestDeltaMessages guards against deltas that lose content between members, with and without
+// a new configuration.
 func TestDeltaMessages(t *testing.T) {
 	now := time.Now()
 	d := view.Delta{Since: 3, Revision: 5, Targets: []directory.Target{{ID: "t", Service: "s"}}, Removed: []string{"g"}}
@@ -103,7 +103,7 @@
 			convey.So(m.Document, convey.ShouldBeEmpty)
 			convey.So(decodeDelta(now, "", m, nil), convey.ShouldResemble, d)
 		})
-		convey.Convey("with one, which is in force once it is taken in", func() {
+		convey.Convey("with a configuration, which is in force once the delta is applied", func() {
 			c := catalogChange(2)
 			m := encodeDelta(now, d, c.Document)
 			document, err := decodeDocument(m)
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -15,12 +15,12 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
-// fakeStore is a source that several nodes read; each sees it through a reader.
+// fakeStore is a store that several nodes read, each through its own fakeSource.
 type fakeStore struct {
 	mu       sync.Mutex
 	revision view.Revision
 	changes  []view.Changes
-	// changed is closed with the next change.
+	// changed is closed by the next change.
 	changed chan struct{}
 }
 
@@ -30,7 +30,7 @@
 	return s
 }
 
-// catalogChange is an empty configuration, whose document is its version.
+// catalogChange returns an empty catalog whose document is its version.
 func catalogChange(version int64) view.CatalogChange {
 	c, err := catalog.New(version, nil, nil, nil, catalog.Limits{})
 	if err != nil {
@@ -60,7 +60,7 @@
 	return all, s.changed
 }
 
-// fakeSource is one node's way to the store; it remembers how often it was used.
+// fakeSource is one node's access to the store. It counts the node's calls.
 type fakeSource struct {
 	*fakeStore
 	mu    sync.Mutex
@@ -161,10 +161,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("not within 30 s: %s", what)
+	t.Fatalf("condition not met within 30 s: %s", what)
 }
 
-// countReachingSource counts the members that a node knows to reach the source.
+// countReachingSource counts the members that reach the source according to a node.
 func countReachingSource(g *Gateway) int {
 	n := 0
 	for _, m := range g.State().Members {
@@ -184,8 +184,10 @@
 	return false
 }
 
+// TestOnlyReadersWatchSource guards against a source that is overloaded because every node
+// watches it and reads every new configuration there.
 func TestOnlyReadersWatchSource(t *testing.T) {
-	convey.Convey("Of many nodes", t, func() {
+	convey.Convey("Given many nodes", t, func() {
 		s := newFakeStore()
 		nodes, readers := startFleet(t, s)
 		eventually(t, "all nodes know each other", func() bool {
@@ -196,7 +198,7 @@
 			}
 			return true
 		})
-		// The watches that began before the nodes knew each other end with this.
+		// This ends the watches that started before the nodes knew each other.
 		s.publish(view.TargetChange{Target: directory.Target{ID: "first", Service: "s"}})
 		allKnow := func(id string) func() bool {
 			return func() bool {
@@ -218,7 +220,7 @@
 			s.publish(view.TargetChange{Target: directory.Target{ID: id, Service: "s"}})
 			eventually(t, "all nodes know "+id, allKnow(id))
 		}
-		convey.Convey("few watch the source, and all receive what changes", func() {
+		convey.Convey("few watch the source, and all receive its changes", func() {
 			watching := 0
 			for i, r := range readers {
 				if r.callCount()-before[i] >= 4 {
@@ -227,7 +229,7 @@
 			}
 			convey.So(watching, convey.ShouldBeBetweenOrEqual, 1, strongNodeCount)
 		})
-		convey.Convey("and few read a new configuration there, which all receive with what else changes", func() {
+		convey.Convey("few read a new configuration there, and all receive it with the other changes", func() {
 			callsOfOthers := func() (calls int) {
 				for _, r := range readers[strongNodeCount:] {
 					calls += r.callCount()
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -14,7 +14,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// loggedLine returns the line that a decision writes.
+// loggedLine returns the log line of a decision.
 func loggedLine(d relay.Decision) map[string]any {
 	var out bytes.Buffer
 	l := &requestLog{log: zerolog.New(&out)}
@@ -31,7 +31,7 @@
 		convey.So(line["again"], convey.ShouldEqual, again)
 		convey.So(line["next"], convey.ShouldEqual, want)
 	}
-	convey.Convey("A failed attempt's line says what follows, and why nothing does", t, func() {
+	convey.Convey("The log line of a failed attempt shows what follows, or why nothing does", t, func() {
 		shouldLog(rules.OtherTarget{}, true, "other target")
 		shouldLog(rules.Recompute{}, true, "recompute inputs")
 		shouldLog(rules.GiveUp{Reason: rules.MayHaveRun}, false, "given up, may have run")
@@ -40,7 +40,7 @@
 }
 
 func TestRefusedLog(t *testing.T) {
-	convey.Convey("A refusal's line has what was planned, what was compared and what the bound was made of", t, func() {
+	convey.Convey("The log line of a refusal shows the planned stages, what was compared and the terms of the bound", t, func() {
 		decision := rules.Admit(rules.Admission{
 			Estimated: 1533 * time.Millisecond, Alone: 280 * time.Millisecond, Left: 1800 * time.Millisecond, Objective: 2 * time.Second,
 			Priority: 2,
@@ -62,7 +62,7 @@
 }
 
 func TestFormatAttempts(t *testing.T) {
-	convey.Convey("Each attempt has its target, its reason if it failed, its status and its milliseconds", t, func() {
+	convey.Convey("Each attempt shows its target, the reason if it failed, its status and its milliseconds", t, func() {
 		failed := verdict.New(verdict.MayHaveRun, verdict.ReasonCut, "why")
 		text := formatAttempts([]relay.Attempt{
 			{Target: "a", Status: 200, Err: failed, Took: 1387 * time.Millisecond}, {Target: "b", Status: 200, Took: 2900 * time.Microsecond},
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestIsRecentContact(t *testing.T) {
-	convey.Convey("A sign of life counts for livenessInterval, and a check ends before the next", t, func() {
+	convey.Convey("A contact counts for livenessInterval, and a check ends before the next one starts", t, func() {
 		convey.So(isRecentContact(0), convey.ShouldBeTrue)
 		convey.So(isRecentContact(livenessInterval-1), convey.ShouldBeTrue)
 		convey.So(isRecentContact(livenessInterval), convey.ShouldBeFalse)
@@ -23,12 +23,12 @@
 
 func TestShouldReroute(t *testing.T) {
 	reroutes := func(reason verdict.Reason) bool { return shouldReroute(verdict.New(verdict.NotRun, reason, "why")) }
-	convey.Convey("A group goes to another member when the fault is the member's", t, func() {
+	convey.Convey("A group is sent to another member if the member failed", t, func() {
 		convey.So(reroutes(verdict.ReasonConnection), convey.ShouldBeTrue)
 		convey.So(reroutes(verdict.ReasonLeaving), convey.ShouldBeTrue)
 		convey.So(reroutes(verdict.ReasonMoved), convey.ShouldBeTrue)
 	})
-	convey.Convey("but not when it is the group's", t, func() {
+	convey.Convey("A group is not sent to another member if the group itself failed", t, func() {
 		convey.So(reroutes(verdict.ReasonDeadline), convey.ShouldBeFalse)
 		convey.So(reroutes(verdict.ReasonCancelled), convey.ShouldBeFalse)
 		convey.So(reroutes(verdict.ReasonNoTarget), convey.ShouldBeFalse)
@@ -36,14 +36,14 @@
 }
 
 func TestOwnershipMoved(t *testing.T) {
-	convey.Convey("Waiting groups are handed back once, when the service's owner has changed", t, func() {
+	convey.Convey("Waiting groups are handed back once when the owner of the service changes", t, func() {
 		convey.So(ownershipMoved(true, false, false), convey.ShouldBeTrue)
-		convey.Convey("not while this node owns the service, nor when it did not before", func() {
+		convey.Convey("but not while this node owns the service, or if it did not own it before", func() {
 			convey.So(ownershipMoved(true, true, false), convey.ShouldBeFalse)
 			convey.So(ownershipMoved(false, false, false), convey.ShouldBeFalse)
 			convey.So(ownershipMoved(false, true, false), convey.ShouldBeFalse)
 		})
-		convey.Convey("nor by a leaving node, which has handed them back before", func() {
+		convey.Convey("and not by a leaving node, which has already handed them back", func() {
 			convey.So(ownershipMoved(true, false, true), convey.ShouldBeFalse)
 		})
 	})
@@ -54,12 +54,12 @@
 		return &pendingGroup{group: relay.Group{Inputs: inputs}, onInputsRead: onInputsRead, unread: 2}
 	}
 	inputs, report := []string{"one"}, func() {}
-	convey.Convey("Inputs count as read once all items are being read", t, func() {
+	convey.Convey("Inputs count as read once all items are in batches that read them", t, func() {
 		g := group(inputs, report)
 		convey.So(g.markReading(), convey.ShouldBeFalse)
 		convey.So(g.markReading(), convey.ShouldBeTrue)
 	})
-	convey.Convey("never where there are none, or where nobody waits to release them", t, func() {
+	convey.Convey("Inputs never count as read if there are none, or if nothing waits to release them", t, func() {
 		for _, g := range []*pendingGroup{group(nil, report), group(inputs, nil)} {
 			convey.So(g.markReading(), convey.ShouldBeFalse)
 			convey.So(g.markReading(), convey.ShouldBeFalse)
@@ -71,22 +71,22 @@
 	capacity := func(cores, linkMbps float64) int {
 		return machineCapacity(&settings.Gateway{Cores: cores, LinkMbps: linkMbps})
 	}
-	convey.Convey("The scarcer of processor and link bounds what a machine can carry", t, func() {
+	convey.Convey("The scarcer of processor and link determines the capacity of a machine", t, func() {
 		convey.So(capacity(0.8, 200), convey.ShouldEqual, 800)
 		convey.So(capacity(0.8, 25), convey.ShouldEqual, 100)
 		convey.So(capacity(0.192, 1000), convey.ShouldEqual, 192)
 	})
-	convey.Convey("A link that is unknown does not count; a processor that is unknown makes all unknown", t, func() {
+	convey.Convey("An unknown link is ignored; an unknown processor makes the capacity unknown", t, func() {
 		convey.So(capacity(0.4, 0), convey.ShouldEqual, 400)
 		convey.So(capacity(0, 1000), convey.ShouldEqual, 0)
 	})
 }
 
 func TestRetrySharers(t *testing.T) {
-	convey.Convey("A node that cannot know all members yet has no part of the extra", t, func() {
+	convey.Convey("A node that cannot know all members yet gets no share of the extra retries", t, func() {
 		convey.So(retrySharers(membershipSettleTime-1, 80), convey.ShouldEqual, retrybudget.UnknownNodes)
 	})
-	convey.Convey("Later it shares it with half as many again as were known at once", t, func() {
+	convey.Convey("Later it shares them with one and a half times the peak number of members", t, func() {
 		convey.So(retrySharers(membershipSettleTime, 80), convey.ShouldEqual, 120)
 		convey.So(retrySharers(membershipSettleTime, 1), convey.ShouldEqual, 1)
 	})
@@ -94,7 +94,7 @@
 
 func TestRetryPolicy(t *testing.T) {
 	sharers := func() int { return 7 }
-	convey.Convey("The settings bound the retries", t, func() {
+	convey.Convey("The retry policy comes from the settings", t, func() {
 		p := retryPolicy(&settings.Gateway{Retries: &settings.Retries{Ratio: 0.2, WindowMs: 5000, Extra: 54, MaxNodes: 30}}, sharers)
 		convey.So(p.Ratio, convey.ShouldEqual, 0.2)
 		convey.So(p.Window, convey.ShouldEqual, 5*time.Second)
@@ -102,7 +102,7 @@
 		convey.So(p.MaxNodes, convey.ShouldEqual, 30)
 		convey.So(p.Nodes(), convey.ShouldEqual, 7)
 	})
-	convey.Convey("What they do not name has its default", t, func() {
+	convey.Convey("Settings that are not given have defaults", t, func() {
 		p := retryPolicy(&settings.Gateway{Retries: &settings.Retries{Ratio: 0.2, WindowMs: 5000, Extra: 54}}, sharers)
 		convey.So(p.MaxNodes, convey.ShouldEqual, defaultMaxNodes)
 		p = retryPolicy(&settings.Gateway{}, sharers)
@@ -113,7 +113,7 @@
 }
 
 func TestMaxCallerConnections(t *testing.T) {
-	convey.Convey("Callers may take a part of the descriptors", t, func() {
+	convey.Convey("Callers may use a share of the file descriptors", t, func() {
 		convey.So(maxCallerConnections(4100), convey.ShouldEqual, 2460)
 		convey.So(maxCallerConnections(0), convey.ShouldEqual, 614)
 	})
--- a/internal/gateway/setup_test.go
+++ b/internal/gateway/setup_test.go
@@ -12,7 +12,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// localSettings are those of a node on free local ports.
+// localSettings returns the settings of a node that listens on free local ports.
 func localSettings() *settings.Settings {
 	const free = "127.0.0.1:0"
 	return &settings.Settings{
@@ -21,10 +21,10 @@
 	}
 }
 
-// noCallers is an adapter's handler that nobody calls.
+// noCallers returns a handler for tests without callers.
 func noCallers(Relay) http.Handler { return http.NotFoundHandler() }
 
-// noTargets are targets that nobody calls.
+// noTargets are targets for tests that call none.
 type noTargets struct{}
 
 func (noTargets) Send(context.Context, relay.Call) (*relay.Reply, *verdict.Error) {
--- a/internal/gateway/viewkeeper_test.go
+++ b/internal/gateway/viewkeeper_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestViewKeeper(t *testing.T) {
-	convey.Convey("Given a keeper", t, func() {
+	convey.Convey("Given a view keeper", t, func() {
 		var keeper *viewKeeper
 		var notified []*view.View
 		keeper = newViewKeeper(time.Now, zerolog.Nop(), func(v *view.View) {
@@ -27,27 +27,27 @@
 				return v.WithChanges(now, ch, time.Time{})
 			})
 		}
-		convey.Convey("a changed target is notified once the view holds it", func() {
+		convey.Convey("onChange is called once the view has a changed target", func() {
 			publish(1, view.TargetChange{Target: target})
 			convey.So(notified, convey.ShouldHaveLength, 1)
 			convey.So(keeper.permit("t"), convey.ShouldBeNil)
-			convey.Convey("a revision that changes nothing is taken over without a notice", func() {
+			convey.Convey("a revision without changes is applied without calling onChange", func() {
 				publish(2)
 				convey.So(keeper.load().Revision, convey.ShouldEqual, 2)
 				convey.So(notified, convey.ShouldHaveLength, 1)
 			})
-			convey.Convey("calls to a target that is leaving are forbidden", func() {
+			convey.Convey("calls to a draining target are forbidden", func() {
 				target.State = directory.Draining
 				publish(2, view.TargetChange{Target: target})
 				var err *verdict.Error
 				convey.So(keeper.permit("t"), convey.ShouldHaveSameTypeAs, err)
 			})
 		})
-		convey.Convey("a change that returns the same view does nothing", func() {
+		convey.Convey("a change that returns the same view has no effect", func() {
 			keeper.apply(view.Changes{}, func(_ time.Time, v *view.View) *view.View { return v })
 			convey.So(notified, convey.ShouldBeEmpty)
 		})
-		convey.Convey("calls to a target that is unknown are forbidden", func() {
+		convey.Convey("calls to an unknown target are forbidden", func() {
 			convey.So(keeper.permit("t"), convey.ShouldNotBeNil)
 		})
 	})
