--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -42,31 +42,31 @@
 
 // listen opens all listeners, or none.
 func listen(cfg *settings.Settings) (*listeners, error) {
-	s := &listeners{}
+	ls := &listeners{}
 	for _, l := range []struct {
 		listener *net.Listener
 		address  string
 	}{
-		{&s.callers, cfg.Listen.Callers},
-		{&s.peers, cfg.Listen.Peers},
-		{&s.admin, cfg.Listen.Admin},
-		{&s.ready, cfg.Gateway.Ready},
+		{&ls.callers, cfg.Listen.Callers},
+		{&ls.peers, cfg.Listen.Peers},
+		{&ls.admin, cfg.Listen.Admin},
+		{&ls.ready, cfg.Gateway.Ready},
 	} {
 		ln, err := net.Listen("tcp", l.address)
 		if err != nil {
-			s.close()
+			ls.close()
 			return nil, errors.Wrap(err, "listen")
 		}
 		*l.listener = ln
 	}
 	// Connections beyond the limit wait in the kernel's accept queue.
-	s.callers = netutil.LimitListener(s.callers, maxCallerConnections(cfg.Gateway.Descriptors))
-	return s, nil
+	ls.callers = netutil.LimitListener(ls.callers, maxCallerConnections(cfg.Gateway.Descriptors))
+	return ls, nil
 }
 
 // close closes the open listeners. Errors are ignored: no connection has been accepted yet.
-func (s *listeners) close() {
-	for _, ln := range []net.Listener{s.callers, s.peers, s.admin, s.ready} {
+func (ls *listeners) close() {
+	for _, ln := range []net.Listener{ls.callers, ls.peers, ls.admin, ls.ready} {
 		if ln != nil {
 			_ = ln.Close()
 		}
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -65,4 +65,4 @@
 // directly before it is given up. Giving up too early runs items twice, at this member and
 // the next; giving up too late delays them past their due time. See
 // docs/decisions/0012-batches.md, "Failure".
-func isRecentContact(silentFor time.Duration) bool { return silentFor < livenessInterval }
+func isRecentContact(sinceContact time.Duration) bool { return sinceContact < livenessInterval }
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -47,7 +47,7 @@
 	relay.Upstream
 	// OnSignal registers a function to call with the signals in the header of every answer.
 	// It is called once, before all other methods.
-	OnSignal(heard func(directory.Target, backpressure.Signal))
+	OnSignal(receive func(directory.Target, backpressure.Signal))
 	// RunBatch runs items at a target and returns one outcome per item, in order.
 	RunBatch(ctx context.Context, c BatchCall) ([]batching.Outcome, *verdict.Error)
 	// Inspect asks a target of a batch service what it is running and holding.
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -49,15 +49,15 @@
 // once.
 type shutdownState struct{ since atomic.Pointer[time.Time] }
 
-func (d *shutdownState) begin(now time.Time) { d.since.Store(&now) }
+func (s *shutdownState) begin(now time.Time) { s.since.Store(&now) }
 
-func (d *shutdownState) begun() bool { return d.since.Load() != nil }
+func (s *shutdownState) begun() bool { return s.since.Load() != nil }
 
 // refusesRequests decides whether a leaving node refuses new requests: from acceptAfterSignal
 // on, when the load balancer has had time to send them to other nodes. Earlier ones can be
 // finished in time.
-func (d *shutdownState) refusesRequests(now time.Time) bool {
-	since := d.since.Load()
+func (s *shutdownState) refusesRequests(now time.Time) bool {
+	since := s.since.Load()
 	return since != nil && now.Sub(*since) >= acceptAfterSignal
 }
 
