--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -31,16 +31,16 @@
 // tick passes the time to the core. It should arrive at due.
 type tick struct{ due time.Time }
 
-// inputsRead says that a group's items are assumed to have read their inputs.
+// inputsRead is sent when a group's items are assumed to have read their inputs.
 type inputsRead struct{ group *pendingGroup }
 
-// cancelGroup says that nothing waits for a group any more.
+// cancelGroup cancels a group that nothing waits for any more.
 type cancelGroup struct{ group *pendingGroup }
 
 // flushDiscards sends the collected discards.
 type flushDiscards struct{}
 
-// handBack says that another node now coordinates the service.
+// handBack hands groups back because another node coordinates the service from now on.
 type handBack struct{}
 
 // planStage announces a plan. The backlog ahead of it is sent to the channel.
