--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -31,8 +31,8 @@
 	callers      *callerServer
 	coordinators *coordinators
 	metrics      *metrics
-	quarantine   *quarantine.Keeper
-	backpressure *backpressure.Keeper
+	quarantine   *quarantine.Tracker
+	backpressure *backpressure.Tracker
 }
 
 func (s *adminServer) handler() http.Handler {
@@ -69,7 +69,7 @@
 		Node: s.members.self, DataCentre: s.dataCentre, Phase: s.phase(),
 		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inFlight.Load()),
 		Targets: encodeTargets(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
-		Evacuations: describeEvacuations(s.now(), v.Evacuations), Held: s.quarantine.All().Requests,
+		Evacuations: describeEvacuations(s.now(), v.Evacuations), Held: s.quarantine.HeldRequests().Requests,
 		Limits: s.backpressure.Limits(), Holds: s.backpressure.Holds(),
 	}
 	batches := s.coordinators.states(ctx)
--- a/internal/gateway/backpressure/gate.go
+++ b/internal/gateway/backpressure/gate.go
@@ -8,19 +8,19 @@
 
 // giver says how many requests a second this node gives out of a target's limit, and
 // whether it does now. silent is how long ago the target last confirmed the limit.
-type giver func(target directory.Life, l Limit, silent time.Duration) (perSecond float64, gives bool)
+type giver func(target directory.Incarnation, l Limit, silent time.Duration) (perSecond float64, gives bool)
 
 // Gate says which targets one part of a node may send to. It is safe for concurrent use.
 type Gate struct {
-	keeper *Keeper
+	keeper *Tracker
 	giver  giver
 }
 
-// Requests returns the gate of the requests that this node relays. Those of a limited
+// RequestGate returns the gate of the requests that this node relays. Those of a limited
 // target are given out by the first of the members ranked for it. While nobody confirms the
 // limit, one more member substitutes for them, another with each confirmFor.
-func (k *Keeper) Requests() Gate {
-	return Gate{keeper: k, giver: func(target directory.Life, l Limit, silent time.Duration) (float64, bool) {
+func (k *Tracker) RequestGate() Gate {
+	return Gate{keeper: k, giver: func(target directory.Incarnation, l Limit, silent time.Duration) (float64, bool) {
 		before, members := k.cfg.Rank(limitRole + target.String())
 		if members == 0 {
 			return 0, false
@@ -31,10 +31,10 @@
 	}}
 }
 
-// Calls returns the gate of the calls that a coordinator makes, which gives out those of
+// CallGate returns the gate of the calls that a coordinator makes, which gives out those of
 // all targets of its service for as long as coordinates holds.
-func (k *Keeper) Calls(coordinates func() bool) Gate {
-	return Gate{keeper: k, giver: func(_ directory.Life, l Limit, _ time.Duration) (float64, bool) {
+func (k *Tracker) CallGate(coordinates func() bool) Gate {
+	return Gate{keeper: k, giver: func(_ directory.Incarnation, l Limit, _ time.Duration) (float64, bool) {
 		return l.given(1), coordinates()
 	}}
 }
@@ -48,7 +48,7 @@
 	defer g.keeper.mu.Unlock()
 	var list []string
 	for _, target := range g.keeper.table.known() {
-		if d.Lives(target) && !g.allows(target) {
+		if d.IsCurrent(target) && !g.allows(target) {
 			list = append(list, target.ID)
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // Allows says whether a target may get a request now.
-func (g Gate) Allows(target directory.Life) bool {
+func (g Gate) Allows(target directory.Incarnation) bool {
 	if g.keeper.empty() {
 		return true
 	}
@@ -66,7 +66,7 @@
 }
 
 // Take says whether a target may get a request now, and counts that.
-func (g Gate) Take(target directory.Life) bool {
+func (g Gate) Take(target directory.Incarnation) bool {
 	if g.keeper.empty() {
 		return true
 	}
@@ -81,7 +81,7 @@
 
 // HeldBack says whether a target may get nothing from this node, also not what has been
 // counted for it.
-func (g Gate) HeldBack(target directory.Life) bool {
+func (g Gate) HeldBack(target directory.Incarnation) bool {
 	if g.keeper.empty() {
 		return false
 	}
@@ -92,7 +92,7 @@
 
 // PauseLeft is how much longer a target wants nothing from this node; 0 for one that leaves
 // or wants no pause.
-func (g Gate) PauseLeft(target directory.Life) time.Duration {
+func (g Gate) PauseLeft(target directory.Incarnation) time.Duration {
 	if g.keeper.empty() {
 		return 0
 	}
@@ -103,7 +103,7 @@
 
 // Bound returns how many requests a second this node gives a target that is limited or held
 // back; false for one that is neither.
-func (g Gate) Bound(target directory.Life) (perSecond float64, limited bool) {
+func (g Gate) Bound(target directory.Incarnation) (perSecond float64, limited bool) {
 	if g.keeper.empty() {
 		return 0, false
 	}
@@ -118,6 +118,6 @@
 }
 
 // allows is Allows for a caller that holds the lock.
-func (g Gate) allows(target directory.Life) bool {
+func (g Gate) allows(target directory.Incarnation) bool {
 	return g.keeper.table.allows(g.keeper.cfg.Now(), target, g.giver)
 }
--- a/internal/gateway/backpressure/keeper.go
+++ b/internal/gateway/backpressure/keeper.go
@@ -36,9 +36,9 @@
 	Rank func(role string) (before, members int)
 }
 
-// Keeper is a table of targets that is safe for concurrent use, speaks to members in
+// Tracker is a table of targets that is safe for concurrent use, speaks to members in
 // messages, and logs what changes.
-type Keeper struct {
+type Tracker struct {
 	cfg Config
 
 	mu    sync.Mutex
@@ -47,20 +47,20 @@
 	entries atomic.Int64
 }
 
-// NewKeeper returns a keeper that knows nothing.
-func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, table: newTable()} }
+// NewTracker returns a keeper that knows nothing.
+func NewTracker(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: newTable()} }
 
 // unlock ends what may have changed the table.
-func (k *Keeper) unlock() {
+func (k *Tracker) unlock() {
 	k.entries.Store(int64(len(k.table.entries)))
 	k.mu.Unlock()
 }
 
 // empty says that no target asks for anything.
-func (k *Keeper) empty() bool { return k.entries.Load() == 0 }
+func (k *Tracker) empty() bool { return k.entries.Load() == 0 }
 
-// Heard takes in what a target said in an answer to this node.
-func (k *Keeper) Heard(target directory.Life, s Signal) {
+// Observe takes in what a target said in an answer to this node.
+func (k *Tracker) Observe(target directory.Incarnation, s Signal) {
 	if k.empty() && s.asksNothing() {
 		return
 	}
@@ -83,7 +83,7 @@
 
 // Holds lists the targets that told this node that they leave or want a pause, by their
 // names.
-func (k *Keeper) Holds() []message.TargetHold {
+func (k *Tracker) Holds() []message.TargetHold {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
@@ -99,7 +99,7 @@
 }
 
 // changed logs the limit of a target and has members hear of it; the caller holds the lock.
-func (k *Keeper) changed(target directory.Life, from string) {
+func (k *Tracker) changed(target directory.Incarnation, from string) {
 	line := k.cfg.Log.Info().Str("target", target.String()).Str("from", from)
 	if l := k.table.limit(target); l.Set {
 		line.Float64("perSecond", l.PerSecond).Msg("backpressure: target names a limit")
@@ -110,7 +110,7 @@
 }
 
 // Limits lists the targets with a limit, by their names.
-func (k *Keeper) Limits() []message.TargetLimit {
+func (k *Tracker) Limits() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := k.messages(k.table.limited())
@@ -118,8 +118,8 @@
 	return list
 }
 
-// Recent returns what members should hear of limits and their ends.
-func (k *Keeper) Recent() []message.TargetLimit {
+// RecentLimits returns what members should hear of limits and their ends.
+func (k *Tracker) RecentLimits() []message.TargetLimit {
 	k.mu.Lock()
 	defer k.unlock()
 	k.table.prune(k.cfg.Now())
@@ -128,7 +128,7 @@
 
 // messages describes targets; the caller holds the lock. Times are given as how long ago
 // they were, since members' clocks may differ.
-func (k *Keeper) messages(targets []directory.Life) []message.TargetLimit {
+func (k *Tracker) messages(targets []directory.Incarnation) []message.TargetLimit {
 	now := k.cfg.Now()
 	list := make([]message.TargetLimit, len(targets))
 	for i, target := range targets {
@@ -141,7 +141,7 @@
 }
 
 // Merge takes in what a member reported.
-func (k *Keeper) Merge(member string, list []message.TargetLimit) {
+func (k *Tracker) Merge(member string, list []message.TargetLimit) {
 	k.mu.Lock()
 	defer k.unlock()
 	now := k.cfg.Now()
@@ -153,7 +153,7 @@
 		if m.Target == "" || !r.Limit.valid() {
 			continue
 		}
-		target := directory.ParseLife(m.Target)
+		target := directory.ParseIncarnation(m.Target)
 		if !k.table.passedOn(target, r) && k.table.merge(target, r) {
 			k.changed(target, member)
 		}
@@ -161,7 +161,7 @@
 }
 
 // Prune forgets lives of targets that have ended.
-func (k *Keeper) Prune(d *directory.Directory) {
+func (k *Tracker) Prune(d *directory.Directory) {
 	k.mu.Lock()
 	defer k.unlock()
 	before := len(k.table.limited())
--- a/internal/gateway/backpressure/model_test.go
+++ b/internal/gateway/backpressure/model_test.go
@@ -49,7 +49,7 @@
 type modelNode struct {
 	*membership.Roster
 	address string
-	keeper  *backpressure.Keeper
+	keeper  *backpressure.Tracker
 	gate    backpressure.Gate
 	next    time.Time
 	down    bool
@@ -67,7 +67,7 @@
 	node *modelNode
 	at   time.Time
 	// keeper is that of the life of the node that asked.
-	keeper *backpressure.Keeper
+	keeper *backpressure.Tracker
 	signal backpressure.Signal
 }
 
@@ -110,7 +110,7 @@
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
 	roster := n.Roster
-	n.keeper = backpressure.NewKeeper(backpressure.Config{
+	n.keeper = backpressure.NewTracker(backpressure.Config{
 		Now: func() time.Time { return m.now }, Log: zerolog.Nop(), Changed: func(int) {},
 		Rank: func(role string) (before, members int) {
 			if !roster.Settled(m.now) {
@@ -119,7 +119,7 @@
 			return placement.Rank(role, roster.Eligible(m.now), n.address)
 		},
 	})
-	n.gate = n.keeper.Requests()
+	n.gate = n.keeper.RequestGate()
 	n.next = m.now.Add(time.Duration(m.rnd.Int64N(int64(modelRound))))
 	n.down, n.told = false, time.Time{}
 }
@@ -174,7 +174,7 @@
 		case a.node.frozen || a.at.After(m.now):
 			later = append(later, a)
 		default:
-			a.keeper.Heard(m.target.Life(), a.signal)
+			a.keeper.Observe(m.target.Incarnation(), a.signal)
 			if a.signal.Limit.Set && a.signal.Limit == m.limit && a.node.told.IsZero() {
 				a.node.told = m.now
 			}
@@ -186,23 +186,23 @@
 func (m *model) gossip(n *modelNode) {
 	n.next = m.now.Add(modelRound)
 	n.Heartbeat()
-	n.Forget(m.now)
+	n.Prune(m.now)
 	for _, address := range n.Partners(m.now, modelPartners) {
 		partner := m.at[address]
 		if !n.reaches(partner) {
 			continue
 		}
 		partner.Merge(m.now, n.Gossip(m.now))
-		partner.keeper.Merge(n.address, n.keeper.Recent())
+		partner.keeper.Merge(n.address, n.keeper.RecentLimits())
 		n.Merge(m.now, partner.Gossip(m.now))
-		n.keeper.Merge(address, partner.keeper.Recent())
+		n.keeper.Merge(address, partner.keeper.RecentLimits())
 		n.Contacted(m.now, address)
 	}
 }
 
 // request is a request that a node would send to the target.
 func (m *model) request(n *modelNode) {
-	if n.down || n.frozen || !n.gate.Take(m.target.Life()) {
+	if n.down || n.frozen || !n.gate.Take(m.target.Incarnation()) {
 		return
 	}
 	delay := func() time.Duration { return time.Duration(m.rnd.Int64N(int64(maxDelay))) }
@@ -339,14 +339,14 @@
 	n := m.nodes[0]
 	named := backpressure.Signal{Sent: m.now, Limit: backpressure.Limit{Set: true, PerSecond: 1}}
 	m.now = m.now.Add(time.Second)
-	n.keeper.Heard(m.target.Life(), named)
+	n.keeper.Observe(m.target.Incarnation(), named)
 	m.now = m.now.Add(time.Millisecond)
-	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: start})
+	n.keeper.Observe(m.target.Incarnation(), backpressure.Signal{Sent: start})
 	if len(n.keeper.Limits()) != 1 {
 		t.Error("an answer that was overtaken ended the limit")
 	}
 	m.now = m.now.Add(time.Second)
-	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: m.now})
+	n.keeper.Observe(m.target.Incarnation(), backpressure.Signal{Sent: m.now})
 	if len(n.keeper.Limits()) != 0 {
 		t.Error("the limit did not end")
 	}
@@ -358,11 +358,11 @@
 	m := newModel(1, 1)
 	n := m.nodes[0]
 	listed, unlisted := directory.New(m.target), directory.New()
-	n.keeper.Heard(m.target.Life(), backpressure.Signal{Sent: m.now, Leaving: true})
+	n.keeper.Observe(m.target.Incarnation(), backpressure.Signal{Sent: m.now, Leaving: true})
 	n.keeper.Prune(unlisted)
 	m.now = m.now.Add(5 * time.Second)
 	n.keeper.Prune(listed)
-	if n.gate.Take(m.target.Life()) {
+	if n.gate.Take(m.target.Incarnation()) {
 		t.Error("a target that leaves got a request when it was listed again")
 	}
 	n.keeper.Prune(unlisted)
@@ -379,11 +379,11 @@
 func TestReportsAge(t *testing.T) {
 	const transit, lasts = 100 * time.Millisecond, 10 * time.Second
 	m := newModel(1, 4)
-	m.nodes[0].keeper.Heard(m.target.Life(), backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 1}})
+	m.nodes[0].keeper.Observe(m.target.Incarnation(), backpressure.Signal{Limit: backpressure.Limit{Set: true, PerSecond: 1}})
 	named := m.now
 	for i := 0; m.now.Sub(named) < lasts; i++ {
 		from, to := m.nodes[i%4], m.nodes[(i+1+i/4%3)%4]
-		reported := from.keeper.Recent()
+		reported := from.keeper.RecentLimits()
 		m.now = m.now.Add(transit)
 		to.keeper.Merge(from.address, reported)
 	}
--- a/internal/gateway/backpressure/table.go
+++ b/internal/gateway/backpressure/table.go
@@ -56,12 +56,12 @@
 
 // table holds the newest report of each life that has a limit, or had one lately. It is not
 // safe for concurrent use.
-type table struct{ entries map[directory.Life]*entry }
+type table struct{ entries map[directory.Incarnation]*entry }
 
-func newTable() *table { return &table{entries: map[directory.Life]*entry{}} }
+func newTable() *table { return &table{entries: map[directory.Incarnation]*entry{}} }
 
 // merge takes in a report unless a newer one is known, and says whether the limit changed.
-func (t *table) merge(target directory.Life, r report) bool {
+func (t *table) merge(target directory.Incarnation, r report) bool {
 	e := t.of(target, r.at)
 	if !r.at.After(e.at) {
 		return false
@@ -73,13 +73,13 @@
 
 // passedOn says whether what a member reports may be what is known already, which each
 // exchange makes look newer by its time.
-func (t *table) passedOn(target directory.Life, r report) bool {
+func (t *table) passedOn(target directory.Incarnation, r report) bool {
 	e := t.entries[target]
 	return e != nil && r.Limit == e.Limit && r.at.Sub(e.at) < sameReport
 }
 
 // of returns the entry of a target, a new one where there is none.
-func (t *table) of(target directory.Life, now time.Time) *entry {
+func (t *table) of(target directory.Incarnation, now time.Time) *entry {
 	e := t.entries[target]
 	if e == nil {
 		e = &entry{bucket: newBucket(now)}
@@ -89,7 +89,7 @@
 }
 
 // leave notes that a target leaves, and says whether that is new.
-func (t *table) leave(now time.Time, target directory.Life) bool {
+func (t *table) leave(now time.Time, target directory.Incarnation) bool {
 	e := t.of(target, now)
 	known := e.leaving
 	e.leaving = true
@@ -97,7 +97,7 @@
 }
 
 // pause notes that a target wants a pause, and says whether it had none.
-func (t *table) pause(now time.Time, target directory.Life, d time.Duration) bool {
+func (t *table) pause(now time.Time, target directory.Incarnation, d time.Duration) bool {
 	e := t.of(target, now)
 	begins := !now.Before(e.pausedUntil)
 	if until := now.Add(d); until.After(e.pausedUntil) {
@@ -122,7 +122,7 @@
 }
 
 // limit returns the limit of a target.
-func (t *table) limit(target directory.Life) Limit {
+func (t *table) limit(target directory.Incarnation) Limit {
 	if e := t.entries[target]; e != nil {
 		return e.Limit
 	}
@@ -131,14 +131,14 @@
 
 // ends says whether an answer without a limit ends the target's: answers may overtake each
 // other, so that only one to a request sent after the target last named its limit does.
-func (t *table) ends(target directory.Life, sent time.Time) bool {
+func (t *table) ends(target directory.Incarnation, sent time.Time) bool {
 	e := t.entries[target]
 	return e != nil && e.Set && sent.After(e.at)
 }
 
 // heldBack says whether a target may get nothing from this node: it leaves, also where the
 // source says otherwise, or it wants a pause.
-func (t *table) heldBack(now time.Time, target directory.Life) bool {
+func (t *table) heldBack(now time.Time, target directory.Incarnation) bool {
 	e := t.entries[target]
 	return e != nil && e.heldBack(now)
 }
@@ -146,7 +146,7 @@
 func (e *entry) heldBack(now time.Time) bool { return e.leaving || now.Before(e.pausedUntil) }
 
 // pauseLeft is how much longer a target wants a pause; 0 for one that leaves or wants none.
-func (t *table) pauseLeft(now time.Time, target directory.Life) time.Duration {
+func (t *table) pauseLeft(now time.Time, target directory.Incarnation) time.Duration {
 	e := t.entries[target]
 	if e == nil || e.leaving {
 		return 0
@@ -156,7 +156,7 @@
 
 // allows says whether a target may get a request: it is not held back, and has no limit, or
 // this node gives out its requests and its bucket has a token.
-func (t *table) allows(now time.Time, target directory.Life, giver giver) bool {
+func (t *table) allows(now time.Time, target directory.Incarnation, giver giver) bool {
 	e := t.entries[target]
 	switch {
 	case e == nil:
@@ -174,29 +174,29 @@
 }
 
 // sent takes a token for a request that a target gets.
-func (t *table) sent(now time.Time, target directory.Life) {
+func (t *table) sent(now time.Time, target directory.Incarnation) {
 	if e := t.entries[target]; e != nil && e.Set {
 		e.bucket.AllowN(now, 1)
 	}
 }
 
 // limited returns the targets with a limit, in no order.
-func (t *table) limited() []directory.Life {
+func (t *table) limited() []directory.Incarnation {
 	return t.where(func(e *entry) bool { return e.Set })
 }
 
 // told returns the targets that told this node that they leave or want a pause, in no order.
-func (t *table) told(now time.Time) []directory.Life {
+func (t *table) told(now time.Time) []directory.Incarnation {
 	return t.where(func(e *entry) bool { return e.heldBack(now) })
 }
 
 // known returns all targets of which something is known, in no order.
-func (t *table) known() []directory.Life {
+func (t *table) known() []directory.Incarnation {
 	return t.where(func(*entry) bool { return true })
 }
 
-func (t *table) where(is func(*entry) bool) []directory.Life {
-	var list []directory.Life
+func (t *table) where(is func(*entry) bool) []directory.Incarnation {
+	var list []directory.Incarnation
 	for target, e := range t.entries {
 		if is(e) {
 			list = append(list, target)
@@ -206,9 +206,9 @@
 }
 
 // newest returns the targets with the newest reports of limits, at most n of them.
-func (t *table) newest(n int) []directory.Life {
+func (t *table) newest(n int) []directory.Incarnation {
 	list := t.where(func(e *entry) bool { return !e.at.IsZero() })
-	slices.SortFunc(list, func(a, b directory.Life) int {
+	slices.SortFunc(list, func(a, b directory.Incarnation) int {
 		return cmp.Or(t.entries[b].at.Compare(t.entries[a].at), cmp.Compare(a.ID, b.ID))
 	})
 	return list[:min(n, len(list))]
@@ -216,7 +216,7 @@
 
 // prune forgets limits that ended endedFor ago, where nothing else is known of the target.
 func (t *table) prune(now time.Time) {
-	maps.DeleteFunc(t.entries, func(_ directory.Life, e *entry) bool {
+	maps.DeleteFunc(t.entries, func(_ directory.Incarnation, e *entry) bool {
 		return !e.Set && now.Sub(e.at) > endedFor && !e.leaving && !now.Before(e.pausedUntil)
 	})
 }
@@ -224,9 +224,9 @@
 // pruneLives forgets lives of targets that have not been listed for unlistedFor. An entry of
 // the source may be gone for a while and come back, and with it what the target asked for.
 func (t *table) pruneLives(now time.Time, d *directory.Directory) {
-	maps.DeleteFunc(t.entries, func(target directory.Life, e *entry) bool {
+	maps.DeleteFunc(t.entries, func(target directory.Incarnation, e *entry) bool {
 		switch {
-		case d.Lives(target):
+		case d.IsCurrent(target):
 			e.unlisted = time.Time{}
 		case e.unlisted.IsZero():
 			e.unlisted = now
--- a/internal/gateway/batching/batching_test.go
+++ b/internal/gateway/batching/batching_test.go
@@ -43,7 +43,7 @@
 // reportIdle has targets report that they do and hold nothing.
 func reportIdle(c *batching.Core, list []directory.Target) {
 	for _, t := range list {
-		c.Handle(start, batching.Inspected{Target: t.Life(), Report: batching.Report{FreeBytes: 1000}})
+		c.Handle(start, batching.Inspected{Target: t.Incarnation(), Report: batching.Report{FreeBytes: 1000}})
 	}
 }
 
@@ -51,7 +51,7 @@
 	var list []batching.Item
 	for i := range n {
 		list = append(list, batching.Item{
-			Token: batching.Token(first + i), Request: "r", Index: i, Bytes: 100,
+			ID: batching.ItemID(first + i), Request: "r", Index: i, Bytes: 100,
 			Due: start.Add(due), Deadline: start.Add(10 * time.Second),
 		})
 	}
@@ -71,7 +71,7 @@
 func answered(s batching.Send) batching.Finished {
 	f := batching.Finished{Batch: s.Batch}
 	for _, item := range s.Items {
-		f.Outcomes = append(f.Outcomes, batching.Outcome{Handle: fmt.Sprintf("h%d-%d", s.Batch, item.Token)})
+		f.Outcomes = append(f.Outcomes, batching.Outcome{Handle: fmt.Sprintf("h%d-%d", s.Batch, item.ID)})
 	}
 	return f
 }
@@ -87,7 +87,7 @@
 		convey.So(second, convey.ShouldHaveLength, 1)
 		convey.So(second[0].Items, convey.ShouldHaveLength, 4)
 		convey.Convey("and what is due first goes first", func() {
-			convey.So(second[0].Items[0].Token, convey.ShouldEqual, 4)
+			convey.So(second[0].Items[0].ID, convey.ShouldEqual, 4)
 		})
 	})
 	convey.Convey("A batch never needs more result memory than the target has", t, func() {
@@ -100,7 +100,7 @@
 		convey.So(s[0].Items, convey.ShouldHaveLength, 2)
 		convey.Convey("and the rest waits until a result is released", func() {
 			convey.So(sends(c.Handle(start.Add(300*time.Millisecond), answered(s[0]))), convey.ShouldBeEmpty)
-			released := c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: directory.Life{ID: "t0"}, Handles: []string{"h1-1"}})
+			released := c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: directory.Incarnation{ID: "t0"}, Handles: []string{"h1-1"}})
 			convey.So(sends(released), convey.ShouldHaveLength, 1)
 		})
 	})
@@ -154,8 +154,8 @@
 		c.Handle(start, batching.Submit{Items: back})
 		c.Handle(start, batching.Submit{Items: items(5, 4, 2*time.Second)})
 		next := sends(c.Handle(start.Add(300*time.Millisecond), answered(s[0])))
-		convey.So(next[0].Items[0].Token, convey.ShouldEqual, 5)
-		convey.So(next[0].Items[3].Token, convey.ShouldEqual, 8)
+		convey.So(next[0].Items[0].ID, convey.ShouldEqual, 5)
+		convey.So(next[0].Items[3].ID, convey.ShouldEqual, 8)
 	})
 }
 
@@ -216,7 +216,7 @@
 	t        *rapid.T
 	core     *batching.Core
 	now      time.Time
-	open     map[batching.Token]bool
+	open     map[batching.ItemID]bool
 	running  map[batching.BatchID]batching.Send
 	busy     map[string]batching.BatchID
 	draining map[string]bool
@@ -242,10 +242,10 @@
 			}
 			o.inspected[e.Target.ID] = true
 		case batching.Resolve:
-			if !o.open[e.Token] {
-				o.t.Fatalf("item %d ended twice or after it was withdrawn", e.Token)
+			if !o.open[e.ItemID] {
+				o.t.Fatalf("item %d ended twice or after it was withdrawn", e.ItemID)
 			}
-			delete(o.open, e.Token)
+			delete(o.open, e.ItemID)
 			if e.Err == nil {
 				o.used[e.Result.Handle] = e.Result.Target
 				delete(o.unclaimed, e.Result.Handle)
@@ -276,8 +276,8 @@
 		o.t.Fatalf("a batch has %d items", len(e.Items))
 	}
 	for _, item := range e.Items {
-		if !o.open[item.Token] {
-			o.t.Fatalf("item %d was sent after its end", item.Token)
+		if !o.open[item.ID] {
+			o.t.Fatalf("item %d was sent after its end", item.ID)
 		}
 	}
 	o.busy[e.Target.ID] = e.Batch
@@ -288,7 +288,7 @@
 func (o *oracle) report(r batching.Report, err *verdict.Error) {
 	for id := range o.inspected {
 		delete(o.inspected, id)
-		o.handle(batching.Inspected{Target: directory.Life{ID: id}, Report: r, Err: err})
+		o.handle(batching.Inspected{Target: directory.Incarnation{ID: id}, Report: r, Err: err})
 		return
 	}
 }
@@ -330,7 +330,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
 			t: t, core: batching.New(retrybudget.Policy{Ratio: 0.2, Window: 10 * time.Second, Extra: 5, MaxNodes: 1}), now: start,
-			open: map[batching.Token]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
+			open: map[batching.ItemID]bool{}, running: map[batching.BatchID]batching.Send{}, busy: map[string]batching.BatchID{},
 			draining: map[string]bool{}, unclaimed: map[string]bool{}, used: map[string]string{}, inspected: map[string]bool{},
 		}
 		o.handle(batching.Configure{Service: service(), Targets: targets(3)})
@@ -342,15 +342,15 @@
 					list[i].Due = o.now.Add(list[i].Due.Sub(start))
 					list[i].Deadline = o.now.Add(time.Duration(rapid.IntRange(100, 5000).Draw(t, "deadline")) * time.Millisecond)
 					list[i].DataCentre = rapid.SampledFrom([]string{"", "d0", "d1", "gone"}).Draw(t, "near")
-					o.open[list[i].Token] = true
+					o.open[list[i].ID] = true
 				}
 				o.next += n
 				o.handle(batching.Submit{Items: list})
 			},
 			"withdraw": func(t *rapid.T) {
-				token := batching.Token(rapid.IntRange(1, o.next+1).Draw(t, "token"))
+				token := batching.ItemID(rapid.IntRange(1, o.next+1).Draw(t, "token"))
 				delete(o.open, token)
-				o.handle(batching.Withdraw{Tokens: []batching.Token{token}})
+				o.handle(batching.Withdraw{ItemIDs: []batching.ItemID{token}})
 			},
 			"finish": func(t *rapid.T) {
 				if s, ok := o.oldestBatch(); ok {
@@ -368,7 +368,7 @@
 			},
 			"release": func(*rapid.T) {
 				for h, target := range o.used {
-					o.handle(batching.Release{Target: directory.ParseLife(target), Handles: []string{h}})
+					o.handle(batching.Release{Target: directory.ParseIncarnation(target), Handles: []string{h}})
 					// The core may have forgotten the target; its results then expire there.
 					delete(o.used, h)
 					return
@@ -417,7 +417,7 @@
 			effects := c.Handle(start.Add(2*time.Second), batching.Tick{})
 			convey.So(effects, convey.ShouldHaveLength, 8)
 			for i, e := range effects {
-				convey.So(e.(batching.Resolve).Token, convey.ShouldEqual, i+5)
+				convey.So(e.(batching.Resolve).ItemID, convey.ShouldEqual, i+5)
 			}
 		}
 	})
--- a/internal/gateway/batching/bench_test.go
+++ b/internal/gateway/batching/bench_test.go
@@ -31,7 +31,7 @@
 	list := make([]batching.Item, benchGroup)
 	for i := range list {
 		list[i] = batching.Item{
-			Token: batching.Token(token + i), Request: "r", Index: i, Bytes: 100, Priority: token % 3,
+			ID: batching.ItemID(token + i), Request: "r", Index: i, Bytes: 100, Priority: token % 3,
 			Due: now.Add(2 * time.Second), Deadline: now.Add(10 * time.Second), DataCentre: fmt.Sprintf("d%d", token%benchTargets),
 		}
 	}
@@ -51,7 +51,7 @@
 		running = append(running, sends(c.Handle(now, batching.Submit{Items: benchItems(now, token)}))...)
 		token += benchGroup
 		done := answered(running[0])
-		target := running[0].Target.Life()
+		target := running[0].Target.Incarnation()
 		running = append(running[1:], sends(c.Handle(now, done))...)
 		handles := make([]string, len(done.Outcomes))
 		for i, out := range done.Outcomes {
--- a/internal/gateway/batching/core.go
+++ b/internal/gateway/batching/core.go
@@ -34,7 +34,7 @@
 	spec *catalog.Batch
 	pool *pool
 	// items are all that have no result yet, queue those of them that wait.
-	items   map[Token]*queuedItem
+	items   map[ItemID]*queuedItem
 	queue   []*queuedItem
 	plans   plans
 	running map[BatchID]*batch
@@ -42,7 +42,7 @@
 	// evacuated says that all targets are in evacuated data centres.
 	evacuated bool
 	// limits bound the calls to cold targets.
-	limits *warmup.Limits
+	limits *warmup.Limiter
 	// gate says what targets ask for.
 	gate      Gate
 	budget    *retrybudget.Budget
@@ -75,10 +75,10 @@
 	c := &Core{
 		gate:    openGate{},
 		pool:    newPool(),
-		items:   map[Token]*queuedItem{},
+		items:   map[ItemID]*queuedItem{},
 		running: map[BatchID]*batch{},
 		plans:   plans{},
-		limits:  warmup.New(),
+		limits:  warmup.NewLimiter(),
 		budget:  retrybudget.New(budget),
 	}
 	for _, opt := range opts {
@@ -111,7 +111,7 @@
 	case Release:
 		c.release(now, ev.Target, ev.Handles)
 	case Tick:
-		c.late = ev.Late
+		c.late = ev.Delay
 	}
 	if c.targetsDue(now, ev) {
 		c.passed = now
@@ -155,34 +155,34 @@
 
 // list takes in a target of the service's list.
 func (c *Core) list(listed directory.Target) {
-	t := c.pool.byLife[listed.Life()]
+	t := c.pool.byLife[listed.Incarnation()]
 	if t == nil {
 		t = newTarget(listed)
 		c.pool.add(t)
 	}
 	t.Target = listed
-	t.listed, t.usable = true, t.Open()
+	t.listed, t.usable = true, t.Schedulable()
 	c.pool.sort(t)
 }
 
 func (c *Core) submit(now time.Time, ev Submit) {
 	for _, item := range ev.Items {
 		q := &queuedItem{Item: item, queued: true, ends: endsBefore(item)}
-		c.items[item.Token] = q
+		c.items[item.ID] = q
 		c.queue = append(c.queue, q)
 		c.plans.remove(item.Request, item.Stage)
-		c.budget.First(now)
+		c.budget.RecordRequest(now)
 	}
 }
 
 func (c *Core) withdraw(ev Withdraw) {
-	for _, token := range ev.Tokens {
+	for _, token := range ev.ItemIDs {
 		c.forget(token)
 	}
 }
 
 // forget drops an item, also from the queue.
-func (c *Core) forget(token Token) {
+func (c *Core) forget(token ItemID) {
 	q := c.items[token]
 	if q == nil {
 		return
@@ -193,7 +193,7 @@
 	}
 }
 
-func (c *Core) release(now time.Time, life directory.Life, handles []string) {
+func (c *Core) release(now time.Time, life directory.Incarnation, handles []string) {
 	t := c.pool.byLife[life]
 	if t == nil || len(handles) == 0 {
 		return
@@ -216,7 +216,7 @@
 	for _, q := range slices.Clone(c.queue) {
 		if q.running == 0 && !canFinish(now, c.spec, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the item cannot be made in the time left"))
 		}
 	}
 }
@@ -242,7 +242,7 @@
 func (c *Core) failUnservable() {
 	for _, q := range slices.Clone(c.queue) {
 		if q.running == 0 {
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of the service are evacuated"))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all data centres of the service are evacuated"))
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	for before, q := range slices.Clone(c.queue) {
 		if q.running == 0 && q.pastDue(earliest) && !turnComesInTime(now, c.spec, rate(), before, q.Deadline) {
 			c.stats.Expired++
-			c.fail(q.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the %d items before it leave no time", before))
+			c.fail(q.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the %d items before it leave no time", before))
 		}
 	}
 }
--- a/internal/gateway/batching/deadline_test.go
+++ b/internal/gateway/batching/deadline_test.go
@@ -59,11 +59,11 @@
 	submit := func(due time.Duration) []Effect {
 		c := New(retrybudget.Policy{MaxNodes: 1, Window: 10 * time.Second})
 		c.Handle(noon, Configure{Service: &catalog.Service{Name: "s", Batch: testSpec()}, Targets: []directory.Target{{ID: "t"}}})
-		c.Handle(noon, Inspected{Target: directory.Life{ID: "t"}, Report: Report{FreeBytes: 1000}})
+		c.Handle(noon, Inspected{Target: directory.Incarnation{ID: "t"}, Report: Report{FreeBytes: 1000}})
 		var items []Item
 		for i := range 30 {
 			items = append(items, Item{
-				Token: Token(i), Request: "r", Stage: i, Bytes: 10, Due: noon.Add(due), Deadline: noon.Add(time.Second),
+				ID: ItemID(i), Request: "r", Stage: i, Bytes: 10, Due: noon.Add(due), Deadline: noon.Add(time.Second),
 			})
 		}
 		return c.Handle(noon, Submit{Items: items})
--- a/internal/gateway/batching/dispatch.go
+++ b/internal/gateway/batching/dispatch.go
@@ -29,7 +29,7 @@
 		if memory, tried := inVain[t.DataCentre]; tried && t.available(now, c.spec) <= memory {
 			continue
 		}
-		if c.pool.fasterTakeAll(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, coordinates) || !c.gate.Allows(t.Life()) {
+		if c.pool.fasterTakeAll(now, c.spec, t, len(c.queue)) || !c.limits.Allows(now, t.Target, coordinates) || !c.gate.Allows(t.Incarnation()) {
 			continue
 		}
 		if c.start(near, t) {
@@ -75,8 +75,8 @@
 	t.running = b
 	c.pool.sort(t)
 	t.memory.reserve(items)
-	c.limits.Sent(now, t.Target)
-	c.gate.Take(t.Life())
+	c.limits.Take(now, t.Target)
+	c.gate.Take(t.Incarnation())
 	c.stats.Batches++
 	c.stats.Items += int64(n)
 	c.emit(Send{Batch: b.id, Target: t.Target, Items: items, Timeout: timeout(expected), TargetIdle: t.answered})
@@ -130,7 +130,7 @@
 func (c *Core) inspectSpare(p *place) bool {
 	for i := len(p.spare.targets) - 1; i >= 0; i-- {
 		t := p.spare.targets[i]
-		if !c.gate.Take(t.Life()) {
+		if !c.gate.Take(t.Incarnation()) {
 			continue
 		}
 		t.inspection.running = true
@@ -172,7 +172,7 @@
 	for _, list := range c.pool.known() {
 		c.pool.examined += len(list.targets)
 		for _, t := range list.targets {
-			if t.inspection.due(now) && c.gate.Take(t.Life()) {
+			if t.inspection.due(now) && c.gate.Take(t.Incarnation()) {
 				t.inspection.running = true
 				c.emit(Inspect{Target: t.Target})
 			}
--- a/internal/gateway/batching/evacuated_test.go
+++ b/internal/gateway/batching/evacuated_test.go
@@ -82,7 +82,7 @@
 			c := newCore(1)
 			c.Handle(start, batching.Configure{
 				Service: service(), Targets: list,
-				WarmUp: warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{PerSecond: 10}),
+				WarmUp: warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{RequestsPerSecond: 10}),
 			})
 			n := 0
 			for at := start; at.Before(start.Add(time.Second)); at = at.Add(20 * time.Millisecond) {
--- a/internal/gateway/batching/event.go
+++ b/internal/gateway/batching/event.go
@@ -44,15 +44,15 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// Token identifies one submitted item within one core.
-type Token uint64
+// ItemID identifies one submitted item within one core.
+type ItemID uint64
 
 // BatchID identifies one batch within one core; 0 is none.
 type BatchID uint64
 
 // Item is one piece of a stage's work, which gives one result.
 type Item struct {
-	Token   Token
+	ID   ItemID
 	Request string
 	Stage   int
 	Index   int
@@ -147,7 +147,7 @@
 
 // Withdraw removes items that nobody waits for any more; the results of those in a
 // batch are discarded when it ends.
-type Withdraw struct{ Tokens []Token }
+type Withdraw struct{ ItemIDs []ItemID }
 
 // Finished reports the end of a batch.
 type Finished struct {
@@ -156,20 +156,20 @@
 	// counts as a failure. They do not count when there is an error.
 	Outcomes []Outcome
 	Err      *verdict.Error
-	// Ended says that the target's process ended while it had the batch.
-	Ended bool
+	// TargetCrashed says that the target's process ended while it had the batch.
+	TargetCrashed bool
 }
 
 // Release ends the use of results that have been read or are not needed.
 type Release struct {
 	// Target is the target that stores them. A result ends with its life.
-	Target  directory.Life
+	Target  directory.Incarnation
 	Handles []string
 }
 
 // Inspected reports what a target answered to Inspect. Without an answer Err is set.
 type Inspected struct {
-	Target directory.Life
+	Target directory.Incarnation
 	Report Report
 	Err    *verdict.Error
 }
@@ -184,9 +184,9 @@
 
 // Tick reports that time has passed.
 type Tick struct {
-	// Late is how much later than it should have the core got the tick. Answers that
+	// Delay is how much later than it should have the core got the tick. Answers that
 	// came meanwhile may be as late.
-	Late time.Duration
+	Delay time.Duration
 }
 
 func (Configure) isEvent()  {}
@@ -216,7 +216,7 @@
 
 // Resolve ends an item: with a result, or with an error.
 type Resolve struct {
-	Token  Token
+	ItemID  ItemID
 	Result Result
 	Err    *verdict.Error
 }
--- a/internal/gateway/batching/fill_test.go
+++ b/internal/gateway/batching/fill_test.go
@@ -41,7 +41,7 @@
 		at := testTarget("t", "d0")
 		var queue []*queuedItem
 		for i, bytes := range []int64{600, 600, 300, 50, 1} {
-			queue = append(queue, &queuedItem{Item: Item{Token: Token(i), Bytes: bytes, Due: onTime}})
+			queue = append(queue, &queuedItem{Item: Item{ID: ItemID(i), Bytes: bytes, Due: onTime}})
 		}
 		taken, rest := newFilling(newNearness(noon, testSpec(), poolOf(at)), at).split(queue)
 		convey.So(taken, convey.ShouldResemble, []*queuedItem{queue[0], queue[2], queue[3]})
--- a/internal/gateway/batching/finish.go
+++ b/internal/gateway/batching/finish.go
@@ -24,7 +24,7 @@
 	t.memory.endReservation()
 	if ev.Err != nil || len(ev.Outcomes) != len(done.items) {
 		t.failed(now)
-		if ev.Ended {
+		if ev.TargetCrashed {
 			c.countEnd(done)
 		}
 		c.retryItems(now, done, ev.Err)
@@ -51,7 +51,7 @@
 // target could compute it.
 func (c *Core) settle(now time.Time, done *batch, item Item, out Outcome) bool {
 	t := done.target
-	q := c.items[item.Token]
+	q := c.items[item.ID]
 	if q == nil {
 		return false
 	}
@@ -61,14 +61,14 @@
 	switch out.Status {
 	case Done:
 		t.memory.store(out.Handle, storedResult{bytes: item.Bytes, since: done.started, expires: now.Add(c.spec.ResultTTL)})
-		c.forget(item.Token)
-		c.emit(Resolve{Token: item.Token, Result: Result{Handle: out.Handle, Target: t.Life().String(), DataCentre: t.DataCentre}})
+		c.forget(item.ID)
+		c.emit(Resolve{ItemID: item.ID, Result: Result{Handle: out.Handle, Target: t.Incarnation().String(), DataCentre: t.DataCentre}})
 		return true
 	case InputGone:
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input is gone at %s", t.ID))
+		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonInputGone, "an input is gone at %s", t.ID))
 	case PastDeadline:
 		c.stats.Expired++
-		c.fail(item.Token, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
+		c.fail(item.ID, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time left had run out at %s", t.ID))
 	case NoMemory:
 		t.backoff.noMemory(now)
 		t.inspection.again(now)
@@ -80,9 +80,9 @@
 }
 
 // fail ends an item with an error.
-func (c *Core) fail(token Token, err *verdict.Error) {
+func (c *Core) fail(token ItemID, err *verdict.Error) {
 	c.forget(token)
-	c.emit(Resolve{Token: token, Err: err})
+	c.emit(Resolve{ItemID: token, Err: err})
 }
 
 // countEnd notes that the target of a batch ended with its items, also of one that got
@@ -90,7 +90,7 @@
 // waits is not sent first.
 func (c *Core) countEnd(ended *batch) {
 	for _, item := range ended.items {
-		q := c.items[item.Token]
+		q := c.items[item.ID]
 		if q == nil {
 			continue
 		}
@@ -103,10 +103,10 @@
 
 // failGroup fails the items of a group because they end their targets.
 func (c *Core) failGroup(group groupKey) {
-	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.Token, b.Token) }) {
+	for _, q := range slices.SortedFunc(maps.Values(c.items), func(a, b *queuedItem) int { return cmp.Compare(a.ID, b.ID) }) {
 		if q.group() == group {
 			c.stats.Refused++
-			c.fail(q.Token, errEndsTargets())
+			c.fail(q.ID, errEndsTargets())
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // clear notes that the target of a batch outlived its items.
 func (c *Core) clear(answered *batch) {
 	for _, item := range answered.items {
-		if q := c.items[item.Token]; q != nil {
+		if q := c.items[item.ID]; q != nil {
 			q.ends = 0
 		}
 	}
@@ -130,7 +130,7 @@
 		err = verdict.New(verdict.MayHaveRun, verdict.ReasonTargetError, "%s answered for other items", failed.target.ID)
 	}
 	for _, item := range failed.items {
-		if q := c.items[item.Token]; q != nil {
+		if q := c.items[item.ID]; q != nil {
 			q.running--
 			c.requeue(now, q, err)
 		}
@@ -146,7 +146,7 @@
 		c.queue = append(c.queue, q)
 	case fail:
 		c.stats.Refused++
-		c.fail(q.Token, cause.WithVerdict(verdict.NotRun))
+		c.fail(q.ID, cause.WithVerdict(verdict.NotRun))
 	case leave:
 	}
 }
--- a/internal/gateway/batching/fleet_bench_test.go
+++ b/internal/gateway/batching/fleet_bench_test.go
@@ -55,7 +55,7 @@
 			took := 242*time.Millisecond + time.Duration(len(e.Items))*15*time.Millisecond
 			r.running[e.Batch] = endingBatch{Send: e, ends: r.now.Add(took)}
 		case batching.Inspect:
-			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 17_000_000}})
+			defer r.handle(batching.Inspected{Target: e.Target.Incarnation(), Report: batching.Report{FreeBytes: 17_000_000}})
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	for i := range fleetGroupSize {
 		r.token++
 		items = append(items, batching.Item{
-			Token: batching.Token(r.token), Request: fmt.Sprint("r", r.token/fleetGroupSize), Index: i, Bytes: 8000,
+			ID: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/fleetGroupSize), Index: i, Bytes: 8000,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
 			DataCentre: []string{"", "d0", "d1", "d2", "d3", "d4", "d5"}[r.token/fleetGroupSize%7],
 		})
@@ -80,7 +80,7 @@
 		delete(r.running, id)
 		done := answered(b.Send)
 		r.handle(done)
-		release := batching.Release{Target: b.Target.Life()}
+		release := batching.Release{Target: b.Target.Incarnation()}
 		for _, out := range done.Outcomes {
 			release.Handles = append(release.Handles, out.Handle)
 		}
--- a/internal/gateway/batching/fleet_test.go
+++ b/internal/gateway/batching/fleet_test.go
@@ -50,7 +50,7 @@
 		c := newCore(2)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		convey.So(first, convey.ShouldHaveLength, 1)
-		late := c.Handle(start.Add(stuck+500*time.Millisecond), batching.Tick{Late: 600 * time.Millisecond})
+		late := c.Handle(start.Add(stuck+500*time.Millisecond), batching.Tick{Delay: 600 * time.Millisecond})
 		convey.So(sends(late), convey.ShouldBeEmpty)
 		convey.Convey("its answer counts", func() {
 			now := start.Add(stuck + 510*time.Millisecond)
@@ -71,7 +71,7 @@
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 1, 5*time.Second)}))
 		done := answered(first[0])
 		c.Handle(start.Add(300*time.Millisecond), done)
-		c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: first[0].Target.Life(), Handles: []string{done.Outcomes[0].Handle}})
+		c.Handle(start.Add(400*time.Millisecond), batching.Release{Target: first[0].Target.Incarnation(), Handles: []string{done.Outcomes[0].Handle}})
 		after := func(idle time.Duration) []batching.Effect {
 			now := start.Add(300*time.Millisecond + idle)
 			c.Handle(now, batching.Tick{})
--- a/internal/gateway/batching/gate.go
+++ b/internal/gateway/batching/gate.go
@@ -12,24 +12,24 @@
 // backpressure.Gate implements it.
 type Gate interface {
 	// Allows says whether a target may get a call now.
-	Allows(target directory.Life) bool
+	Allows(target directory.Incarnation) bool
 	// Take is Allows, and counts the call.
-	Take(target directory.Life) bool
+	Take(target directory.Incarnation) bool
 	// Bound returns how many calls a second a target takes; false for no bound.
-	Bound(target directory.Life) (perSecond float64, limited bool)
+	Bound(target directory.Incarnation) (perSecond float64, limited bool)
 }
 
 // openGate is that of targets which ask for nothing.
 type openGate struct{}
 
-func (openGate) Allows(directory.Life) bool           { return true }
-func (openGate) Take(directory.Life) bool             { return true }
-func (openGate) Bound(directory.Life) (float64, bool) { return 0, false }
+func (openGate) Allows(directory.Incarnation) bool           { return true }
+func (openGate) Take(directory.Incarnation) bool             { return true }
+func (openGate) Bound(directory.Incarnation) (float64, bool) { return 0, false }
 
 // rateOf is how many items a second a target computes in full batches, as many as it takes.
 func (c *Core) rateOf(now time.Time, spec *catalog.Batch, t *target) float64 {
 	takes := math.Inf(1)
-	if calls, limited := c.gate.Bound(t.Life()); limited {
+	if calls, limited := c.gate.Bound(t.Incarnation()); limited {
 		takes = calls * float64(spec.MaxItems)
 	}
 	return min(t.rate(now, spec), takes)
--- a/internal/gateway/batching/gate_test.go
+++ b/internal/gateway/batching/gate_test.go
@@ -17,9 +17,9 @@
 	left   int
 }
 
-func (g *fakeGate) Allows(l directory.Life) bool { return l.ID != g.target || g.left > 0 }
+func (g *fakeGate) Allows(l directory.Incarnation) bool { return l.ID != g.target || g.left > 0 }
 
-func (g *fakeGate) Take(l directory.Life) bool {
+func (g *fakeGate) Take(l directory.Incarnation) bool {
 	if !g.Allows(l) {
 		return false
 	}
@@ -29,7 +29,7 @@
 	return true
 }
 
-func (g *fakeGate) Bound(l directory.Life) (float64, bool) { return 1, l.ID == g.target }
+func (g *fakeGate) Bound(l directory.Incarnation) (float64, bool) { return 1, l.ID == g.target }
 
 // TestLimitedBatchTarget holds that batches and inspections count as calls of a target that
 // takes few, and that admission hears of what it takes.
--- a/internal/gateway/batching/inspection_test.go
+++ b/internal/gateway/batching/inspection_test.go
@@ -33,7 +33,7 @@
 	}
 	submitted := batching.Submit{Items: items(1, 3, 5*time.Second)}
 	report := func(c *batching.Core, after time.Duration, r batching.Report, err *verdict.Error) []batching.Effect {
-		return c.Handle(start.Add(after), batching.Inspected{Target: directory.Life{ID: "t0"}, Report: r, Err: err})
+		return c.Handle(start.Add(after), batching.Inspected{Target: directory.Incarnation{ID: "t0"}, Report: r, Err: err})
 	}
 	tick := func(c *batching.Core, after time.Duration) []batching.Effect {
 		return c.Handle(start.Add(after), batching.Tick{})
--- a/internal/gateway/batching/large_bench_test.go
+++ b/internal/gateway/batching/large_bench_test.go
@@ -57,7 +57,7 @@
 			took := 240*time.Millisecond + time.Duration(len(e.Items))*4300*time.Microsecond
 			r.running[e.Batch] = endingBatch{Send: e, ends: r.now.Add(took)}
 		case batching.Inspect:
-			defer r.handle(batching.Inspected{Target: e.Target.Life(), Report: batching.Report{FreeBytes: 530_000}})
+			defer r.handle(batching.Inspected{Target: e.Target.Incarnation(), Report: batching.Report{FreeBytes: 530_000}})
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	for i := range largeGroup {
 		r.token++
 		items = append(items, batching.Item{
-			Token: batching.Token(r.token), Request: fmt.Sprint("r", r.token/largeGroup), Index: i, Bytes: 6000, Priority: r.token % 3,
+			ID: batching.ItemID(r.token), Request: fmt.Sprint("r", r.token/largeGroup), Index: i, Bytes: 6000, Priority: r.token % 3,
 			Due: r.now.Add(900 * time.Millisecond), Deadline: r.now.Add(6 * time.Second),
 			DataCentre: fmt.Sprint("d", r.token/largeGroup%largeDataCentres),
 		})
@@ -82,7 +82,7 @@
 		delete(r.running, id)
 		done := answered(b.Send)
 		r.handle(done)
-		release := batching.Release{Target: b.Target.Life()}
+		release := batching.Release{Target: b.Target.Incarnation()}
 		for _, out := range done.Outcomes {
 			release.Handles = append(release.Handles, out.Handle)
 		}
--- a/internal/gateway/batching/life_test.go
+++ b/internal/gateway/batching/life_test.go
@@ -14,7 +14,7 @@
 // restarted lists the targets of newCore, the first of which has started again.
 func restarted(n int) []directory.Target {
 	list := targets(n)
-	list[0].Born = 2
+	list[0].StartMs = 2
 	return list
 }
 
@@ -35,7 +35,7 @@
 		c.Handle(now, batching.Configure{Service: service(), Targets: restarted(1)})
 		convey.Convey("the results take no memory any more, and a release of them changes nothing", func() {
 			convey.So(c.State(now).UsedBytes, convey.ShouldEqual, 0)
-			effects := c.Handle(now, batching.Release{Target: targets(1)[0].Life(), Handles: []string{"a"}})
+			effects := c.Handle(now, batching.Release{Target: targets(1)[0].Incarnation(), Handles: []string{"a"}})
 			convey.So(effects, convey.ShouldBeEmpty)
 		})
 	})
@@ -45,17 +45,17 @@
 		lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 		convey.So(sends(c.Handle(start, batching.Finished{Batch: sent[0].Batch, Err: lost})), convey.ShouldBeEmpty)
 		c.Handle(start, batching.Configure{Service: service(), Targets: restarted(1)})
-		report := batching.Inspected{Target: restarted(1)[0].Life(), Report: batching.Report{FreeBytes: 1000}}
+		report := batching.Inspected{Target: restarted(1)[0].Incarnation(), Report: batching.Report{FreeBytes: 1000}}
 		convey.So(sends(c.Handle(start, report)), convey.ShouldHaveLength, 1)
 	})
 	convey.Convey("The batch of the earlier life does not keep the new one from work, and its items are retried when it ends", t, func() {
 		c := newCore(1)
 		first := sends(c.Handle(start, batching.Submit{Items: items(1, 4, 5*time.Second)}))
 		c.Handle(start, batching.Configure{Service: service(), Targets: restarted(1)})
-		c.Handle(start, batching.Inspected{Target: restarted(1)[0].Life(), Report: batching.Report{FreeBytes: 1000}})
+		c.Handle(start, batching.Inspected{Target: restarted(1)[0].Incarnation(), Report: batching.Report{FreeBytes: 1000}})
 		second := sends(c.Handle(start, batching.Submit{Items: items(5, 4, 5*time.Second)}))
 		convey.So(second, convey.ShouldHaveLength, 1)
-		convey.So(second[0].Target.Born, convey.ShouldEqual, 2)
+		convey.So(second[0].Target.StartMs, convey.ShouldEqual, 2)
 		lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 		c.Handle(start, batching.Finished{Batch: first[0].Batch, Err: lost})
 		convey.So(c.State(start).Retries, convey.ShouldEqual, 4)
--- a/internal/gateway/batching/order_test.go
+++ b/internal/gateway/batching/order_test.go
@@ -8,8 +8,8 @@
 )
 
 // dueItem is an item that is due some time after noon.
-func dueItem(token Token, due time.Duration, priority int) *queuedItem {
-	return &queuedItem{Item: Item{Token: token, Due: noon.Add(due), Priority: priority}}
+func dueItem(token ItemID, due time.Duration, priority int) *queuedItem {
+	return &queuedItem{Item: Item{ID: token, Due: noon.Add(due), Priority: priority}}
 }
 
 func TestQueueGoesByDueTimeAndPriorityWithPastDueItemsLast(t *testing.T) {
@@ -17,7 +17,7 @@
 	shouldGoFirst := func(first, second *queuedItem) {
 		queue := []*queuedItem{second, first}
 		sortQueue(queue, earliestEnd(noon, testSpec()))
-		convey.So(queue[0].Token, convey.ShouldEqual, first.Token)
+		convey.So(queue[0].ID, convey.ShouldEqual, first.ID)
 	}
 	for _, c := range []struct {
 		name          string
@@ -39,7 +39,7 @@
 		queue := []*queuedItem{dueItem(1, onTime, 0), dueItem(2, onTime, 0), dueItem(3, onTime, 0)}
 		sortQueue(queue, earliestEnd(noon, testSpec()))
 		for i, q := range queue {
-			convey.So(q.Token, convey.ShouldEqual, i+1)
+			convey.So(q.ID, convey.ShouldEqual, i+1)
 		}
 	})
 }
--- a/internal/gateway/batching/pool.go
+++ b/internal/gateway/batching/pool.go
@@ -23,7 +23,7 @@
 type pool struct {
 	// targets are all, in the order in which they were first listed.
 	targets []*target
-	byLife  map[directory.Life]*target
+	byLife  map[directory.Incarnation]*target
 	// newest is the newest life of each identity.
 	newest map[string]*target
 	// unusable are those that get no batch.
@@ -63,7 +63,7 @@
 }
 
 func newPool() *pool {
-	return &pool{byLife: map[directory.Life]*target{}, newest: map[string]*target{}, byPlace: map[string]*place{}}
+	return &pool{byLife: map[directory.Incarnation]*target{}, newest: map[string]*target{}, byPlace: map[string]*place{}}
 }
 
 // add takes in a target. One that started again under its identity is another: the
@@ -74,7 +74,7 @@
 		earlier.memory.lose()
 	}
 	p.newest[t.ID] = t
-	p.byLife[t.Life()] = t
+	p.byLife[t.Incarnation()] = t
 	p.targets = append(p.targets, t)
 	p.sort(t)
 }
@@ -89,7 +89,7 @@
 			continue
 		}
 		t.list.remove(t)
-		delete(p.byLife, t.Life())
+		delete(p.byLife, t.Incarnation())
 		if p.newest[t.ID] == t {
 			delete(p.newest, t.ID)
 		}
--- a/internal/gateway/batching/suspects_test.go
+++ b/internal/gateway/batching/suspects_test.go
@@ -20,7 +20,7 @@
 	ended    int
 	results  map[string]int
 	failures map[string]*verdict.Error
-	requests map[batching.Token]string
+	requests map[batching.ItemID]string
 }
 
 const endingRequest = "ends its targets"
@@ -30,9 +30,9 @@
 	var list []batching.Item
 	for _, request := range requests {
 		for _, item := range items(1, 4, 20*time.Second) {
-			item.Token = batching.Token(len(s.requests) + 1)
+			item.ID = batching.ItemID(len(s.requests) + 1)
 			item.Request = request
-			s.requests[item.Token] = request
+			s.requests[item.ID] = request
 			list = append(list, item)
 		}
 	}
@@ -62,7 +62,7 @@
 }
 
 func (s *endingService) resolved(e batching.Resolve) {
-	request := s.requests[e.Token]
+	request := s.requests[e.ItemID]
 	if e.Err != nil {
 		s.failures[request] = e.Err
 		return
@@ -76,19 +76,19 @@
 		if item.Request == endingRequest {
 			s.ended++
 			lost := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
-			return batching.Finished{Batch: e.Batch, Err: lost, Ended: true}
+			return batching.Finished{Batch: e.Batch, Err: lost, TargetCrashed: true}
 		}
 	}
 	outcomes := make([]batching.Outcome, len(e.Items))
 	for i, item := range e.Items {
-		outcomes[i].Handle = fmt.Sprint("result-", item.Token)
+		outcomes[i].Handle = fmt.Sprint("result-", item.ID)
 	}
 	return batching.Finished{Batch: e.Batch, Outcomes: outcomes}
 }
 
 func newEndingService() *endingService {
 	return &endingService{
-		core: newCore(3), now: start, results: map[string]int{}, failures: map[string]*verdict.Error{}, requests: map[batching.Token]string{},
+		core: newCore(3), now: start, results: map[string]int{}, failures: map[string]*verdict.Error{}, requests: map[batching.ItemID]string{},
 	}
 }
 
@@ -117,9 +117,9 @@
 		s.play("a")
 		list := items(1, 4, 20*time.Second)
 		for i := range list {
-			list[i].Token = batching.Token(100 + i)
+			list[i].ID = batching.ItemID(100 + i)
 			list[i].Request, list[i].Suspect = endingRequest, true
-			s.requests[list[i].Token] = endingRequest
+			s.requests[list[i].ID] = endingRequest
 		}
 		effects := s.core.Handle(s.now, batching.Submit{Items: list})
 		for range 50 {
--- a/internal/gateway/catalog/catalog.go
+++ b/internal/gateway/catalog/catalog.go
@@ -21,10 +21,10 @@
 
 // Kinds of routes.
 const (
-	// Repeatable requests may run more than once.
-	Repeatable Kind = iota
-	// Once requests run at most once for each attempt of a client.
-	Once
+	// Idempotent requests may run more than once.
+	Idempotent Kind = iota
+	// AtMostOnce requests run at most once for each attempt of a client.
+	AtMostOnce
 	// Stream requests are answered by a series of events.
 	Stream
 )
@@ -80,9 +80,9 @@
 	Resumable bool
 }
 
-// MayRepeat says whether a request of the route may run more than once.
-func (r *Route) MayRepeat() bool {
-	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
+// Retryable says whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
+	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
 // Service returns the name of the service that a request with the given hash goes to;
@@ -138,11 +138,11 @@
 // WarmUp describes targets that start cold, or turn cold later. The zero value is for
 // targets that are never cold.
 type WarmUp struct {
-	// Time is how long a target stays cold after its start.
-	Time time.Duration
-	// PerSecond is how many requests a second a cold target bears, from all nodes
+	// Duration is how long a target stays cold after its start.
+	Duration time.Duration
+	// RequestsPerSecond is how many requests a second a cold target bears, from all nodes
 	// together; 0 for no bound.
-	PerSecond float64
+	RequestsPerSecond float64
 }
 
 // Service is a set of targets that do the same work.
@@ -158,9 +158,9 @@
 	Batch  *Batch
 	// WarmUp bounds what a target of the service takes while it is cold.
 	WarmUp WarmUp
-	// CopyTime is the time in which an engine copies a cached token from another in its
+	// CopyTimePerToken is the time in which an engine copies a cached token from another in its
 	// data centre; 0 for unknown, or when engines do not copy.
-	CopyTime time.Duration
+	CopyTimePerToken time.Duration
 }
 
 // Organisation is a holder of keys.
--- a/internal/gateway/catalog/catalog_test.go
+++ b/internal/gateway/catalog/catalog_test.go
@@ -56,16 +56,16 @@
 		route catalog.Route
 		want  bool
 	}{
-		{"repeatable may", catalog.Route{Kind: catalog.Repeatable}, true},
-		{"to run once may not", catalog.Route{Kind: catalog.Once}, false},
+		{"repeatable may", catalog.Route{Kind: catalog.Idempotent}, true},
+		{"to run once may not", catalog.Route{Kind: catalog.AtMostOnce}, false},
 		{"a stream may not", catalog.Route{Kind: catalog.Stream}, false},
 		{"a resumable stream may", catalog.Route{Kind: catalog.Stream, Resumable: true}, true},
-		{"to run once may not even when resumable", catalog.Route{Kind: catalog.Once, Resumable: true}, false},
+		{"to run once may not even when resumable", catalog.Route{Kind: catalog.AtMostOnce, Resumable: true}, false},
 	}
 	convey.Convey("A request that is", t, func() {
 		for _, c := range cases {
 			convey.Convey(c.why+" run more than once", func() {
-				convey.So(c.route.MayRepeat(), convey.ShouldEqual, c.want)
+				convey.So(c.route.Retryable(), convey.ShouldEqual, c.want)
 			})
 		}
 	})
--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -62,8 +62,8 @@
 	core    *batching.Core
 	// gate applies the limits and pauses that targets ask for.
 	gate        backpressure.Gate
-	lastToken   batching.Token
-	items       map[batching.Token]*pendingItem
+	lastToken   batching.ItemID
+	items       map[batching.ItemID]*pendingItem
 	tickPending bool
 	// leaving is set when another node is to run what has not started.
 	leaving bool
@@ -77,12 +77,12 @@
 }
 
 func newCoordinator(cfg coordinatorConfig, service string) *coordinator {
-	gate := cfg.backpressure.Calls(func() bool { return cfg.members.ownsRole(service) })
+	gate := cfg.backpressure.CallGate(func() bool { return cfg.members.ownsRole(service) })
 	return &coordinator{
 		coordinatorConfig: cfg, service: service, gate: gate,
 		core:     batching.New(cfg.retries, batching.WithGate(gate)),
-		items:    map[batching.Token]*pendingItem{},
-		discards: &discardQueue{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Life]*batching.Discard{}},
+		items:    map[batching.ItemID]*pendingItem{},
+		discards: &discardQueue{log: cfg.log, targets: cfg.targets, byTarget: map[directory.Incarnation]*batching.Discard{}},
 	}
 }
 
@@ -110,7 +110,7 @@
 		c.discards.flush()
 	case tick:
 		c.tickPending = false
-		c.handle(batching.Tick{Late: max(c.now().Sub(msg.due), 0)})
+		c.handle(batching.Tick{Delay: max(c.now().Sub(msg.due), 0)})
 	case batching.Event:
 		c.handle(msg)
 	}
@@ -164,7 +164,7 @@
 // sendBatch sends a batch to its target, preceded by the discards collected for the same
 // target.
 func (c *coordinator) sendBatch(now time.Time, e batching.Send) {
-	discard := c.discards.take(e.Target.Life())
+	discard := c.discards.take(e.Target.Incarnation())
 	c.metrics.recordBatch(c.service, len(e.Items))
 	c.markStarted(e)
 	self := c.self
@@ -188,7 +188,7 @@
 		defer cancel()
 		report, err := c.targets.Inspect(ctx, e.Target)
 		c.logInspection(e, report, err)
-		c.system.Root.Send(self, batching.Inspected{Target: e.Target.Life(), Report: report, Err: err})
+		c.system.Root.Send(self, batching.Inspected{Target: e.Target.Incarnation(), Report: report, Err: err})
 	}()
 }
 
@@ -214,13 +214,13 @@
 		c.log.Warn().Str("service", c.service).Str("target", e.Target.ID).Int("items", len(e.Items)).
 			Dur("took", c.now().Sub(now)).Err(err).Msg("items: batch failed")
 	}
-	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, Ended: c.recordResult(e, now, err)}
+	return batching.Finished{Batch: e.Batch, Outcomes: outcomes, Err: err, TargetCrashed: c.recordResult(e, now, err)}
 }
 
 // permitCall is called just before the first byte of a batch is written; an error forbids the
 // call.
 func (c *coordinator) permitCall(t directory.Target) error {
-	if c.gate.HeldBack(t.Life()) {
+	if c.gate.HeldBack(t.Incarnation()) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target takes no new work")
 	}
 	return c.permit(t.ID)
@@ -231,10 +231,10 @@
 // outside the actor.
 func (c *coordinator) recordResult(e batching.Send, sentAt time.Time, err *verdict.Error) (ended bool) {
 	switch {
-	case rules.Outlived(err):
+	case rules.TargetSurvived(err):
 		for _, item := range e.Items {
 			if item.Digest != 0 {
-				c.quarantine.Answered(item.Digest)
+				c.quarantine.RecordAnswer(item.Digest)
 			}
 		}
 		return false
@@ -252,7 +252,7 @@
 		Msg("items: target process ended while it ran a batch")
 	for _, item := range e.Items {
 		if item.Digest != 0 {
-			c.quarantine.TargetEnded(item.Digest, quarantine.Crash{Target: e.Target.Life().String(), Began: sentAt, At: brokeAt, Silent: true})
+			c.quarantine.RecordCrash(item.Digest, quarantine.Crash{Target: e.Target.Incarnation().String(), SentAt: sentAt, BrokenAt: brokeAt, Silent: true})
 		}
 	}
 	return true
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -34,9 +34,9 @@
 	// margin widens the limits of cold targets.
 	margin warmup.Margin
 	// quarantine records the items that crash their targets.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	// backpressure holds the limits and pauses that targets ask for.
-	backpressure *backpressure.Keeper
+	backpressure *backpressure.Tracker
 	// permit is called just before the first byte of a call to a target is written; an error
 	// forbids the call.
 	permit func(target string) error
@@ -132,7 +132,7 @@
 		byTarget[r.Target] = append(byTarget[r.Target], r.Handle)
 	}
 	for target, handles := range byTarget {
-		system.Root.Send(pid, batching.Release{Target: directory.ParseLife(target), Handles: handles})
+		system.Root.Send(pid, batching.Release{Target: directory.ParseIncarnation(target), Handles: handles})
 	}
 }
 
--- a/internal/gateway/directory/directory.go
+++ b/internal/gateway/directory/directory.go
@@ -40,8 +40,8 @@
 type Target struct {
 	// ID is its identity. Most replicas have another after a restart; some keep it (Life).
 	ID string
-	// Born is as in Life.
-	Born int64
+	// StartMs is as in Life.
+	StartMs int64
 	// Service is the name of the target's service.
 	Service string
 	// Address is where calls are sent, as host and port.
@@ -141,12 +141,12 @@
 // if it has lapsed, its time is not over. Whether this node leaves it unused for failing
 // is another question (placement.TargetTable.Ejected).
 func (t Target) Usable(now time.Time) bool {
-	return t.Open() && (t.State != Lapsed || now.Before(t.StateUntil))
+	return t.Schedulable() && (t.State != Lapsed || now.Before(t.StateUntil))
 }
 
-// Open says whether the target takes new work for as long as it is listed or lapsed: it
+// Schedulable says whether the target takes new work for as long as it is listed or lapsed: it
 // neither drains nor has Returned, and its data centre is not evacuated.
-func (t Target) Open() bool { return t.State != Draining && t.State != Returned && !t.Evacuated }
+func (t Target) Schedulable() bool { return t.State != Draining && t.State != Returned && !t.Evacuated }
 
 // Cold says whether the target is cold at the given time.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
@@ -156,7 +156,7 @@
 func (d *Directory) AllEvacuated(service string) bool {
 	evacuated := false
 	for _, t := range d.services[service] {
-		if t.Open() {
+		if t.Schedulable() {
 			return false
 		}
 		evacuated = evacuated || t.State != Draining && t.State != Returned
--- a/internal/gateway/directory/edit.go
+++ b/internal/gateway/directory/edit.go
@@ -27,16 +27,16 @@
 // without it.
 func (e *Edit) Put(t Target) {
 	if known, is := e.target(t.ID); is {
-		if t.Born == 0 {
-			t.Born = known.Born
+		if t.StartMs == 0 {
+			t.StartMs = known.StartMs
 		}
-		if t.Born == known.Born || known.Born == 0 {
+		if t.StartMs == known.StartMs || known.StartMs == 0 {
 			t.ColdUntil = later(t.ColdUntil, known.ColdUntil)
 		}
-		if t.Born == known.Born && t.State != Draining && (known.State == Draining || known.State == Returned) {
+		if t.StartMs == known.StartMs && t.State != Draining && (known.State == Draining || known.State == Returned) {
 			t.State, t.StateUntil = known.State, known.StateUntil
 		}
-		if t.Born != known.Born {
+		if t.StartMs != known.StartMs {
 			e.removed = append(e.removed, known)
 		}
 	}
--- a/internal/gateway/directory/returned_test.go
+++ b/internal/gateway/directory/returned_test.go
@@ -12,7 +12,7 @@
 // had left: an older list, or a member that knows less, says that they are ready.
 func TestStatesThatStay(t *testing.T) {
 	in := func(s directory.State) directory.Target {
-		known := directory.Target{ID: "a", Born: 1, Service: "s", State: s}
+		known := directory.Target{ID: "a", StartMs: 1, Service: "s", State: s}
 		if s == directory.Lapsed || s == directory.Returned {
 			known.StateUntil = until
 		}
@@ -38,7 +38,7 @@
 		}
 		convey.Convey("that drained is ready in its next life", func() {
 			next := in(directory.Ready)
-			next.Born = 2
+			next.StartMs = 2
 			got, _ := directory.New(in(directory.Draining)).With(next).Target("a")
 			convey.So(got.State, convey.ShouldEqual, directory.Ready)
 		})
--- a/internal/gateway/discards.go
+++ b/internal/gateway/discards.go
@@ -25,17 +25,17 @@
 type discardQueue struct {
 	log      zerolog.Logger
 	targets  Targets
-	byTarget map[directory.Life]*batching.Discard
+	byTarget map[directory.Incarnation]*batching.Discard
 	// scheduled is set while a flushDiscards message is on its way to the coordinator.
 	scheduled bool
 }
 
 // add adds results and reports whether flushDiscards must be scheduled.
 func (d *discardQueue) add(e batching.Discard) (schedule bool) {
-	p := d.byTarget[e.Target.Life()]
+	p := d.byTarget[e.Target.Incarnation()]
 	if p == nil {
 		p = &batching.Discard{Target: e.Target}
-		d.byTarget[e.Target.Life()] = p
+		d.byTarget[e.Target.Incarnation()] = p
 	}
 	p.Handles = append(p.Handles, e.Handles...)
 	schedule = !d.scheduled
@@ -44,7 +44,7 @@
 }
 
 // take removes and returns the discards collected for a target; nil if there are none.
-func (d *discardQueue) take(target directory.Life) *batching.Discard {
+func (d *discardQueue) take(target directory.Incarnation) *batching.Discard {
 	p := d.byTarget[target]
 	delete(d.byTarget, target)
 	return p
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,8 +54,8 @@
 	joiner       *joiner
 	coordinators *coordinators
 	prompts      *promptPlacer
-	quarantine   *quarantine.Keeper
-	backpressure *backpressure.Keeper
+	quarantine   *quarantine.Tracker
+	backpressure *backpressure.Tracker
 	relay        *relay.Server
 	callers      *callerServer
 	admin        *adminServer
@@ -108,11 +108,11 @@
 		source: g.ports.Source, views: g.views, members: g.members, health: g.health, peers: peers,
 		metrics: g.metrics, log: g.log, now: g.now,
 	}
-	g.quarantine = quarantine.NewKeeper(quarantine.Config{
-		Now: g.now, Log: g.log, Changed: g.onQuarantineChange, GivesOut: g.members.ownsRole,
+	g.quarantine = quarantine.NewTracker(quarantine.Config{
+		Now: g.now, Log: g.log, OnChange: g.onQuarantineChange, OwnsRole: g.members.ownsRole,
 	})
-	g.backpressure = backpressure.NewKeeper(backpressure.Config{Now: g.now, Log: g.log, Changed: g.onLimitsChange, Rank: g.members.rank})
-	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Heard(t.Life(), s) })
+	g.backpressure = backpressure.NewTracker(backpressure.Config{Now: g.now, Log: g.log, Changed: g.onLimitsChange, Rank: g.members.rank})
+	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Observe(t.Incarnation(), s) })
 	g.gossip = &gossiper{
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, health: g.health, shutdown: g.shutdown,
 		quarantine: g.quarantine, backpressure: g.backpressure,
@@ -135,8 +135,8 @@
 	}
 	g.relay = relay.New(relay.Config{
 		DataCentre: g.cfg.DataCentre, Node: g.PeerAddress(), View: g.views.load, AwaitCatalog: g.awaitFirstConfig, Upstream: g.ports.Targets, Batcher: batches, Placer: g.prompts,
-		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, Members: g.members.size,
-		WarmUp: margin, GivesOut: g.members.ownsColdTarget, Quarantine: g.quarantine, Gate: g.backpressure.Requests(),
+		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, NodeCount: g.members.size,
+		WarmUp: margin, SendsToCold: g.members.ownsColdTarget, Quarantine: g.quarantine, Gate: g.backpressure.RequestGate(),
 	})
 	g.createServers()
 }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -40,10 +40,10 @@
 	shutdown *shutdownState
 	// quarantine holds the requests that crash their targets, which members report to each
 	// other.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	// backpressure holds the limits that targets ask for, which members report to each other
 	// too.
-	backpressure *backpressure.Keeper
+	backpressure *backpressure.Tracker
 	log          zerolog.Logger
 	// catchUpIfBehind catches up with a member that is ahead of this node.
 	catchUpIfBehind func(context.Context)
@@ -133,7 +133,7 @@
 // targets' limits.
 func (g *gossiper) withReports(out message.Gossip) message.Gossip {
 	out.Suspects, out.HeldSum = g.quarantine.Recent()
-	out.Limits = g.backpressure.Recent()
+	out.Limits = g.backpressure.RecentLimits()
 	return out
 }
 
@@ -142,7 +142,7 @@
 // the member holds.
 func (g *gossiper) mergeSuspects(ctx context.Context, member string, in message.Gossip) {
 	g.quarantine.Merge(member, in.Suspects)
-	if !g.quarantine.Compare(in.HeldSum) {
+	if !g.quarantine.NeedsSync(in.HeldSum) {
 		return
 	}
 	held, err := g.peers.fetchHeldRequests(ctx, member)
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -13,11 +13,11 @@
 		return
 	}
 	items := g.newItems(c.lastToken, c.quarantine.Suspected)
-	c.lastToken += batching.Token(len(items))
+	c.lastToken += batching.ItemID(len(items))
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
-		c.items[item.Token] = &pendingItem{group: g, index: i}
+		c.items[item.ID] = &pendingItem{group: g, index: i}
 	}
 	c.handle(batching.Submit{Items: items})
 }
@@ -26,7 +26,7 @@
 // report them as read after their read time.
 func (c *coordinator) markStarted(e batching.Send) {
 	for _, item := range e.Items {
-		p, known := c.items[item.Token]
+		p, known := c.items[item.ID]
 		if !known {
 			continue
 		}
@@ -44,11 +44,11 @@
 // resolveItem records the result of an item. The last result closes its group, and so does an
 // error.
 func (c *coordinator) resolveItem(e batching.Resolve) {
-	p, known := c.items[e.Token]
+	p, known := c.items[e.ItemID]
 	if !known {
 		return
 	}
-	delete(c.items, e.Token)
+	delete(c.items, e.ItemID)
 	if e.Err != nil {
 		c.closeGroup(p.group, e.Err)
 		return
@@ -82,7 +82,7 @@
 		finished := g.availableResults()
 		g.results = nil
 		sendReleases(c.system, c.self, finished)
-		c.system.Root.Send(c.self, batching.Withdraw{Tokens: g.tokens})
+		c.system.Root.Send(c.self, batching.Withdraw{ItemIDs: g.tokens})
 	}
 	close(g.done)
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -146,7 +146,7 @@
 	defer m.mu.Unlock()
 	now := m.now()
 	newest := m.roster.Newest(now, v.CatalogVersion(), int64(v.Revision))
-	return aheadMember{member: newest, version: m.roster.VersionOf(newest), followsReaders: m.roster.FollowsReaders(now)}
+	return aheadMember{member: newest, version: m.roster.CatalogVersion(newest), followsReaders: m.roster.FollowsReaders(now)}
 }
 
 // beginRound starts a gossip round: it increments this node's heartbeat, drops members that
@@ -156,7 +156,7 @@
 	defer m.mu.Unlock()
 	now := m.now()
 	m.roster.Heartbeat()
-	m.roster.Forget(now)
+	m.roster.Prune(now)
 	return m.roster.Partners(now, n)
 }
 
@@ -171,7 +171,7 @@
 func (m *members) readsCompact(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.roster.ReadsCompact(address)
+	return m.roster.SupportsCompact(address)
 }
 
 // mergeReply merges the reply of a member that was called, which proves that it is alive.
--- a/internal/gateway/membership/fleet_test.go
+++ b/internal/gateway/membership/fleet_test.go
@@ -98,7 +98,7 @@
 func (f *fleet) round(n *fleetNode) {
 	n.next = f.now.Add(fleetRound)
 	n.Heartbeat()
-	n.Forget(f.now)
+	n.Prune(f.now)
 	for _, address := range n.Partners(f.now, fleetPartners) {
 		partner := f.at[address]
 		if partner.down || partner.cut || n.cut {
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -70,8 +70,8 @@
 // LastContact returns when a member last gave a sign of life; zero for never.
 func (r *Roster) LastContact(address string) time.Time { return r.known[address].advanced }
 
-// Forget drops members that have been silent for longer than forgetAfter.
-func (r *Roster) Forget(now time.Time) {
+// Prune drops members that have been silent for longer than forgetAfter.
+func (r *Roster) Prune(now time.Time) {
 	r.changed()
 	maps.DeleteFunc(r.known, func(_ string, e rosterEntry) bool { return now.Sub(e.advanced) > forgetAfter })
 }
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -133,11 +133,11 @@
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Beat, b.Beat))
 }
 
-// VersionOf returns the version of the catalog that a member knows; 0 for unknown.
-func (r *Roster) VersionOf(address string) int { return r.known[address].Version }
+// CatalogVersion returns the version of the catalog that a member knows; 0 for unknown.
+func (r *Roster) CatalogVersion(address string) int { return r.known[address].Version }
 
-// ReadsCompact says whether a member reads the compact form of gossip.
-func (r *Roster) ReadsCompact(address string) bool { return r.known[address].Compact }
+// SupportsCompact says whether a member reads the compact form of gossip.
+func (r *Roster) SupportsCompact(address string) bool { return r.known[address].Compact }
 
 // Members returns all that is known, this member first, for the state dump.
 func (r *Roster) Members() []message.GossipMember {
--- a/internal/gateway/membership/rules_test.go
+++ b/internal/gateway/membership/rules_test.go
@@ -67,9 +67,9 @@
 	})
 	convey.Convey("A member that has been silent for 30 s is forgotten after that", t, func() {
 		r := roster(a)
-		r.Forget(rosterStart.Add(30 * time.Second))
+		r.Prune(rosterStart.Add(30 * time.Second))
 		convey.So(r.Members(), convey.ShouldHaveLength, 2)
-		r.Forget(rosterStart.Add(30*time.Second + time.Millisecond))
+		r.Prune(rosterStart.Add(30*time.Second + time.Millisecond))
 		convey.So(r.Members(), convey.ShouldHaveLength, 1)
 	})
 }
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -19,15 +19,15 @@
 )
 
 // newQuarantine returns a keeper whose changes are not reported.
-func newQuarantine() *quarantine.Keeper {
-	return quarantine.NewKeeper(quarantine.Config{
-		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, GivesOut: func(string) bool { return false },
+func newQuarantine() *quarantine.Tracker {
+	return quarantine.NewTracker(quarantine.Config{
+		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
 
 // newBackpressure returns a keeper whose changes are not reported.
-func newBackpressure() *backpressure.Keeper {
-	return backpressure.NewKeeper(backpressure.Config{
+func newBackpressure() *backpressure.Tracker {
+	return backpressure.NewTracker(backpressure.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, Rank: func(string) (before, members int) { return 0, 1 },
 	})
 }
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -256,7 +256,7 @@
 // remaining time is 1 ms, since 0 means that the target has not lapsed.
 func encodeTarget(now time.Time, t directory.Target) message.ViewTarget {
 	m := message.ViewTarget{
-		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.Born),
+		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.StartMs),
 		Draining: t.State == directory.Draining,
 	}
 	switch t.State {
@@ -274,7 +274,7 @@
 
 // decodeTarget decodes a target that a member sent.
 func decodeTarget(now time.Time, t message.ViewTarget) directory.Target {
-	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int32(t.Slots), Born: int64(t.Born)}
+	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int32(t.Slots), StartMs: int64(t.Born)}
 	switch {
 	case t.Draining:
 		target.State = directory.Draining
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -22,7 +22,7 @@
 	gossip       *gossiper
 	coordinators *coordinators
 	prompts      *promptPlacer
-	quarantine   *quarantine.Keeper
+	quarantine   *quarantine.Tracker
 }
 
 func (s *peerServer) handler() http.Handler {
@@ -34,7 +34,7 @@
 	mux.HandleFunc("POST "+wire.PathPlace, s.servePlace)
 	mux.HandleFunc("POST "+wire.PathRead, s.servePrefill)
 	mux.HandleFunc("GET "+wire.PathView, s.serveView)
-	mux.HandleFunc("GET "+wire.PathSuspects, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.quarantine.All()) })
+	mux.HandleFunc("GET "+wire.PathSuspects, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.quarantine.HeldRequests()) })
 	return mux
 }
 
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -13,7 +13,7 @@
 	group   relay.Group
 	results []batching.Result
 	err     *verdict.Error
-	tokens  []batching.Token
+	tokens  []batching.ItemID
 	// pending counts the items without a result.
 	pending int
 	// onInputsRead is called once all items are assumed to have read their inputs; it may be
@@ -64,13 +64,13 @@
 
 // newItems creates the group's items, with the tokens that follow last. suspected reports
 // whether a target crashed with an item before.
-func (g *pendingGroup) newItems(last batching.Token, suspected func(quarantine.Digest) bool) []batching.Item {
+func (g *pendingGroup) newItems(last batching.ItemID, suspected func(quarantine.Digest) bool) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
 	for i := range items {
-		token := last + 1 + batching.Token(i)
+		token := last + 1 + batching.ItemID(i)
 		g.tokens = append(g.tokens, token)
 		items[i] = batching.Item{
-			Token: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
+			ID: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
 			Source: g.group.Source, Inputs: g.group.Inputs, Bytes: g.group.Bytes,
 			Due: g.group.Due, Deadline: g.group.Deadline, Priority: g.group.Priority,
 			DataCentre: g.group.DataCentre, Digest: g.group.Digest.Item(i),
--- a/internal/gateway/placement/bench_test.go
+++ b/internal/gateway/placement/bench_test.go
@@ -16,11 +16,11 @@
 	table := placement.NewTargetTable()
 	for i, e := range engines(n) {
 		for range i % 5 {
-			table.Sent(e.Life())
+			table.RecordStart(e.Incarnation())
 		}
-		table.Sent(e.Life())
-		table.Ended(now, e.Life(), time.Duration(50+i)*time.Millisecond, i%7 == 0)
-		table.Report(now, e.Life(), placement.Load{Running: i % 4, Waiting: i % 3, Slots: 8})
+		table.RecordStart(e.Incarnation())
+		table.RecordEnd(now, e.Incarnation(), time.Duration(50+i)*time.Millisecond, i%7 == 0)
+		table.RecordLoad(now, e.Incarnation(), placement.Load{Running: i % 4, Waiting: i % 3, Slots: 8})
 	}
 	return table
 }
@@ -92,7 +92,7 @@
 			Request: fmt.Sprint("r", n), Tokens: 3000, Slack: time.Second,
 			Shared: []placement.SharedPart{{Key: uint64(session%largeFirstParts + 1), Tokens: 300}, {Key: uint64(session + 1000), Tokens: 700}},
 		})
-		chooser.Prefilled(at, fmt.Sprint("r", n-100), true)
+		chooser.RecordPrefill(at, fmt.Sprint("r", n-100), true)
 	}
 	for range 15_000 {
 		place()
--- a/internal/gateway/placement/byprefill.go
+++ b/internal/gateway/placement/byprefill.go
@@ -56,9 +56,9 @@
 	// Suspect says that engines ended with the request before: it goes to one that has no
 	// other such prompt pending, where there is one.
 	Suspect bool
-	// GivesOut says whether this member gives out requests of cold engines. It is asked at
+	// MayAssign says whether this member gives out requests of cold engines. It is asked at
 	// most once, and only when there is one.
-	GivesOut func() bool
+	MayAssign func() bool
 }
 
 // key is that of the last shared part, the one that only prompts of the same session
@@ -117,14 +117,14 @@
 		return Placement{}, false
 	}
 	engine := engines[chosen.index]
-	p.limits.Sent(now, engine)
+	p.limits.Take(now, engine)
 	placed := Placement{Target: engine}
 	held := a.cached[chosen.index]
 	if source, ok := p.copySource(now, engines, a.cached, chosen.index, q); ok {
 		placed.CopyFrom = engines[source].Address
 		held = a.cached[source]
 	}
-	p.add(now, engine, q, q.prefillTokens(held), a.backlogs[engine.Life()] == 0)
+	p.add(now, engine, q, q.prefillTokens(held), a.backlogs[engine.Incarnation()] == 0)
 	return placed, true
 }
 
@@ -137,7 +137,7 @@
 	allowed allows
 	inputs  transfer
 	// backlogs is how many tokens each engine has to prefill.
-	backlogs map[directory.Life]int
+	backlogs map[directory.Incarnation]int
 	// cached is how many tokens of the prompt the engines that were looked at have cached,
 	// by their index, and mostCached the most of them.
 	cached     map[int]int
@@ -161,7 +161,7 @@
 
 // look notes what an engine has cached.
 func (a *assessor) look(i int) {
-	a.cached[i] = a.cache.tokens(a.engines[i].Life(), a.q.Shared)
+	a.cached[i] = a.cache.tokens(a.engines[i].Incarnation(), a.q.Shared)
 	a.mostCached = max(a.mostCached, a.cached[i])
 }
 
@@ -204,7 +204,7 @@
 // assess says what the prompt costs at an engine.
 func (a *assessor) assess(r ranked, e *directory.Target) assessment {
 	held := a.cached[r.index]
-	cost := a.promptCost(a.q, engineLoad{backlog: a.backlogs[e.Life()], cached: held, cachedElsewhere: a.mostCached - held})
+	cost := a.promptCost(a.q, engineLoad{backlog: a.backlogs[e.Incarnation()], cached: held, cachedElsewhere: a.mostCached - held})
 	cost += rankCost * float64(r.rank)
 	cost += a.inputs.cost(e.DataCentre)
 	if e.State == directory.Lapsed {
@@ -227,7 +227,7 @@
 
 // allows returns whether engines may get one more prompt by the limits of cold ones.
 func (p *EngineChooser) allows(now time.Time, q Prompt) allows {
-	givesOut := sync.OnceValue(q.GivesOut)
+	givesOut := sync.OnceValue(q.MayAssign)
 	return func(e directory.Target) bool { return p.limits.Allows(now, e, givesOut) }
 }
 
--- a/internal/gateway/placement/byprefill_test.go
+++ b/internal/gateway/placement/byprefill_test.go
@@ -19,7 +19,7 @@
 	place := func(pendingTokens int, list []directory.Target, q placement.Prompt) (first, got placement.Placement) {
 		p := placement.NewEngineChooser()
 		first, _ = p.Place(now, engines(2), prompt("before", 7))
-		p.Prefilled(now, "before", false)
+		p.RecordPrefill(now, "before", false)
 		if pendingTokens > 0 {
 			others := []string{"t0", "t1"}
 			for _, id := range others {
@@ -87,11 +87,11 @@
 				p.Place(now, engines(1), placement.Prompt{Request: "beside", Tokens: 1})
 			}
 			p.Place(now, engines(1), placement.Prompt{Request: "slow", Tokens: tokens})
-			p.Prefilled(now.Add(4*time.Second), "slow", whole)
+			p.RecordPrefill(now.Add(4*time.Second), "slow", whole)
 		}
-		p.Prefilled(now, "beside", false)
+		p.RecordPrefill(now, "beside", false)
 		first, _ := p.Place(now, engines(2), prompt("before", 7))
-		p.Prefilled(now, "before", false)
+		p.RecordPrefill(now, "before", false)
 		other := "t0"
 		if first.ID == "t0" {
 			other = "t1"
@@ -148,10 +148,10 @@
 		} else {
 			other = other[:1]
 		}
-		p.Prefilled(now, "a", false)
+		p.RecordPrefill(now, "a", false)
 		// The session moved to the other engine at the same time.
 		p.Place(now, other, prompt("b", key))
-		p.Prefilled(now, "b", false)
+		p.RecordPrefill(now, "b", false)
 		if prune {
 			p.Prune(now, directory.New(other...))
 		}
--- a/internal/gateway/placement/byprefix.go
+++ b/internal/gateway/placement/byprefix.go
@@ -62,7 +62,7 @@
 	inputs := newTransfer(q.InputBytes)
 	rankCost := max(rankTokensCost*float64(q.SharedTokens)/tokensPerUnit, minRankCost)
 	assess := func(r ranked, c *directory.Target) assessment {
-		s := t.of(c.Life())
+		s := t.of(c.Incarnation())
 		cost := s.engineLoad(now, c.Slots)
 		cost += inputs.cost(c.DataCentre)
 		if q.Key != 0 {
--- a/internal/gateway/placement/byprefix_test.go
+++ b/internal/gateway/placement/byprefix_test.go
@@ -34,7 +34,7 @@
 	sent := func(n int) func(*placement.TargetTable) {
 		return func(table *placement.TargetTable) {
 			for range n {
-				table.Sent(first.Life())
+				table.RecordStart(first.Incarnation())
 			}
 		}
 	}
@@ -49,13 +49,13 @@
 		{"its engine is full, but long parts are cached there", sent(8), placement.Query{Key: 7, SharedTokens: 8000}, first},
 		{"its engine is more than full", sent(11), placement.Query{Key: 7, SharedTokens: 8000}, other},
 		{"its engine reported calls of other nodes", func(table *placement.TargetTable) {
-			table.Report(now, first.Life(), placement.Load{Running: 6, Slots: 8})
+			table.RecordLoad(now, first.Incarnation(), placement.Load{Running: 6, Slots: 8})
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine has failed", func(table *placement.TargetTable) {
 			answered(table, now, first.ID, time.Millisecond, true)
 		}, placement.Query{Key: 7, SharedTokens: 2000}, other},
 		{"its engine is ejected, whatever is cached there", func(table *placement.TargetTable) {
-			table.Eject(now, first.Life())
+			table.Eject(now, first.Incarnation())
 		}, placement.Query{Key: 7, SharedTokens: 100_000}, other},
 		{"8 MB lie at its engine, 16 MB at the other", nil, placement.Query{
 			Key: 7, SharedTokens: 2000, InputBytes: map[string]int64{first.DataCentre: 8e6, other.DataCentre: 16e6},
@@ -81,7 +81,7 @@
 			table := placement.NewTargetTable()
 			got, _ := table.ByPrefix(now, engines(2), placement.Query{SharedTokens: 5000})
 			convey.So(got.ID, convey.ShouldEqual, "t0")
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 			got, _ = table.ByPrefix(now, engines(2), placement.Query{SharedTokens: 5000})
 			convey.So(got.ID, convey.ShouldEqual, "t1")
 		})
@@ -94,12 +94,12 @@
 			fourth := chosen(table, q)
 			for _, id := range q.Exclude {
 				for range 24 {
-					table.Sent(life(id))
+					table.RecordStart(life(id))
 				}
 			}
 			q.Exclude = nil
 			convey.So(chosen(table, q), convey.ShouldEqual, fourth)
-			table.Sent(life(fourth))
+			table.RecordStart(life(fourth))
 			convey.So(chosen(table, q), convey.ShouldNotEqual, fourth)
 		})
 		convey.Convey("no engine is left is none", func() {
--- a/internal/gateway/placement/candidates.go
+++ b/internal/gateway/placement/candidates.go
@@ -104,23 +104,23 @@
 	InputBytes map[string]int64
 	// Subset limits the targets of plain calls.
 	Subset Subset
-	// Limits bound what cold targets get, and GivesOut says whether this node gives out
+	// Limiter bound what cold targets get, and GivesOut says whether this node gives out
 	// the requests of one that is cold.
-	Limits   *warmup.Limits
-	GivesOut func(target string) bool
+	Limiter   *warmup.Limiter
+	MayAssign func(target string) bool
 }
 
 // allows returns whether targets may get one more request by the limits of cold ones.
 func (q Query) allows(now time.Time) allows {
 	return func(t directory.Target) bool {
-		return q.Limits.Allows(now, t, func() bool { return q.GivesOut(t.ID) })
+		return q.Limiter.Allows(now, t, func() bool { return q.MayAssign(t.ID) })
 	}
 }
 
 // sent counts a request that a target gets now.
 func (q Query) sent(now time.Time, t directory.Target, found bool) (directory.Target, bool) {
 	if found {
-		q.Limits.Sent(now, t)
+		q.Limiter.Take(now, t)
 	}
 	return t, found
 }
--- a/internal/gateway/placement/chooser.go
+++ b/internal/gateway/placement/chooser.go
@@ -43,12 +43,12 @@
 	// milliseconds; 0 for unknown.
 	copyTime float64
 	// limits bound what cold engines get.
-	limits *warmup.Limits
+	limits *warmup.Limiter
 }
 
 // pendingPrompt is a prompt that waits for its prefill or is in it.
 type pendingPrompt struct {
-	engine directory.Life
+	engine directory.Incarnation
 	// tokens is how many tokens the engine has to prefill.
 	tokens int
 	placed time.Time
@@ -63,7 +63,7 @@
 func NewEngineChooser() *EngineChooser {
 	return &EngineChooser{
 		cache: newPrefixCache(), pending: map[string]pendingPrompt{}, prefillRate: firstPrefillRate,
-		limits: warmup.New(),
+		limits: warmup.NewLimiter(),
 	}
 }
 
@@ -76,11 +76,11 @@
 // SetWarmUp sets what a cold engine gets from all nodes together.
 func (p *EngineChooser) SetWarmUp(b warmup.Bound) { p.limits.SetBound(b) }
 
-// Prefilled reports that a prompt has its first event, or that its request has
+// RecordPrefill reports that a prompt has its first event, or that its request has
 // ended. The prefill rate is learnt from whole prompts that an engine prefilled
 // alone. Unknown requests are ignored: they were placed by another member or have
 // expired.
-func (p *EngineChooser) Prefilled(now time.Time, request string, whole bool) {
+func (p *EngineChooser) RecordPrefill(now time.Time, request string, whole bool) {
 	r, known := p.pending[request]
 	if !known {
 		return
@@ -102,13 +102,13 @@
 // add counts a prompt as pending at an engine, which prefills the given tokens of it,
 // and its shared parts as cached there from now on.
 func (p *EngineChooser) add(now time.Time, engine directory.Target, q Prompt, tokens int, alone bool) {
-	p.pending[q.Request] = pendingPrompt{engine: engine.Life(), tokens: tokens, placed: now, alone: alone, suspect: q.Suspect}
-	p.cache.use(now, engine.Life(), q.Shared)
+	p.pending[q.Request] = pendingPrompt{engine: engine.Incarnation(), tokens: tokens, placed: now, alone: alone, suspect: q.Suspect}
+	p.cache.use(now, engine.Incarnation(), q.Shared)
 }
 
 // backlogs returns how many tokens each engine has to prefill.
-func (p *EngineChooser) backlogs() map[directory.Life]int {
-	tokens := make(map[directory.Life]int)
+func (p *EngineChooser) backlogs() map[directory.Incarnation]int {
+	tokens := make(map[directory.Incarnation]int)
 	for _, r := range p.pending {
 		tokens[r.engine] += r.tokens
 	}
--- a/internal/gateway/placement/cold_test.go
+++ b/internal/gateway/placement/cold_test.go
@@ -14,7 +14,7 @@
 
 // coldBound is of engines that bear 10 requests a second while they are cold, and 20 at
 // most from all nodes.
-var coldBound = warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{Time: 3 * time.Second, PerSecond: 10})
+var coldBound = warmup.Margin{Overshoot: 1.5, Tolerance: 5}.Bound(catalog.WarmUp{Duration: 3 * time.Second, RequestsPerSecond: 10})
 
 // coldEngines returns engines of which some are cold for a minute.
 func coldEngines(n int, cold func(i int) bool) []directory.Target {
@@ -34,13 +34,13 @@
 	for i := range perSecond {
 		at := now.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
 		q := prompt(string(rune('a'+i)), 7)
-		q.GivesOut = func() bool { return givesOut }
+		q.MayAssign = func() bool { return givesOut }
 		placed, found := p.Place(at, list, q)
 		if !found {
 			refused++
 			continue
 		}
-		p.Prefilled(at, q.Request, true)
+		p.RecordPrefill(at, q.Request, true)
 		got[placed.ID]++
 	}
 	return got, refused
@@ -87,8 +87,8 @@
 // TestColdTargetsOfNodesAlone holds that a node which chooses on its own sends to a cold
 // target only when it gives out its requests.
 func TestColdTargetsOfNodesAlone(t *testing.T) {
-	limits := func() *warmup.Limits {
-		l := warmup.New()
+	limits := func() *warmup.Limiter {
+		l := warmup.NewLimiter()
 		l.SetBound(coldBound)
 		return l
 	}
@@ -107,7 +107,7 @@
 		convey.Convey("When a node chooses "+name+" on its own", t, func() {
 			table := placement.NewTargetTable()
 			convey.Convey("it passes over a cold one that others give out", func() {
-				q := placement.Query{Key: 7, Limits: limits(), GivesOut: gives(false)}
+				q := placement.Query{Key: 7, Limiter: limits(), MayAssign: gives(false)}
 				for range 20 {
 					got, found := choose(table, list, q)
 					convey.So(found, convey.ShouldBeTrue)
@@ -117,7 +117,7 @@
 				convey.So(found, convey.ShouldBeFalse)
 			})
 			convey.Convey("it sends a cold one that it gives out no more than its part", func() {
-				q := placement.Query{Key: 7, Limits: limits(), GivesOut: gives(true)}
+				q := placement.Query{Key: 7, Limiter: limits(), MayAssign: gives(true)}
 				n := 0
 				for range 20 {
 					if _, found := choose(table, allCold[:1], q); found {
--- a/internal/gateway/placement/copysource.go
+++ b/internal/gateway/placement/copysource.go
@@ -43,7 +43,7 @@
 		if cached[i] < most || i == chosen || e.State == directory.Lapsed || !e.Usable(now) || slices.Contains(q.Exclude, e.ID) {
 			continue
 		}
-		used := p.cache.lastUsed(e.Life(), q.Shared)
+		used := p.cache.lastUsed(e.Incarnation(), q.Shared)
 		if cached[i] > most || used.After(last) {
 			most, last, source, found = cached[i], used, i, true
 		}
--- a/internal/gateway/placement/leastloaded.go
+++ b/internal/gateway/placement/leastloaded.go
@@ -37,7 +37,7 @@
 func (t *TargetTable) LeastLoaded(now time.Time, targets []directory.Target, q Query) (directory.Target, bool) {
 	subset := q.Subset.contains(targets, q.DataCentre)
 	i, found := best(now, targets, q.Exclude, q.allows(now), func(i int, c *directory.Target) assessment {
-		s := t.of(c.Life())
+		s := t.of(c.Incarnation())
 		latency := max(s.latency*remainingWeight(now, s.learntAt), minLatency)
 		cost := latency * (1 + s.outstanding(now)/s.slots(c.Slots)) * (1 + failurePenalty*s.failing)
 		if c.DataCentre != q.DataCentre {
--- a/internal/gateway/placement/leastloaded_test.go
+++ b/internal/gateway/placement/leastloaded_test.go
@@ -12,8 +12,8 @@
 
 // answered counts a call that ended.
 func answered(table *placement.TargetTable, at time.Time, id string, took time.Duration, failed bool) {
-	table.Sent(life(id))
-	table.Ended(at, life(id), took, failed)
+	table.RecordStart(life(id))
+	table.RecordEnd(at, life(id), took, failed)
 }
 
 // pair returns targets t0 and t1 of the same data centre, t0 in a state.
@@ -49,7 +49,7 @@
 			answered(table, now, "t1", 9*time.Millisecond, false)
 		}, engines(2), placement.Query{DataCentre: "d0"}, "t0"},
 		{
-			"the one with fewer calls outstanding", func(table *placement.TargetTable) { table.Sent(life("t0")) },
+			"the one with fewer calls outstanding", func(table *placement.TargetTable) { table.RecordStart(life("t0")) },
 			pair(directory.Ready),
 			placement.Query{DataCentre: "d0"},
 			"t1",
@@ -61,14 +61,14 @@
 		{"the faster one with more load, when it still answers first", func(table *placement.TargetTable) {
 			answered(table, now, "t0", 10*time.Millisecond, false)
 			answered(table, now, "t1", 40*time.Millisecond, false)
-			table.Report(now, life("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
+			table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Waiting: 8, Slots: 8})
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0"}, "t0"},
 		{"a healthy one, however slow, before one whose connections are full", func(table *placement.TargetTable) {
 			answered(table, now, "t1", time.Minute, false)
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 		}, pair(directory.Ready), placement.Query{DataCentre: "d0", MaxInflight: 1}, "t1"},
 		{
-			"one whose connections are full before a lapsed one", func(table *placement.TargetTable) { table.Sent(life("t1")) },
+			"one whose connections are full before a lapsed one", func(table *placement.TargetTable) { table.RecordStart(life("t1")) },
 			pair(directory.Lapsed),
 			placement.Query{DataCentre: "d0", MaxInflight: 1},
 			"t1",
@@ -117,7 +117,7 @@
 	}
 	convey.Convey("A reported load counts for 500 ms", t, func() {
 		table := placement.NewTargetTable()
-		table.Report(now, life("t0"), placement.Load{Running: 8, Slots: 8})
+		table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Slots: 8})
 		convey.So(chosen(table, 500*time.Millisecond), convey.ShouldEqual, "t1")
 		convey.So(chosen(table, 501*time.Millisecond), convey.ShouldEqual, "t0")
 	})
@@ -141,8 +141,8 @@
 			table := placement.NewTargetTable()
 			list := pair(directory.Ready)
 			list[0].Slots, list[1].Slots = 0, int32(slots)
-			table.Sent(life("t0"))
-			table.Sent(life("t1"))
+			table.RecordStart(life("t0"))
+			table.RecordStart(life("t1"))
 			got, _ := table.LeastLoaded(now, list, q)
 			convey.So(got.ID, convey.ShouldEqual, want)
 		}
--- a/internal/gateway/placement/outlier.go
+++ b/internal/gateway/placement/outlier.go
@@ -68,7 +68,7 @@
 }
 
 // Eject ejects a target at once, for a failure that proves that it is down.
-func (t *TargetTable) Eject(now time.Time, l directory.Life) {
+func (t *TargetTable) Eject(now time.Time, l directory.Incarnation) {
 	s := t.of(l)
 	s.failing = 1
 	s.learntAt = now
@@ -80,7 +80,7 @@
 func (t *TargetTable) Ejected(now time.Time, d *directory.Directory) []string {
 	var list []string
 	for life, s := range t.targets {
-		if s.outlier.ejected(now) && d.Lives(life) {
+		if s.outlier.ejected(now) && d.IsCurrent(life) {
 			list = append(list, life.ID)
 		}
 	}
--- a/internal/gateway/placement/outlier_test.go
+++ b/internal/gateway/placement/outlier_test.go
@@ -63,13 +63,13 @@
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
 		})
 		convey.Convey("then for all but one call, the probe", func() {
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeTrue)
 		})
 		convey.Convey("a probe that succeeds ends the ejection, whatever failed before", func() {
 			probe(time.Second, false)
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
-			table.Sent(life("t0"))
+			table.RecordStart(life("t0"))
 			convey.So(ejectedAfter(table, time.Second), convey.ShouldBeFalse)
 		})
 		convey.Convey("probes that fail eject it again, for 2 s and then 4 s each", func() {
@@ -85,10 +85,10 @@
 		convey.Convey("calls that were sent before and fail double the time too", func() {
 			table := placement.NewTargetTable()
 			for range 3 {
-				table.Sent(life("t0"))
+				table.RecordStart(life("t0"))
 			}
 			for range 3 {
-				table.Ended(now, life("t0"), time.Millisecond, true)
+				table.RecordEnd(now, life("t0"), time.Millisecond, true)
 			}
 			convey.So(ejectedAfter(table, 1999*time.Millisecond), convey.ShouldBeTrue)
 			convey.So(ejectedAfter(table, 2*time.Second), convey.ShouldBeFalse)
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -45,7 +45,7 @@
 		q := placement.Query{Key: 7, SharedTokens: 500}
 		first, _ := table.ByPrefix(now, engines(3), q)
 		for range 8 {
-			table.Sent(first.Life())
+			table.RecordStart(first.Incarnation())
 		}
 		second, _ := table.ByPrefix(now, engines(3), q)
 		convey.So(second.ID, convey.ShouldNotEqual, first.ID)
@@ -56,8 +56,8 @@
 	q := placement.Query{DataCentre: "d0"}
 	convey.Convey("A target that fails is ejected and probed", t, func() {
 		table := placement.NewTargetTable()
-		table.Sent(life("t0"))
-		table.Ended(now, life("t0"), time.Millisecond, true)
+		table.RecordStart(life("t0"))
+		table.RecordEnd(now, life("t0"), time.Millisecond, true)
 		table.Eject(now, life("t0"))
 		for range 5 {
 			got, _ := table.LeastLoaded(now, engines(2), q)
@@ -70,9 +70,9 @@
 		})
 		convey.Convey("by one request after a while, which lets it back", func() {
 			later := now.Add(time.Minute)
-			table.Sent(life("t0"))
-			table.Ended(later, life("t0"), time.Millisecond, false)
-			table.Sent(life("t1"))
+			table.RecordStart(life("t0"))
+			table.RecordEnd(later, life("t0"), time.Millisecond, false)
+			table.RecordStart(life("t1"))
 			got, _ := table.LeastLoaded(later, engines(2), q)
 			convey.So(got.ID, convey.ShouldEqual, "t0")
 		})
@@ -85,7 +85,7 @@
 	})
 	convey.Convey("What a target reported counts until it is old", t, func() {
 		table := placement.NewTargetTable()
-		table.Report(now, life("t0"), placement.Load{Running: 8, Waiting: 30, Slots: 8})
+		table.RecordLoad(now, life("t0"), placement.Load{Running: 8, Waiting: 30, Slots: 8})
 		got, _ := table.LeastLoaded(now, engines(2), q)
 		convey.So(got.ID, convey.ShouldEqual, "t1")
 		got, _ = table.LeastLoaded(now.Add(time.Second), engines(2), q)
@@ -108,4 +108,4 @@
 }
 
 // life is the life of a target whose start is not known.
-func life(id string) directory.Life { return directory.Life{ID: id} }
+func life(id string) directory.Incarnation { return directory.Incarnation{ID: id} }
--- a/internal/gateway/placement/prefixcache.go
+++ b/internal/gateway/placement/prefixcache.go
@@ -30,22 +30,22 @@
 // so a part that an engine has dropped for want of memory still counts.
 type prefixCache struct {
 	// used says when each engine last used a part, by the part's key.
-	used map[uint64]map[directory.Life]time.Time
+	used map[uint64]map[directory.Incarnation]time.Time
 	// last is the engine that used a part last.
-	last map[uint64]directory.Life
+	last map[uint64]directory.Incarnation
 	// forgotten is when parts that were too old were last looked for.
 	forgotten time.Time
 }
 
 func newPrefixCache() prefixCache {
-	return prefixCache{used: map[uint64]map[directory.Life]time.Time{}, last: map[uint64]directory.Life{}}
+	return prefixCache{used: map[uint64]map[directory.Incarnation]time.Time{}, last: map[uint64]directory.Incarnation{}}
 }
 
 // use notes that an engine prefills shared parts, or has them cached.
-func (c *prefixCache) use(now time.Time, engine directory.Life, parts []SharedPart) {
+func (c *prefixCache) use(now time.Time, engine directory.Incarnation, parts []SharedPart) {
 	for _, part := range parts {
 		if c.used[part.Key] == nil {
-			c.used[part.Key] = map[directory.Life]time.Time{}
+			c.used[part.Key] = map[directory.Incarnation]time.Time{}
 		}
 		c.used[part.Key][engine] = now
 		c.last[part.Key] = engine
@@ -54,7 +54,7 @@
 
 // tokens returns how many tokens of a prompt's shared parts an engine has cached: a part
 // counts only when all parts before it do.
-func (c *prefixCache) tokens(engine directory.Life, parts []SharedPart) int {
+func (c *prefixCache) tokens(engine directory.Incarnation, parts []SharedPart) int {
 	total := 0
 	for _, part := range parts {
 		if _, cached := c.used[part.Key][engine]; !cached {
@@ -66,8 +66,8 @@
 }
 
 // lastUsers returns the engines that used one of the parts last, each once.
-func (c *prefixCache) lastUsers(parts []SharedPart) []directory.Life {
-	var lives []directory.Life
+func (c *prefixCache) lastUsers(parts []SharedPart) []directory.Incarnation {
+	var lives []directory.Incarnation
 	for _, part := range parts {
 		if life, known := c.last[part.Key]; known && !slices.Contains(lives, life) {
 			lives = append(lives, life)
@@ -77,7 +77,7 @@
 }
 
 // lastUsed returns when an engine last used the last of the parts.
-func (c *prefixCache) lastUsed(engine directory.Life, parts []SharedPart) time.Time {
+func (c *prefixCache) lastUsed(engine directory.Incarnation, parts []SharedPart) time.Time {
 	if len(parts) == 0 {
 		return time.Time{}
 	}
@@ -87,7 +87,7 @@
 // prune forgets engines that are gone or have started again, which leaves nothing cached.
 func (c *prefixCache) prune(d *directory.Directory) {
 	for _, engines := range c.used {
-		maps.DeleteFunc(engines, func(l directory.Life, _ time.Time) bool { return !d.Lives(l) })
+		maps.DeleteFunc(engines, func(l directory.Incarnation, _ time.Time) bool { return !d.IsCurrent(l) })
 	}
 }
 
@@ -97,9 +97,9 @@
 		return
 	}
 	c.forgotten = now
-	maps.DeleteFunc(c.used, func(_ uint64, engines map[directory.Life]time.Time) bool {
-		maps.DeleteFunc(engines, func(_ directory.Life, used time.Time) bool { return now.Sub(used) > cachedFor })
+	maps.DeleteFunc(c.used, func(_ uint64, engines map[directory.Incarnation]time.Time) bool {
+		maps.DeleteFunc(engines, func(_ directory.Incarnation, used time.Time) bool { return now.Sub(used) > cachedFor })
 		return len(engines) == 0
 	})
-	maps.DeleteFunc(c.last, func(key uint64, _ directory.Life) bool { return c.used[key] == nil })
+	maps.DeleteFunc(c.last, func(key uint64, _ directory.Incarnation) bool { return c.used[key] == nil })
 }
--- a/internal/gateway/placement/prompts_test.go
+++ b/internal/gateway/placement/prompts_test.go
@@ -19,7 +19,7 @@
 	convey.Convey("A session stays at its engine while that is in time", t, func() {
 		p := placement.NewEngineChooser()
 		first, _ := p.Place(now, engines(9), prompt("a", 7))
-		p.Prefilled(now, "a", true)
+		p.RecordPrefill(now, "a", true)
 		second, _ := p.Place(now, engines(9), prompt("b", 7))
 		convey.So(second.ID, convey.ShouldEqual, first.ID)
 	})
@@ -33,7 +33,7 @@
 		convey.So(len(used), convey.ShouldEqual, 3)
 		convey.Convey("and both engines keep the session then", func() {
 			for i := range 24 {
-				p.Prefilled(now, fmt.Sprint(i), false)
+				p.RecordPrefill(now, fmt.Sprint(i), false)
 			}
 			for i := range 3 {
 				all := engines(3)
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -41,7 +41,7 @@
 	// dataCentres is how many data centres there are.
 	dataCentres int
 	// byLife gives the number of an engine; nil until it is asked for.
-	byLife map[directory.Life]int
+	byLife map[directory.Incarnation]int
 }
 
 // of returns the index of a list of engines, which must not change.
@@ -70,11 +70,11 @@
 }
 
 // find returns the index of an engine; false for one that is not listed.
-func (x *engineIndex) find(life directory.Life) (int, bool) {
+func (x *engineIndex) find(life directory.Incarnation) (int, bool) {
 	if x.byLife == nil {
-		x.byLife = make(map[directory.Life]int, len(x.engines))
+		x.byLife = make(map[directory.Incarnation]int, len(x.engines))
 		for i := range x.engines {
-			x.byLife[x.engines[i].Life()] = i
+			x.byLife[x.engines[i].Incarnation()] = i
 		}
 	}
 	i, listed := x.byLife[life]
--- a/internal/gateway/placement/shortlist_test.go
+++ b/internal/gateway/placement/shortlist_test.go
@@ -54,7 +54,7 @@
 		Shared:     []placement.SharedPart{{Key: uint64(session%3 + 1), Tokens: 500}, {Key: uint64(session + 1000), Tokens: 4800}},
 		InputBytes: map[string]int64{fmt.Sprint("d", session%6): 2e6},
 	})
-	f.chooser.Prefilled(f.at, fmt.Sprint("r", f.n-fleetPrompts/5), true)
+	f.chooser.RecordPrefill(f.at, fmt.Sprint("r", f.n-fleetPrompts/5), true)
 	return placed
 }
 
@@ -118,7 +118,7 @@
 		placed, ok := f.chooser.Place(now, f.engines, prompt("a", 7))
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(placed.ID, convey.ShouldEqual, "t00077")
-		alone, ok := placement.NewTargetTable().ByPrefix(now, f.engines, placement.Query{Key: 7, SharedTokens: 100, GivesOut: func(string) bool { return true }})
+		alone, ok := placement.NewTargetTable().ByPrefix(now, f.engines, placement.Query{Key: 7, SharedTokens: 100, MayAssign: func(string) bool { return true }})
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(alone.ID, convey.ShouldEqual, "t00077")
 	})
--- a/internal/gateway/placement/subset_test.go
+++ b/internal/gateway/placement/subset_test.go
@@ -56,7 +56,7 @@
 		q := Query{DataCentre: "d0", MaxInflight: 1, Subset: Subset{Node: "n", Size: 1}}
 		first, _ := table.LeastLoaded(now, targets, q)
 		convey.So(first.ID, convey.ShouldEqual, "t0")
-		table.Sent(directory.Life{ID: "t0"})
+		table.RecordStart(directory.Incarnation{ID: "t0"})
 		second, _ := table.LeastLoaded(now, targets, q)
 		convey.So(second.ID, convey.ShouldNotEqual, "t0")
 	})
--- a/internal/gateway/placement/targets.go
+++ b/internal/gateway/placement/targets.go
@@ -42,7 +42,7 @@
 // TargetTable is what a node learnt of all targets, by its own calls and by what
 // answers reported, by their lives. It is not safe for concurrent use.
 type TargetTable struct {
-	targets map[directory.Life]*stats
+	targets map[directory.Incarnation]*stats
 	// indexes are those of the engines of each service.
 	indexes map[string]*engineIndex
 }
@@ -67,10 +67,10 @@
 
 // NewTargetTable returns an empty table.
 func NewTargetTable() *TargetTable {
-	return &TargetTable{targets: map[directory.Life]*stats{}, indexes: map[string]*engineIndex{}}
+	return &TargetTable{targets: map[directory.Incarnation]*stats{}, indexes: map[string]*engineIndex{}}
 }
 
-func (t *TargetTable) of(l directory.Life) *stats {
+func (t *TargetTable) of(l directory.Incarnation) *stats {
 	s := t.targets[l]
 	if s == nil {
 		s = &stats{}
@@ -79,17 +79,17 @@
 	return s
 }
 
-// Sent counts a call that is being sent to a target.
-func (t *TargetTable) Sent(l directory.Life) {
+// RecordStart counts a call that is being sent to a target.
+func (t *TargetTable) RecordStart(l directory.Incarnation) {
 	s := t.of(l)
 	s.inflight++
 	s.sentSinceLoad++
 	s.outlier.sent()
 }
 
-// Ended counts the end of a call that took some time. A failure is the target's
+// RecordEnd counts the end of a call that took some time. A failure is the target's
 // own: no answer, a broken one, or one that says that the target is in trouble.
-func (t *TargetTable) Ended(now time.Time, l directory.Life, took time.Duration, failed bool) {
+func (t *TargetTable) RecordEnd(now time.Time, l directory.Incarnation, took time.Duration, failed bool) {
 	s := t.of(l)
 	s.inflight--
 	s.failing *= remainingWeight(now, s.learntAt)
@@ -106,8 +106,8 @@
 	s.outlier.ended(now, failed, s.failing)
 }
 
-// Report takes in the load that a target reported.
-func (t *TargetTable) Report(now time.Time, l directory.Life, load Load) {
+// RecordLoad takes in the load that a target reported.
+func (t *TargetTable) RecordLoad(now time.Time, l directory.Incarnation, load Load) {
 	s := t.of(l)
 	s.load = load
 	s.loadAt = now
@@ -117,7 +117,7 @@
 // Prune forgets lives that have ended, of which no call is left.
 func (t *TargetTable) Prune(d *directory.Directory) {
 	for l, s := range t.targets {
-		if !d.Lives(l) && s.inflight <= 0 {
+		if !d.IsCurrent(l) && s.inflight <= 0 {
 			delete(t.targets, l)
 		}
 	}
--- a/internal/gateway/prompts.go
+++ b/internal/gateway/prompts.go
@@ -73,9 +73,9 @@
 	defer p.mu.Unlock()
 	c := p.chooser(service)
 	s := v.Service(service)
-	c.SetCopyTime(s.CopyTime)
+	c.SetCopyTime(s.CopyTimePerToken)
 	c.SetWarmUp(p.margin.Bound(s.WarmUp))
-	q.GivesOut = p.members.settled
+	q.MayAssign = p.members.settled
 	placed, ok := c.Place(p.now(), v.Directory.Service(service), q)
 	return relay.Placed{Engine: placed.ID, CopyFrom: placed.CopyFrom}, ok
 }
@@ -101,7 +101,7 @@
 func (p *promptPlacer) prefilledLocally(service, request string, prefilled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chooser(service).Prefilled(p.now(), request, prefilled)
+	p.chooser(service).RecordPrefill(p.now(), request, prefilled)
 }
 
 // prune drops what is known of engines that no longer exist.
--- a/internal/gateway/quarantine/entry.go
+++ b/internal/gateway/quarantine/entry.go
@@ -11,8 +11,8 @@
 type Crash struct {
 	// Target names the target, and with it one life of its process.
 	Target string
-	// Began is when the request was sent there, At when the connection broke.
-	Began, At time.Time
+	// SentAt is when the request was sent there, BrokenAt when the connection broke.
+	SentAt, BrokenAt time.Time
 	// Silent says that no part of an answer had come.
 	Silent bool
 }
@@ -40,11 +40,11 @@
 // joined returns what two reports say of one target's end. It may have had the request
 // more than once: the whole time counts, and that it was silent when either says so.
 func (c Crash) joined(other Crash) Crash {
-	if other.Began.Before(c.Began) {
-		c.Began = other.Began
+	if other.SentAt.Before(c.SentAt) {
+		c.SentAt = other.SentAt
 	}
-	if other.At.Before(c.At) {
-		c.At = other.At
+	if other.BrokenAt.Before(c.BrokenAt) {
+		c.BrokenAt = other.BrokenAt
 	}
 	c.Silent = c.Silent || other.Silent
 	return c
@@ -70,7 +70,7 @@
 	if len(crashes) <= maxCrashes {
 		return crashes
 	}
-	oldest := slices.MinFunc(crashes, func(a, b Crash) int { return cmp.Or(a.At.Compare(b.At), strings.Compare(a.Target, b.Target)) })
+	oldest := slices.MinFunc(crashes, func(a, b Crash) int { return cmp.Or(a.BrokenAt.Compare(b.BrokenAt), strings.Compare(a.Target, b.Target)) })
 	return slices.DeleteFunc(crashes, func(c Crash) bool { return c.Target == oldest.Target })
 }
 
@@ -102,8 +102,8 @@
 func (e Entry) last() time.Time {
 	last := e.ClearedAt
 	for _, c := range e.Crashes {
-		if c.At.After(last) {
-			last = c.At
+		if c.BrokenAt.After(last) {
+			last = c.BrokenAt
 		}
 	}
 	return last
--- a/internal/gateway/quarantine/fleet_test.go
+++ b/internal/gateway/quarantine/fleet_test.go
@@ -360,7 +360,7 @@
 
 // broke has the member of an attempt note the end of its target, and the caller repeat.
 func (f *fleet) broke(target string, a *fleetAttempt, seen map[Digest]bool) {
-	c := Crash{Target: target, Began: a.began, At: f.now, Silent: f.now.Sub(a.began) < 600*time.Millisecond}
+	c := Crash{Target: target, SentAt: a.began, BrokenAt: f.now, Silent: f.now.Sub(a.began) < 600*time.Millisecond}
 	f.after(2*time.Millisecond, func() {
 		if a.member.Crashed(f.now, a.digest, c) && a.member.holds(a.digest) {
 			f.trigger(a.member)
@@ -487,8 +487,8 @@
 		f := newFleet(fleetConfig{members: members, targets: 60, perSecond: 1, lossOfNews: 0.1, lasts: time.Minute}, 1)
 		f.bad[1] = &badRequest{}
 		first, second := f.members[0], f.members[members-1]
-		second.Crashed(f.now, 1, Crash{Target: "b", Began: f.now.Add(-time.Millisecond), At: f.now, Silent: true})
-		first.Crashed(f.now, 1, Crash{Target: "a", Began: f.now.Add(-time.Second), At: f.now.Add(-time.Millisecond), Silent: true})
+		second.Crashed(f.now, 1, Crash{Target: "b", SentAt: f.now.Add(-time.Millisecond), BrokenAt: f.now, Silent: true})
+		first.Crashed(f.now, 1, Crash{Target: "a", SentAt: f.now.Add(-time.Second), BrokenAt: f.now.Add(-time.Millisecond), Silent: true})
 		for !f.holdEverywhere() && f.now.Sub(start) < 10*time.Second {
 			e := heap.Pop(&f.events).(simEvent)
 			f.now = e.at
--- a/internal/gateway/quarantine/fuzz_test.go
+++ b/internal/gateway/quarantine/fuzz_test.go
@@ -30,6 +30,6 @@
 		recent, sum := k.Recent()
 		other := newTestKeeper()
 		other.Merge("m", recent)
-		other.Compare(sum)
+		other.NeedsSync(sum)
 	})
 }
--- a/internal/gateway/quarantine/keeper.go
+++ b/internal/gateway/quarantine/keeper.go
@@ -22,17 +22,17 @@
 type Config struct {
 	Now func() time.Time
 	Log zerolog.Logger
-	// Changed is called when something is known that members should hear at once, and gets
+	// OnChange is called when something is known that members should hear at once, and gets
 	// the number of requests that are held. It must not call the keeper.
-	Changed func(held int)
-	// GivesOut says whether this node is the member for what one member does for all,
+	OnChange func(held int)
+	// OwnsRole says whether this node is the member for what one member does for all,
 	// by the name of it.
-	GivesOut func(role string) bool
+	OwnsRole func(role string) bool
 }
 
-// Keeper is a Table that is safe for concurrent use, says who may send what, speaks to
+// Tracker is a Table that is safe for concurrent use, says who may send what, speaks to
 // members in messages, and logs what it decides.
-type Keeper struct {
+type Tracker struct {
 	cfg Config
 
 	mu    sync.Mutex
@@ -41,14 +41,14 @@
 	compared time.Time
 }
 
-// NewKeeper returns a keeper that knows nothing.
-func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, table: NewTable()} }
+// NewTracker returns a keeper that knows nothing.
+func NewTracker(cfg Config) *Tracker { return &Tracker{cfg: cfg, table: NewTable()} }
 
 // Admission is Free, Trial or Refused.
 type Admission interface{ isAdmission() }
 
-// Free is a request that may be sent.
-type Free struct{}
+// Allowed is a request that may be sent.
+type Allowed struct{}
 
 // Trial is a held request that is to be sent to one target, to see whether that outlives
 // it.
@@ -57,26 +57,26 @@
 // Refused is a request that is held back.
 type Refused struct{ Hold Hold }
 
-func (Free) isAdmission()    {}
+func (Allowed) isAdmission()    {}
 func (Trial) isAdmission()   {}
 func (Refused) isAdmission() {}
 
 // Idle says that no request is suspected.
-func (k *Keeper) Idle() bool {
+func (k *Tracker) Idle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Len() == 0
 }
 
 // Admit decides about a request before any work for it begins.
-func (k *Keeper) Admit(d Digest) Admission {
+func (k *Tracker) Admit(d Digest) Admission {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	hold, held := k.table.Held(d)
 	if !held {
-		return Free{}
+		return Allowed{}
 	}
-	mayTry := func() bool { return k.cfg.GivesOut(tryRole + d.String()) }
+	mayTry := func() bool { return k.cfg.OwnsRole(tryRole + d.String()) }
 	if k.table.Try(k.cfg.Now(), d, mayTry) {
 		k.cfg.Log.Info().Str("digest", d.String()).Int("ends", len(hold.Crashes)).Msg("quarantine: request tried once more")
 		return Trial{}
@@ -86,31 +86,31 @@
 
 // Suspected says whether targets ended while they had a request, and none has answered it
 // since. Such a request gets a target without others of the kind.
-func (k *Keeper) Suspected(d Digest) bool {
+func (k *Tracker) Suspected(d Digest) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Suspected(d)
 }
 
 // Held says whether a request may not be sent, and why, just before it is.
-func (k *Keeper) Held(d Digest) (Hold, bool) {
+func (k *Tracker) Held(d Digest) (Hold, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Held(d)
 }
 
 // TargetEnded notes that a target ended while this node had a request there.
-func (k *Keeper) TargetEnded(d Digest, c Crash) {
+func (k *Tracker) TargetEnded(d Digest, c Crash) {
 	k.change("", []Digest{d}, func(t *Table, now time.Time) bool { return t.Crashed(now, d, c) })
 }
 
 // Answered notes that a target answered a request, be it with a failure of its own.
-func (k *Keeper) Answered(d Digest) {
+func (k *Tracker) Answered(d Digest) {
 	k.change("", []Digest{d}, func(t *Table, now time.Time) bool { return t.Answered(now, d) })
 }
 
 // Merge takes in what a member reported of requests.
-func (k *Keeper) Merge(member string, list []message.SuspectRequest) {
+func (k *Tracker) Merge(member string, list []message.SuspectRequest) {
 	if len(list) == 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 // the next rounds of gossip. A target that ends leaves dozens of suspects, nearly all of
 // them innocent: on 59 nodes rounds for each of them took a quarter more processor time and
 // bytes on days with many such ends.
-func (k *Keeper) change(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
+func (k *Tracker) change(from string, digests []Digest, apply func(t *Table, now time.Time) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := make([]bool, len(digests))
@@ -144,12 +144,12 @@
 		urgent = urgent || held || before[i]
 	}
 	if urgent {
-		k.cfg.Changed(len(k.table.AllHeld()))
+		k.cfg.OnChange(len(k.table.AllHeld()))
 	}
 }
 
 // logChange logs a request that is held or released now; the caller holds the lock.
-func (k *Keeper) logChange(d Digest, from string, before bool) {
+func (k *Tracker) logChange(d Digest, from string, before bool) {
 	hold, held := k.table.Held(d)
 	switch {
 	case held && !before:
@@ -166,7 +166,7 @@
 
 // Recent returns what members should hear: what this node learnt lately, and the hash of
 // all that it holds, empty for nothing.
-func (k *Keeper) Recent() (list []message.SuspectRequest, heldSum string) {
+func (k *Tracker) Recent() (list []message.SuspectRequest, heldSum string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
@@ -174,8 +174,8 @@
 	return messagesOf(now, k.table.Recent(now)), sumText(k.table.HeldSum())
 }
 
-// Compare says whether a member with such a hash should be asked for all that it holds.
-func (k *Keeper) Compare(heldSum string) bool {
+// NeedsSync says whether a member with such a hash should be asked for all that it holds.
+func (k *Tracker) NeedsSync(heldSum string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
@@ -186,8 +186,8 @@
 	return true
 }
 
-// All returns all requests that this node holds, with how long they are held.
-func (k *Keeper) All() message.SuspectList {
+// HeldRequests returns all requests that this node holds, with how long they are held.
+func (k *Tracker) HeldRequests() message.SuspectList {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
--- a/internal/gateway/quarantine/keeper_test.go
+++ b/internal/gateway/quarantine/keeper_test.go
@@ -13,7 +13,7 @@
 
 // testKeeper is a keeper whose time stands still until it is moved.
 type testKeeper struct {
-	*Keeper
+	*Tracker
 	now     time.Time
 	log     bytes.Buffer
 	changes int
@@ -23,10 +23,10 @@
 
 func newTestKeeper() *testKeeper {
 	k := &testKeeper{now: start}
-	k.Keeper = NewKeeper(Config{
+	k.Tracker = NewTracker(Config{
 		Now: func() time.Time { return k.now }, Log: zerolog.New(&k.log),
-		Changed:  func(held int) { k.changes, k.held = k.changes+1, held },
-		GivesOut: func(string) bool { return k.tries },
+		OnChange:  func(held int) { k.changes, k.held = k.changes+1, held },
+		OwnsRole: func(string) bool { return k.tries },
 	})
 	return k
 }
@@ -41,13 +41,13 @@
 func TestKeeper(t *testing.T) {
 	convey.Convey("A request is free until it is held, which members hear of at once", t, func() {
 		k := newTestKeeper()
-		convey.So(k.Admit(1), convey.ShouldResemble, Free{})
+		convey.So(k.Admit(1), convey.ShouldResemble, Allowed{})
 		k.TargetEnded(1, crash("a", 0, 100))
 		convey.So(k.changes, convey.ShouldEqual, 0)
 		list, _ := k.Recent()
 		convey.So(list, convey.ShouldHaveLength, 1)
 		convey.So(k.Suspected(1), convey.ShouldBeTrue)
-		convey.So(k.Admit(1), convey.ShouldResemble, Free{})
+		convey.So(k.Admit(1), convey.ShouldResemble, Allowed{})
 		k.hold(1)
 		convey.So(k.held, convey.ShouldEqual, 1)
 		refused, is := k.Admit(1).(Refused)
@@ -64,7 +64,7 @@
 		convey.So(k.Admit(1), convey.ShouldResemble, Trial{})
 		convey.So(k.Admit(1), convey.ShouldHaveSameTypeAs, Refused{})
 		k.Answered(1)
-		convey.So(k.Admit(1), convey.ShouldResemble, Free{})
+		convey.So(k.Admit(1), convey.ShouldResemble, Allowed{})
 		convey.So(k.held, convey.ShouldEqual, 0)
 		convey.So(k.log.String(), convey.ShouldContainSubstring, "quarantine: request released")
 	})
@@ -73,7 +73,7 @@
 		one.hold(1)
 		other.now = at(5_000_000)
 		news, sum := one.Recent()
-		convey.So(other.Compare(sum), convey.ShouldBeTrue)
+		convey.So(other.NeedsSync(sum), convey.ShouldBeTrue)
 		other.Merge("10.0.0.1:80", news)
 		refused, is := other.Admit(1).(Refused)
 		convey.So(is, convey.ShouldBeTrue)
@@ -81,15 +81,15 @@
 		convey.So(other.log.String(), convey.ShouldContainSubstring, `"from":"10.0.0.1:80"`)
 		_, mine := other.Recent()
 		convey.So(mine, convey.ShouldEqual, sum)
-		convey.So(one.All().Requests[0].HeldMs, convey.ShouldEqual, holdFor.Milliseconds())
+		convey.So(one.HeldRequests().Requests[0].HeldMs, convey.ShouldEqual, holdFor.Milliseconds())
 	})
 	convey.Convey("A member that holds something else is asked at most once a second, one that holds nothing never", t, func() {
 		k := newTestKeeper()
-		convey.So(k.Compare(""), convey.ShouldBeFalse)
-		convey.So(k.Compare("1"), convey.ShouldBeTrue)
-		convey.So(k.Compare("1"), convey.ShouldBeFalse)
+		convey.So(k.NeedsSync(""), convey.ShouldBeFalse)
+		convey.So(k.NeedsSync("1"), convey.ShouldBeTrue)
+		convey.So(k.NeedsSync("1"), convey.ShouldBeFalse)
 		k.now = k.now.Add(compareInterval)
-		convey.So(k.Compare("1"), convey.ShouldBeTrue)
+		convey.So(k.NeedsSync("1"), convey.ShouldBeTrue)
 	})
 	convey.Convey("What a member tells that does not read is left out", t, func() {
 		k := newTestKeeper()
@@ -99,7 +99,7 @@
 			{Digest: "2", Ends: []message.SuspectEnd{{Target: "a", AgoMs: -5000, TookMs: -1}}},
 		})
 		convey.So(k.table.Len(), convey.ShouldEqual, 1)
-		convey.So(k.table.entries[2].Crashes[0].At, convey.ShouldEqual, k.now)
+		convey.So(k.table.entries[2].Crashes[0].BrokenAt, convey.ShouldEqual, k.now)
 	})
 }
 
--- a/internal/gateway/quarantine/message.go
+++ b/internal/gateway/quarantine/message.go
@@ -17,7 +17,7 @@
 		}
 		for _, c := range e.Crashes {
 			list[i].Ends = append(list[i].Ends, message.SuspectEnd{
-				Target: c.Target, AgoMs: millisSince(now, c.At), TookMs: millisSince(c.At, c.Began), Silent: c.Silent,
+				Target: c.Target, AgoMs: millisSince(now, c.BrokenAt), TookMs: millisSince(c.BrokenAt, c.SentAt), Silent: c.Silent,
 			})
 		}
 	}
@@ -39,7 +39,7 @@
 		}
 		for _, end := range m.Ends {
 			at := timeAgo(now, end.AgoMs)
-			e = e.withCrash(Crash{Target: end.Target, Began: timeAgo(at, end.TookMs), At: at, Silent: end.Silent})
+			e = e.withCrash(Crash{Target: end.Target, SentAt: timeAgo(at, end.TookMs), BrokenAt: at, Silent: end.Silent})
 		}
 		entries = append(entries, e)
 	}
--- a/internal/gateway/quarantine/rule.go
+++ b/internal/gateway/quarantine/rule.go
@@ -72,10 +72,10 @@
 	}
 	var until time.Time
 	for i, c := range ordered {
-		if i >= 2 && c.At.After(until) {
+		if i >= 2 && c.BrokenAt.After(until) {
 			duration = min(duration*holdGrowth, maxHold)
 		}
-		until = c.At.Add(duration)
+		until = c.BrokenAt.Add(duration)
 	}
 	return until
 }
@@ -103,15 +103,15 @@
 }
 
 func inOrder(crashes []Crash) []Crash {
-	return slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return a.At.Compare(b.At) })
+	return slices.SortedFunc(slices.Values(crashes), func(a, b Crash) int { return a.BrokenAt.Compare(b.BrokenAt) })
 }
 
 // cutOccasion cuts the first occasion off ends that are ordered by their times: those of
 // attempts that had begun before the first of them ended.
 func cutOccasion(ordered []Crash) (occasion, rest []Crash) {
-	over := ordered[0].At.Add(-clockError)
+	over := ordered[0].BrokenAt.Add(-clockError)
 	n := 1
-	for n < len(ordered) && ordered[n].Began.Before(over) {
+	for n < len(ordered) && ordered[n].SentAt.Before(over) {
 		n++
 	}
 	return ordered[:n], ordered[n:]
--- a/internal/gateway/quarantine/rule_test.go
+++ b/internal/gateway/quarantine/rule_test.go
@@ -21,7 +21,7 @@
 // crash is a silent end of a target that had the request from one time to another, in
 // milliseconds after the start.
 func crash(target string, began, ended int) Crash {
-	return Crash{Target: target, Began: at(began), At: at(ended), Silent: true}
+	return Crash{Target: target, SentAt: at(began), BrokenAt: at(ended), Silent: true}
 }
 
 // partial is an end after a part of the answer had come.
@@ -78,7 +78,7 @@
 		crashes := []Crash{crash("a", 0, 0), crash("b", 10, 10)}
 		for i, want := range []time.Duration{10 * time.Minute, 100 * time.Minute, 1000 * time.Minute, 24 * time.Hour, 24 * time.Hour} {
 			tried := holdUntil(crashes).Add(time.Second)
-			crashes = append(crashes, Crash{Target: fmt.Sprint("trial-", i), Began: tried, At: tried, Silent: true})
+			crashes = append(crashes, Crash{Target: fmt.Sprint("trial-", i), SentAt: tried, BrokenAt: tried, Silent: true})
 			convey.So(holdUntil(crashes), convey.ShouldEqual, tried.Add(want))
 		}
 	})
@@ -89,7 +89,7 @@
 	began := rapid.IntRange(0, 2000).Draw(t, "began")
 	return Crash{
 		Target: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "target"),
-		Began:  at(began), At: at(began + rapid.IntRange(0, 500).Draw(t, "took")), Silent: rapid.Bool().Draw(t, "silent"),
+		SentAt:  at(began), BrokenAt: at(began + rapid.IntRange(0, 500).Draw(t, "took")), Silent: rapid.Bool().Draw(t, "silent"),
 	}
 }
 
--- a/internal/gateway/relay/answer.go
+++ b/internal/gateway/relay/answer.go
@@ -44,7 +44,7 @@
 func (s *sender) answerInput(reply *Reply, sends int) rules.Answer {
 	return rules.Answer{
 		Status: reply.Status, Succeeded: reply.Succeeded, Begun: s.answer.begun.Load(),
-		Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
+		Retryable: s.route.Retryable(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
 		Budget: s.budgets.left(s.service.Name), Left: s.times.Answer.Sub(s.now()), Objective: s.route.Objective,
 	}
 }
--- a/internal/gateway/relay/budgets.go
+++ b/internal/gateway/relay/budgets.go
@@ -34,7 +34,7 @@
 func (b *retryBudgets) first(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).First(b.now())
+	b.of(service).RecordRequest(b.now())
 }
 
 // spend asks for one retry, and counts it when it is allowed.
@@ -48,5 +48,5 @@
 func (b *retryBudgets) left(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Left(b.now())
+	return b.of(service).Remaining(b.now())
 }
--- a/internal/gateway/relay/chooser.go
+++ b/internal/gateway/relay/chooser.go
@@ -38,7 +38,7 @@
 func (s *Server) chooser(r *resolved) *chooser {
 	return &chooser{
 		resolved: r, dataCentre: s.cfg.DataCentre, node: s.cfg.Node, view: s.cfg.View, placer: s.cfg.Placer, targets: s.targets,
-		now: s.cfg.Now, members: s.cfg.Members, givesOut: s.cfg.GivesOut, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
+		now: s.cfg.Now, members: s.cfg.NodeCount, givesOut: s.cfg.SendsToCold, quarantine: s.cfg.Quarantine, gate: s.cfg.Gate,
 	}
 }
 
@@ -88,7 +88,7 @@
 	exclude = slices.Concat(exclude, c.gate.Blocked(c.view().Directory))
 	for {
 		d, ok := c.candidate(ctx, inputs, exclude, suspect)
-		if !ok || c.gate.Take(d.Life()) {
+		if !ok || c.gate.Take(d.Incarnation()) {
 			return d, ok
 		}
 		// Another request has taken the last that the target may get for now.
@@ -129,11 +129,11 @@
 // own chooses a target by what this node knows alone.
 func (c *chooser) own(inputs map[string]int64, exclude []string) (directory.Target, bool) {
 	list := c.view().Directory.Service(c.service.Name)
-	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, GivesOut: c.givesOut}
+	q := placement.Query{DataCentre: c.dataCentre, Exclude: exclude, InputBytes: inputs, MayAssign: c.givesOut}
 	if c.service.Engine {
 		// Nodes that choose on their own at one moment are many, as after the loss of the
 		// Placer, and do not know of each other's prompts.
-		q.GivesOut = func(string) bool { return false }
+		q.MayAssign = func(string) bool { return false }
 	}
 	for _, part := range sharedParts(c.req.Parts) {
 		q.Key = part.Key
@@ -153,8 +153,8 @@
 	now := c.now()
 	var list []time.Duration
 	for _, t := range c.view().Directory.Service(c.service.Name) {
-		left := c.gate.PauseLeft(t.Life())
-		if t.Usable(now) && (left > 0 || !c.gate.HeldBack(t.Life())) {
+		left := c.gate.PauseLeft(t.Incarnation())
+		if t.Usable(now) && (left > 0 || !c.gate.HeldBack(t.Incarnation())) {
 			list = append(list, left)
 		}
 	}
@@ -163,7 +163,7 @@
 
 // sharedParts returns the parts of a prompt that other requests may share: all but
 // the last, which belongs to the request or its session alone.
-func sharedParts(parts []Part) []placement.SharedPart {
+func sharedParts(parts []PromptPart) []placement.SharedPart {
 	if len(parts) < 2 {
 		return nil
 	}
--- a/internal/gateway/relay/delivery.go
+++ b/internal/gateway/relay/delivery.go
@@ -82,7 +82,7 @@
 		next := rules.AfterFailure(rules.Failure{
 			Verdict: err.Verdict(), Reason: err.Reason(), Ended: ctx.Err() != nil,
 			Resends: d.resends, Refusals: d.refusals, Sends: d.sends,
-			Retryable: d.route.MayRepeat(), MaxAttempts: d.route.MaxAttempts,
+			Retryable: d.route.Retryable(), MaxAttempts: d.route.MaxAttempts,
 		})
 		if _, ok := next.(rules.Resend); ok {
 			d.resends++
@@ -125,7 +125,7 @@
 	if hold, held := d.hold(); held && err.Reason() == verdict.ReasonQuarantined {
 		err = errHeld(hold, d.now())
 	}
-	err = rules.FinalVerdict(err, d.sends, d.route.MayRepeat())
+	err = rules.FinalVerdict(err, d.sends, d.route.Retryable())
 	if err.Verdict() == verdict.NotRun && err.RetryAfter() == 0 {
 		own := retryAfter(d.times.Answer.Sub(d.now()))
 		err = err.WithRetryAfter(rules.AfterPauses(own, d.chooser.pauses(), rand.Float64()))
--- a/internal/gateway/relay/evacuated_test.go
+++ b/internal/gateway/relay/evacuated_test.go
@@ -58,7 +58,7 @@
 // the first byte does not get the request, and another does.
 func TestHeldBackTarget(t *testing.T) {
 	convey.Convey("A request goes to another target when the chosen one is held back", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
+		w, s := setup(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2}, false)
 		w.heldBack = map[string]bool{"t0": true, "t1": true}
 		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
 		convey.So(w.calls, convey.ShouldHaveLength, 1)
--- a/internal/gateway/relay/oracle_test.go
+++ b/internal/gateway/relay/oracle_test.go
@@ -29,7 +29,7 @@
 		}
 		out := &client{}
 		err := s.Serve(context.Background(), request(1, 2, 3), out)
-		may := r.MayRepeat()
+		may := r.Retryable()
 		switch {
 		case !may && w.ran > 1:
 			t.Fatalf("a request that must not run twice ran %d times", w.ran)
--- a/internal/gateway/relay/ports.go
+++ b/internal/gateway/relay/ports.go
@@ -12,8 +12,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// Part is a part of a prompt; parts are shared between requests.
-type Part struct {
+// PromptPart is a part of a prompt; parts are shared between requests.
+type PromptPart struct {
 	ID string
 	// Tokens is its length.
 	Tokens int
@@ -31,7 +31,7 @@
 	// Timeout is how long the client waits; 0 for unknown.
 	Timeout time.Duration
 	// Parts are the shared parts of the prompt, in order.
-	Parts []Part
+	Parts []PromptPart
 	// Tokens is the length of the whole prompt.
 	Tokens int
 	// Items is how many items the request has in each stage of its route.
@@ -53,8 +53,8 @@
 	ID     string
 	// Payload is the request's.
 	Payload any
-	// Until is the answer deadline: after it the answer is of no use.
-	Until time.Time
+	// Deadline is the answer deadline: after it the answer is of no use.
+	Deadline time.Time
 	// Organisation is the holder of the caller's key; empty for none.
 	Organisation string
 	// Priority is the priority at an engine, from 0 (first) to 9; -1 for none.
@@ -171,11 +171,11 @@
 	// Blocked lists the targets of a directory that may not get a request from this node now.
 	Blocked(d *directory.Directory) []string
 	// Take says whether a target may get a request now, and counts that.
-	Take(target directory.Life) bool
+	Take(target directory.Incarnation) bool
 	// HeldBack says, just before a request is sent, whether its target may get nothing.
-	HeldBack(target directory.Life) bool
+	HeldBack(target directory.Incarnation) bool
 	// PauseLeft is how much longer a target wants nothing from this node; 0 for no pause.
-	PauseLeft(target directory.Life) time.Duration
+	PauseLeft(target directory.Incarnation) time.Duration
 }
 
 // Placer chooses engines by what all nodes have sent to them.
--- a/internal/gateway/relay/quarantine_test.go
+++ b/internal/gateway/relay/quarantine_test.go
@@ -84,7 +84,7 @@
 		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
 	})
 	convey.Convey("A request that may be repeated goes to no third target, and its caller is told that it may have run", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, false)
+		w, s := setup(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 4}, false)
 		w.ended = allEnded()
 		w.slow = 10 * time.Millisecond
 		w.answers = []answer{lost(), lost(), lost(), lost()}
@@ -129,14 +129,14 @@
 func TestTrial(t *testing.T) {
 	convey.Convey("A trial is sent, and its answer passed back", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Trial{}, held: true}
-		w, s := setupQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
+		w, s := setupQuarantine(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 4}, q)
 		convey.So(s.Serve(t.Context(), request(), &client{}), convey.ShouldBeNil)
 		convey.So(w.calls, convey.ShouldHaveLength, 1)
 		convey.So(q.answered, convey.ShouldEqual, 1)
 	})
 	convey.Convey("A trial that fails is not sent to another target", t, func() {
 		q := &fakeQuarantine{admission: quarantine.Trial{}, held: true}
-		w, s := setupQuarantine(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 4}, q)
+		w, s := setupQuarantine(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 4}, q)
 		w.answers = []answer{lost(), lost()}
 		err := s.Serve(t.Context(), request(), &client{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
@@ -145,7 +145,7 @@
 		convey.So(q.answered, convey.ShouldEqual, 0)
 	})
 	convey.Convey("A request that is held after it was admitted is refused just before it is written", t, func() {
-		q := &fakeQuarantine{admission: quarantine.Free{}, held: true}
+		q := &fakeQuarantine{admission: quarantine.Allowed{}, held: true}
 		w, s := setupQuarantine(plainRoute(), q)
 		err := s.Serve(t.Context(), request(), &client{})
 		convey.So(err.Reason(), convey.ShouldEqual, verdict.ReasonQuarantined)
@@ -160,9 +160,9 @@
 }
 
 // newKeeper returns a keeper that nobody hears of, and that tries nothing.
-func newKeeper() *quarantine.Keeper {
-	return quarantine.NewKeeper(quarantine.Config{
-		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, GivesOut: func(string) bool { return false },
+func newKeeper() *quarantine.Tracker {
+	return quarantine.NewTracker(quarantine.Config{
+		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
 
@@ -170,7 +170,7 @@
 // another.
 func TestSuspectsApart(t *testing.T) {
 	convey.Convey("Four suspects at once go to four targets, and a fifth shares one", t, func() {
-		q := &fakeQuarantine{admission: quarantine.Free{}, suspected: true}
+		q := &fakeQuarantine{admission: quarantine.Allowed{}, suspected: true}
 		w, s := setupWith(plainRoute(), true, 0, keepView, q)
 		w.answers = []answer{{hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}, {hangs: true}}
 		ended := make(chan struct{})
@@ -179,7 +179,7 @@
 				req := request()
 				req.Timeout = 500 * time.Millisecond
 				// By the shared part all go to one engine first.
-				req.Parts = []relay.Part{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 10}}
+				req.Parts = []relay.PromptPart{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 10}}
 				_ = s.Serve(t.Context(), req, &client{})
 				ended <- struct{}{}
 			}()
--- a/internal/gateway/relay/relay.go
+++ b/internal/gateway/relay/relay.go
@@ -48,13 +48,13 @@
 	Now      func() time.Time
 	// RetryPolicy bounds the retries of all nodes.
 	RetryPolicy retrybudget.Policy
-	// Members returns how many nodes share the targets' connections.
-	Members func() int
+	// NodeCount returns how many nodes share the targets' connections.
+	NodeCount func() int
 	// WarmUp widens what cold targets get.
 	WarmUp warmup.Margin
-	// GivesOut says whether this node gives out the requests of a cold target of a plain
+	// SendsToCold says whether this node gives out the requests of a cold target of a plain
 	// service. Those of cold engines only the Placer does.
-	GivesOut func(target string) bool
+	SendsToCold func(target string) bool
 	// Quarantine knows the requests that end the targets that run them.
 	Quarantine Quarantine
 	// Gate says which targets may get a request.
--- a/internal/gateway/relay/relay_test.go
+++ b/internal/gateway/relay/relay_test.go
@@ -13,7 +13,7 @@
 
 func TestOnce(t *testing.T) {
 	convey.Convey("A request that must not run twice", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+		w, s := setup(&catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1}, false)
 		out := &client{}
 		convey.Convey("is not sent again when it may have run, and its caller learns that it may have", func() {
 			w.answers = []answer{lost()}
@@ -49,7 +49,7 @@
 
 func TestLate(t *testing.T) {
 	convey.Convey("A request that a target may not be sent any more, as its time is over, is refused with a time to retry", t, func() {
-		_, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+		_, s := setup(&catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1}, false)
 		late := request()
 		late.Arrived = late.Arrived.Add(-late.Timeout)
 		err := s.Serve(t.Context(), late, &client{})
@@ -61,7 +61,7 @@
 
 func TestRepeatable(t *testing.T) {
 	convey.Convey("A request that may run twice goes to another target, as often as its route allows", t, func() {
-		w, s := setup(&catalog.Route{Kind: catalog.Repeatable, MaxAttempts: 2}, false)
+		w, s := setup(&catalog.Route{Kind: catalog.Idempotent, MaxAttempts: 2}, false)
 		out := &client{}
 		for name, first := range map[string]answer{"lost": lost(), "failed": {status: 500}, "cut": {status: 200, body: "w", cut: true}} {
 			convey.Convey("after one that is "+name, func() {
@@ -121,7 +121,7 @@
 func TestStop(t *testing.T) {
 	convey.Convey("A stopping node gives up what has no answer, and says that it may have run when it was sent", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			w, s := setup(&catalog.Route{Kind: catalog.Once, MaxAttempts: 1}, false)
+			w, s := setup(&catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1}, false)
 			w.answers = []answer{{hangs: true}}
 			time.AfterFunc(time.Second, s.Stop)
 			began := time.Now()
--- a/internal/gateway/relay/rules/retry.go
+++ b/internal/gateway/relay/rules/retry.go
@@ -160,9 +160,9 @@
 		(err.Reason() == verdict.ReasonConnection || err.Reason() == verdict.ReasonCut)
 }
 
-// Outlived says whether an attempt proves that its target outlives the request: it
+// TargetSurvived says whether an attempt proves that its target outlives the request: it
 // answered, be it with a failure of its own. err is nil for a whole answer. A wrong yes
 // lets a request end further targets; a wrong no leaves an innocent one suspected.
-func Outlived(err *verdict.Error) bool {
+func TargetSurvived(err *verdict.Error) bool {
 	return err == nil || err.Verdict() == verdict.Ran
 }
--- a/internal/gateway/relay/sender.go
+++ b/internal/gateway/relay/sender.go
@@ -47,7 +47,7 @@
 // send is one attempt. sends counts those before it that may have run.
 func (s *sender) send(ctx context.Context, target destination, sends int) *verdict.Error {
 	start := s.now()
-	s.targets.sent(target.Life())
+	s.targets.sent(target.Incarnation())
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timer := s.startTimer(cancel, sends)
@@ -85,14 +85,14 @@
 // noteSurvival takes in whether the target of an attempt that began at some time outlived
 // it. events is how many events came from this target.
 func (s *sender) noteSurvival(target directory.Target, began time.Time, tried Attempt, events int) {
-	if rules.Outlived(tried.Err) {
+	if rules.TargetSurvived(tried.Err) {
 		s.quarantine.Answered(s.digest)
 	}
 	if !rules.ConnectionBroke(tried.Err) {
 		return
 	}
 	ended := TargetEnded{Target: target.ID, Digest: s.digest, Events: events, Took: tried.Took}
-	if !s.route.MayRepeat() {
+	if !s.route.Retryable() {
 		go s.checkEnded(target, began, ended)
 		return
 	}
@@ -112,7 +112,7 @@
 	defer cancel()
 	if s.upstream.HasEnded(ctx, target) {
 		s.decided(ended)
-		s.quarantine.TargetEnded(ended.Digest, quarantine.Crash{Target: target.Life().String(), Began: began, At: began.Add(ended.Took), Silent: ended.Events == 0})
+		s.quarantine.TargetEnded(ended.Digest, quarantine.Crash{Target: target.Incarnation().String(), SentAt: began, BrokenAt: began.Add(ended.Took), Silent: ended.Events == 0})
 	}
 }
 
@@ -138,7 +138,7 @@
 
 func (s *sender) startTimer(cancel context.CancelCauseFunc, sends int) attemptTimer {
 	limit, limited := rules.AttemptTimeout(rules.Attempt{
-		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.MayRepeat(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
+		Stream: s.route.Kind == catalog.Stream, Retryable: s.route.Retryable(), Sends: sends, MaxAttempts: s.route.MaxAttempts,
 		Objective: s.route.Objective, PauseLimit: s.route.PauseLimit,
 	})
 	if !limited {
@@ -149,7 +149,7 @@
 
 func (s *sender) call(target destination) Call {
 	c := Call{
-		Target: target.Target, ID: s.req.ID, Payload: s.req.Payload, Until: s.times.Answer,
+		Target: target.Target, ID: s.req.ID, Payload: s.req.Payload, Deadline: s.times.Answer,
 		Organisation: s.org.Name, Priority: noPriority, LastEvent: s.answer.lastEvent,
 		Permit: func() error { return s.permit(target.Target) },
 	}
@@ -169,7 +169,7 @@
 	if !now.Before(s.times.Answer) {
 		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "the time is over")
 	}
-	if !s.view().Directory.Usable(target.ID, now) || s.gate.HeldBack(target.Life()) {
+	if !s.view().Directory.Usable(target.ID, now) || s.gate.HeldBack(target.Incarnation()) {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "the target, or its data centre, takes no new work")
 	}
 	if hold, held := s.quarantine.Held(s.digest); held && !s.takeTrial() {
@@ -206,7 +206,7 @@
 
 // noteEnd takes in how a target answered.
 func (s *sender) noteEnd(target directory.Target, reply *Reply, err *verdict.Error, took time.Duration) {
-	e := attemptEnd{target: target.Life(), took: took}
+	e := attemptEnd{target: target.Incarnation(), took: took}
 	if reply != nil {
 		e.load = reply.Load
 	}
--- a/internal/gateway/relay/targetended_test.go
+++ b/internal/gateway/relay/targetended_test.go
@@ -12,7 +12,7 @@
 )
 
 // plainRoute is a route whose requests may not run twice.
-func plainRoute() *catalog.Route { return &catalog.Route{Kind: catalog.Once, MaxAttempts: 1} }
+func plainRoute() *catalog.Route { return &catalog.Route{Kind: catalog.AtMostOnce, MaxAttempts: 1} }
 
 // reportedEnds returns the targets that were reported as ended.
 func (w *world) reportedEnds() []relay.TargetEnded {
--- a/internal/gateway/relay/targets.go
+++ b/internal/gateway/relay/targets.go
@@ -20,20 +20,20 @@
 	mu    sync.Mutex
 	table *placement.TargetTable
 	// limits bound what cold targets get, by service.
-	limits map[string]*warmup.Limits
+	limits map[string]*warmup.Limiter
 	// isolated are the targets that have a suspected request of this node.
 	isolated map[string]bool
 }
 
 func newTargets(now func() time.Time, margin warmup.Margin) *targets {
-	return &targets{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limits), isolated: make(map[string]bool)}
+	return &targets{now: now, margin: margin, table: placement.NewTargetTable(), limits: make(map[string]*warmup.Limiter), isolated: make(map[string]bool)}
 }
 
 // limitsOf returns the limits of a service; the caller holds the lock.
-func (t *targets) limitsOf(service *catalog.Service) *warmup.Limits {
+func (t *targets) limitsOf(service *catalog.Service) *warmup.Limiter {
 	limits := t.limits[service.Name]
 	if limits == nil {
-		limits = warmup.New()
+		limits = warmup.NewLimiter()
 		t.limits[service.Name] = limits
 	}
 	limits.SetBound(t.margin.Bound(service.WarmUp))
@@ -46,7 +46,7 @@
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q.Limits = t.limitsOf(service)
+	q.Limiter = t.limitsOf(service)
 	if service.Engine {
 		return t.table.ByPrefix(now, list, q)
 	}
@@ -85,15 +85,15 @@
 	delete(t.isolated, id)
 }
 
-func (t *targets) sent(l directory.Life) {
+func (t *targets) sent(l directory.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.table.Sent(l)
+	t.table.RecordStart(l)
 }
 
 // attemptEnd is how an attempt at a target ended.
 type attemptEnd struct {
-	target directory.Life
+	target directory.Incarnation
 	// load is what the target reported of itself; nil for nothing.
 	load *placement.Load
 	// took is the time to the answer's head, or to the failure.
@@ -108,9 +108,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e.load != nil {
-		t.table.Report(now, e.target, *e.load)
+		t.table.RecordLoad(now, e.target, *e.load)
 	}
-	t.table.Ended(now, e.target, e.took, e.fault)
+	t.table.RecordEnd(now, e.target, e.took, e.fault)
 	if e.unreachable {
 		t.table.Eject(now, e.target)
 	}
--- a/internal/gateway/relay/world_test.go
+++ b/internal/gateway/relay/world_test.go
@@ -225,9 +225,9 @@
 // Blocked, Take, HeldBack and PauseLeft let every target get every request but those that
 // were held back after they had been chosen.
 func (w *world) Blocked(*directory.Directory) []string  { return nil }
-func (w *world) Take(directory.Life) bool               { return true }
-func (w *world) HeldBack(target directory.Life) bool    { return w.heldBack[target.ID] }
-func (w *world) PauseLeft(directory.Life) time.Duration { return 0 }
+func (w *world) Take(directory.Incarnation) bool               { return true }
+func (w *world) HeldBack(target directory.Incarnation) bool    { return w.heldBack[target.ID] }
+func (w *world) PauseLeft(directory.Incarnation) time.Duration { return 0 }
 
 // keepView changes nothing of a view.
 func keepView(v *view.View) *view.View { return v }
@@ -247,7 +247,7 @@
 	}
 	r.Host, r.Prefix, r.Split = "h", "/", []catalog.Share{{Service: "s", Weight: 1}}
 	r.Timeout, r.Objective, r.PauseLimit = 10*time.Second, 2*time.Second, 400*time.Millisecond
-	services := []*catalog.Service{{Name: "s", WarmUp: catalog.WarmUp{Time: 3 * time.Second, PerSecond: 10}}}
+	services := []*catalog.Service{{Name: "s", WarmUp: catalog.WarmUp{Duration: 3 * time.Second, RequestsPerSecond: 10}}}
 	if engine {
 		services[0].Engine = true
 	}
@@ -265,8 +265,8 @@
 	v := change(&view.View{Revision: 1, Catalog: c, Directory: directory.New(targets...)})
 	return w, relay.New(relay.Config{
 		DataCentre: "d", View: func() *view.View { return v }, Upstream: w, Batcher: w, Placer: w, Observer: w, Now: time.Now,
-		RetryPolicy: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, Members: func() int { return 1 },
-		WarmUp: warmup.Margin{Overshoot: 1.5, Tolerance: 5}, GivesOut: func(string) bool { return true },
+		RetryPolicy: retrybudget.Policy{Ratio: 1, Window: 10 * time.Second, Extra: 100, MaxNodes: 1}, NodeCount: func() int { return 1 },
+		WarmUp: warmup.Margin{Overshoot: 1.5, Tolerance: 5}, SendsToCold: func(string) bool { return true },
 		Quarantine: q, Gate: w,
 	})
 }
--- a/internal/gateway/retrybudget/retrybudget.go
+++ b/internal/gateway/retrybudget/retrybudget.go
@@ -61,8 +61,8 @@
 // New returns a budget of which nothing is spent.
 func New(p Policy) *Budget { return &Budget{policy: p} }
 
-// First counts a request that is sent for the first time.
-func (b *Budget) First(now time.Time) {
+// RecordRequest counts a request that is sent for the first time.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.trim(now)
 	b.firsts = append(b.firsts, now)
 }
@@ -74,16 +74,16 @@
 // the number of nodes when it is called. A wrong yes adds load to a service that
 // fails; a wrong no refuses a request that another target would have answered.
 func (b *Budget) Spend(now time.Time) bool {
-	if b.Left(now) < 1 {
+	if b.Remaining(now) < 1 {
 		return false
 	}
 	b.retries = append(b.retries, now)
 	return true
 }
 
-// Left returns how many retries are allowed now, in parts; negative when the number
+// Remaining returns how many retries are allowed now, in parts; negative when the number
 // of nodes has risen since they were spent.
-func (b *Budget) Left(now time.Time) float64 {
+func (b *Budget) Remaining(now time.Time) float64 {
 	b.trim(now)
 	return b.policy.Ratio*float64(len(b.firsts)) + b.policy.share() - float64(len(b.retries))
 }
--- a/internal/gateway/retrybudget/retrybudget_test.go
+++ b/internal/gateway/retrybudget/retrybudget_test.go
@@ -27,7 +27,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "first") {
-				n.First(now)
+				n.RecordRequest(now)
 				firsts = append(firsts, now)
 			} else if n.Spend(now) {
 				retries = append(retries, now)
@@ -60,8 +60,8 @@
 	if b.Spend(now) {
 		t.Error("a node that knows nobody has a share of the extra")
 	}
-	b.First(now)
-	b.First(now)
+	b.RecordRequest(now)
+	b.RecordRequest(now)
 	if !b.Spend(now) {
 		t.Error("the ratio of its own requests is refused")
 	}
@@ -99,7 +99,7 @@
 			convey.Convey(c.why, func() {
 				b := retrybudget.New(c.policy)
 				for range c.firsts {
-					b.First(now)
+					b.RecordRequest(now)
 				}
 				spent := 0
 				for b.Spend(now.Add(c.after)) {
@@ -123,6 +123,6 @@
 		b.Spend(now)
 		b.Spend(now)
 		nodes = 32
-		convey.So(b.Left(now), convey.ShouldEqual, -1)
+		convey.So(b.Remaining(now), convey.ShouldEqual, -1)
 	})
 }
--- a/internal/gateway/view/evacuation.go
+++ b/internal/gateway/view/evacuation.go
@@ -139,4 +139,4 @@
 }
 
 // warmUpTime returns how long a target may stay cold; 0 if it is never cold.
-func (v *View) warmUpTime(t directory.Target) time.Duration { return v.Service(t.Service).WarmUp.Time }
+func (v *View) warmUpTime(t directory.Target) time.Duration { return v.Service(t.Service).WarmUp.Duration }
--- a/internal/gateway/view/evacuation_test.go
+++ b/internal/gateway/view/evacuation_test.go
@@ -29,7 +29,7 @@
 
 // coldCatalog returns a catalog with a service whose targets need a warm-up.
 func coldCatalog() view.CatalogChange {
-	s := &catalog.Service{Name: "s", WarmUp: catalog.WarmUp{Time: warmUp, PerSecond: 10}}
+	s := &catalog.Service{Name: "s", WarmUp: catalog.WarmUp{Duration: warmUp, RequestsPerSecond: 10}}
 	c, err := catalog.New(1, nil, []*catalog.Service{s}, nil, catalog.Limits{})
 	if err != nil {
 		panic(err)
--- a/internal/gateway/view/restored_test.go
+++ b/internal/gateway/view/restored_test.go
@@ -101,12 +101,12 @@
 // earlier life, which a restored source still lists.
 func TestEarlierLifeAfterRestore(t *testing.T) {
 	bornAt := func(born int64) view.TargetChange {
-		return view.TargetChange{Target: directory.Target{ID: "a", Born: born, Service: "s", Address: fmt.Sprint("host:", born)}}
+		return view.TargetChange{Target: directory.Target{ID: "a", StartMs: born, Service: "s", Address: fmt.Sprint("host:", born)}}
 	}
 	shouldBeBornAt := func(v *view.View, born int64) {
 		got, known := v.Directory.Target("a")
 		convey.So(known, convey.ShouldBeTrue)
-		convey.So(got.Born, convey.ShouldEqual, born)
+		convey.So(got.StartMs, convey.ShouldEqual, born)
 	}
 	convey.Convey("Given a target that restarted after the copy was made", t, func() {
 		v := view.New().WithChanges(now, view.Changes{Revision: 5, List: []view.Change{bornAt(1)}}, noOutage)
--- a/internal/gateway/view/tombstones.go
+++ b/internal/gateway/view/tombstones.go
@@ -18,7 +18,7 @@
 
 // tombstones records recently removed targets by life. It is immutable; the zero value is
 // empty.
-type tombstones struct{ byLife map[directory.Life]tombstone }
+type tombstones struct{ byLife map[directory.Incarnation]tombstone }
 
 // tombstone is one removed target.
 type tombstone struct {
@@ -32,11 +32,11 @@
 	if len(removed) == 0 {
 		return ts
 	}
-	next := make(map[directory.Life]tombstone, len(ts.byLife)+len(removed))
+	next := make(map[directory.Incarnation]tombstone, len(ts.byLife)+len(removed))
 	maps.Copy(next, ts.byLife)
-	maps.DeleteFunc(next, func(_ directory.Life, known tombstone) bool { return now.Sub(known.removedAt) > tombstoneTTL })
+	maps.DeleteFunc(next, func(_ directory.Incarnation, known tombstone) bool { return now.Sub(known.removedAt) > tombstoneTTL })
 	for _, t := range removed {
-		next[t.Life()] = tombstone{removedAt: now, wasDraining: t.State == directory.Draining}
+		next[t.Incarnation()] = tombstone{removedAt: now, wasDraining: t.State == directory.Draining}
 	}
 	return tombstones{byLife: next}
 }
@@ -47,7 +47,7 @@
 // is ignored and the present one lapses until it is listed. A target wrongly treated as ready
 // gets work that it no longer takes; one wrongly held back is unused for returnGrace.
 func (ts tombstones) relisted(now time.Time, t directory.Target, current *directory.Directory) directory.Target {
-	known, removed := ts.byLife[t.Life()]
+	known, removed := ts.byLife[t.Incarnation()]
 	removed = removed && now.Sub(known.removedAt) <= tombstoneTTL
 	if present, exists := current.Target(t.ID); removed && exists {
 		return lapsed(now, present)
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -152,7 +152,7 @@
 			next = *next.withCatalog(c)
 		case TargetChange:
 			t := c.target(now)
-			if restored && !v.Directory.Lives(t.Life()) {
+			if restored && !v.Directory.IsCurrent(t.Incarnation()) {
 				t = v.tombstones.relisted(now, t, v.Directory)
 			}
 			targets.Put(t)
--- a/internal/gateway/warmup/model_test.go
+++ b/internal/gateway/warmup/model_test.go
@@ -37,7 +37,7 @@
 type modelNode struct {
 	*membership.Roster
 	address string
-	limits  *warmup.Limits
+	limits  *warmup.Limiter
 	next    time.Time
 	down    bool
 	// frozen nodes neither act nor answer; side is the part of a cut fleet that the node
@@ -84,7 +84,7 @@
 	last := len(m.nodes) - 1
 	n.Roster = membership.NewRoster(n.address, m.now.UnixNano(), []string{m.nodes[0].address, m.nodes[last/2].address, m.nodes[last].address})
 	n.SetStatus(membership.Status{Serving: true, ReachesSource: true, Version: 1, Revision: 1})
-	n.limits = warmup.New()
+	n.limits = warmup.NewLimiter()
 	n.limits.SetBound(margin.Bound(service))
 	n.next = m.now.Add(time.Duration(m.rnd.Int64N(int64(modelRound))))
 	n.down = false
@@ -113,7 +113,7 @@
 func (m *model) gossip(n *modelNode) {
 	n.next = m.now.Add(modelRound)
 	n.Heartbeat()
-	n.Forget(m.now)
+	n.Prune(m.now)
 	for _, address := range n.Partners(m.now, modelPartners) {
 		partner := m.at[address]
 		if !n.reaches(partner) {
@@ -140,7 +140,7 @@
 	if !giver.limits.Allows(m.now, m.target, func() bool { return giver.Settled(m.now) }) {
 		return
 	}
-	giver.limits.Sent(m.now, m.target)
+	giver.limits.Take(m.now, m.target)
 	if took > modelTimeout {
 		return
 	}
--- a/internal/gateway/warmup/warmup.go
+++ b/internal/gateway/warmup/warmup.go
@@ -65,7 +65,7 @@
 }
 
 // Bound returns the bound of a service's cold targets.
-func (m Margin) Bound(w catalog.WarmUp) Bound { return Bound{PerSecond: w.PerSecond, Margin: m} }
+func (m Margin) Bound(w catalog.WarmUp) Bound { return Bound{PerSecond: w.RequestsPerSecond, Margin: m} }
 
 // Share is the most requests that one member may give out for a target in a second.
 func (b Bound) Share() float64 { return (b.PerSecond*b.Overshoot + b.Tolerance) / sharers }
@@ -81,18 +81,18 @@
 	return rate.NewLimiter(rate.Limit(share-burst), int(burst))
 }
 
-// Limits are the buckets of the cold targets of one service at one member. Create it
+// Limiter are the buckets of the cold targets of one service at one member. Create it
 // with New; a nil one bounds nothing. It is not safe for concurrent use.
-type Limits struct {
+type Limiter struct {
 	bound   Bound
-	buckets map[directory.Life]*rate.Limiter
+	buckets map[directory.Incarnation]*rate.Limiter
 }
 
-// New returns limits without a bound.
-func New() *Limits { return &Limits{buckets: make(map[directory.Life]*rate.Limiter)} }
+// NewLimiter returns limits without a bound.
+func NewLimiter() *Limiter { return &Limiter{buckets: make(map[directory.Incarnation]*rate.Limiter)} }
 
 // SetBound sets the bound; another one than before begins with full buckets.
-func (l *Limits) SetBound(b Bound) {
+func (l *Limiter) SetBound(b Bound) {
 	if b == l.bound {
 		return
 	}
@@ -103,40 +103,40 @@
 // Allows says whether a target may get a request now: when it is warm, its service has no
 // bound, or its bucket has a token and this member gives out its tokens. The latter is
 // asked for cold targets alone.
-func (l *Limits) Allows(now time.Time, t directory.Target, givesOut func() bool) bool {
+func (l *Limiter) Allows(now time.Time, t directory.Target, givesOut func() bool) bool {
 	if !l.bounds(now, t) {
 		return true
 	}
-	bucket := l.bucket(t.Life())
+	bucket := l.bucket(t.Incarnation())
 	return bucket != nil && bucket.TokensAt(now) >= 1 && givesOut()
 }
 
-// Sent takes a token for a request that a target gets now.
-func (l *Limits) Sent(now time.Time, t directory.Target) {
+// Take takes a token for a request that a target gets now.
+func (l *Limiter) Take(now time.Time, t directory.Target) {
 	if !l.bounds(now, t) {
 		return
 	}
-	if bucket := l.bucket(t.Life()); bucket != nil {
+	if bucket := l.bucket(t.Incarnation()); bucket != nil {
 		bucket.AllowN(now, 1)
 	}
 }
 
 // Prune forgets the buckets of targets that are not listed or warm.
-func (l *Limits) Prune(now time.Time, d *directory.Directory) {
+func (l *Limiter) Prune(now time.Time, d *directory.Directory) {
 	for life := range l.buckets {
-		if t, known := d.Target(life.ID); !known || t.Life() != life || !t.Cold(now) {
+		if t, known := d.Target(life.ID); !known || t.Incarnation() != life || !t.Cold(now) {
 			delete(l.buckets, life)
 		}
 	}
 }
 
 // bounds says whether the target is cold and has a bound.
-func (l *Limits) bounds(now time.Time, t directory.Target) bool {
+func (l *Limiter) bounds(now time.Time, t directory.Target) bool {
 	return l != nil && l.bound.PerSecond > 0 && t.Cold(now)
 }
 
 // bucket returns the bucket of a target; nil when no member may send it any request.
-func (l *Limits) bucket(life directory.Life) *rate.Limiter {
+func (l *Limiter) bucket(life directory.Incarnation) *rate.Limiter {
 	bucket, known := l.buckets[life]
 	if !known {
 		bucket = l.bound.limiter()
