--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -15,20 +15,20 @@
 	"github.com/honeydyke/honeydyke/internal/wire"
 )
 
-// describeTimeout bounds describing the node, for which each coordinator is asked: a
-// busy one answers within milliseconds.
-const describeTimeout = time.Second
+// stateTimeout bounds collecting the state dump, which asks every coordinator. A busy
+// coordinator answers within milliseconds.
+const stateTimeout = time.Second
 
-// adminServer answers operators and the balancer: readiness, state and metrics. It
-// changes nothing.
+// adminServer serves readiness, the state dump and metrics to operators and the load
+// balancer. It is read-only.
 type adminServer struct {
 	now          func() time.Time
 	dataCentre   string
 	views        *viewKeeper
 	health       *sourceHealth
 	members      *members
-	departure    *departure
-	callers      *callers
+	shutdown     *shutdownState
+	callers      *callerServer
 	coordinators *coordinators
 	metrics      *metrics
 	quarantine   *quarantine.Tracker
@@ -39,7 +39,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET "+wire.PathMetrics, s.metrics.handler)
 	mux.HandleFunc("GET "+wire.PathReady, s.serveReady)
-	mux.HandleFunc("GET "+wire.PathState, func(w http.ResponseWriter, _ *http.Request) { writeMessage(w, s.state()) })
+	mux.HandleFunc("GET "+wire.PathState, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.state()) })
 	return mux
 }
 
@@ -49,10 +49,10 @@
 	}
 }
 
-// phase says whether the node takes requests.
+// phase returns whether the node is starting, serving or leaving.
 func (s *adminServer) phase() message.GatewayStatePhase {
 	switch {
-	case s.departure.begun():
+	case s.shutdown.begun():
 		return message.GatewayStatePhaseLeaving
 	case s.views.load().Catalog != nil:
 		return message.GatewayStatePhaseServing
@@ -60,37 +60,37 @@
 	return message.GatewayStatePhaseStarting
 }
 
-// state describes what the node knows and holds.
+// state returns a dump of the node's state.
 func (s *adminServer) state() message.GatewayState {
-	ctx, cancel := context.WithTimeout(context.Background(), describeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	v := s.views.load()
 	state := message.GatewayState{
 		Node: s.members.self, DataCentre: s.dataCentre, Phase: s.phase(),
-		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inflight.Load()),
-		Targets: targetMessages(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
-		Evacuations: evacuationStates(s.now(), v.Evacuations), Held: s.quarantine.HeldRequests().Requests,
+		Version: int(v.CatalogVersion()), Revision: int(v.Revision), SourceAgeMs: s.health.ageMs(s.now()), InFlight: int(s.callers.inFlight.Load()),
+		Targets: encodeTargets(s.now(), v.Directory), Services: []message.BatchState{}, Members: s.members.list(),
+		Evacuations: describeEvacuations(s.now(), v.Evacuations), Held: s.quarantine.HeldRequests().Requests,
 		Limits: s.backpressure.Limits(), Holds: s.backpressure.Holds(),
 	}
 	batches := s.coordinators.states(ctx)
 	for _, service := range slices.Sorted(maps.Keys(batches)) {
-		state.Services = append(state.Services, batchMessage(service, batches[service]))
+		state.Services = append(state.Services, encodeBatchState(service, batches[service]))
 	}
 	return state
 }
 
-// evacuationStates describes evacuations with what members are not sent: when this node
-// learnt of them and from whom.
-func evacuationStates(now time.Time, evacuations view.Evacuations) []message.ViewEvacuation {
+// describeEvacuations returns the evacuations with what is not sent to members: when this
+// node learned of each and from whom.
+func describeEvacuations(now time.Time, evacuations view.Evacuations) []message.ViewEvacuation {
 	known := evacuations.All()
-	list := evacuationMessages(now, known)
+	list := encodeEvacuations(now, known)
 	for i, e := range known {
 		list[i].From, list[i].AgeMs = e.From, int(now.Sub(e.Since).Milliseconds())
 	}
 	return list
 }
 
-func batchMessage(service string, b batching.State) message.BatchState {
+func encodeBatchState(service string, b batching.State) message.BatchState {
 	return message.BatchState{
 		Service: service, Waiting: b.Waiting, Planned: b.Planned, Late: b.PastDue, Working: b.Busy, Targets: b.Targets,
 		HeldBytes: int(b.UsedBytes), RoomBytes: int(b.MemoryBytes), PerSecond: b.ItemsPerSecond, BacklogMs: int(b.Backlog.Milliseconds()),
--- a/internal/gateway/coordinators.go
+++ b/internal/gateway/coordinators.go
@@ -21,7 +21,7 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// coordinatorConfig is what a coordinator works with.
+// coordinatorConfig holds the dependencies and settings of a coordinator.
 type coordinatorConfig struct {
 	now     func() time.Time
 	log     zerolog.Logger
@@ -31,47 +31,46 @@
 	metrics *metrics
 	// retries bounds the retries of each service.
 	retries retrybudget.Policy
-	// margin widens what cold targets get.
+	// margin widens the limits of cold targets.
 	margin warmup.Margin
-	// quarantine hears of the items that targets ended with.
+	// quarantine records the items that crash their targets.
 	quarantine *quarantine.Tracker
-	// backpressure knows what targets ask for.
+	// backpressure holds the limits and pauses that targets ask for.
 	backpressure *backpressure.Tracker
-	// permit is called just before the first byte of a call to a target is written;
-	// an error forbids it.
+	// permit is called just before the first byte of a call to a target is written; an error
+	// forbids the call.
 	permit func(target string) error
 }
 
-// coordinators owns this node's coordinators, one actor a service, and the lock over
-// their list. They are created on first use and stay. It counts the groups that this
-// node runs.
+// coordinators owns this node's coordinators, one actor per service, and the lock that guards
+// them. Coordinators are created on first use and never removed.
 type coordinators struct {
 	coordinatorConfig
 	views *viewKeeper
 
 	mu       sync.Mutex
 	services map[string]*actor.PID
-	// open counts the groups that this node runs.
-	open atomic.Int64
+	// runningGroups counts the groups that this node runs.
+	runningGroups atomic.Int64
 }
 
-// idle says whether this node runs no group.
-func (c *coordinators) idle() bool { return c.open.Load() == 0 }
+// idle reports whether this node runs no groups.
+func (c *coordinators) idle() bool { return c.runningGroups.Load() == 0 }
 
-// of returns the coordinator of a service at this node.
-func (c *coordinators) of(service string) *actor.PID {
+// getOrSpawn returns this node's coordinator of a service and creates it if there is none.
+func (c *coordinators) getOrSpawn(service string) *actor.PID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pid := c.services[service]
 	if pid == nil {
 		pid = c.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return newCoordinator(c.coordinatorConfig, service) }))
 		c.services[service] = pid
-		c.system.Root.Send(pid, c.configureOf(c.views.load(), service))
+		c.system.Root.Send(pid, c.configureEvent(c.views.load(), service))
 	}
 	return pid
 }
 
-func (c *coordinators) configureOf(v *view.View, service string) batching.Configure {
+func (c *coordinators) configureEvent(v *view.View, service string) batching.Configure {
 	ev := batching.Configure{Targets: v.Directory.Service(service), AllEvacuated: v.Directory.AllEvacuated(service)}
 	if v.Catalog != nil {
 		ev.Service = v.Catalog.Service(service)
@@ -87,13 +86,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, pid := range c.services {
-		c.system.Root.Send(pid, c.configureOf(v, service))
+		c.system.Root.Send(pid, c.configureEvent(v, service))
 	}
 }
 
-// handBack has the groups that wait for their first call handed back, for the
-// member that takes this node's coordination over. It does nothing when there is no
-// other member: the last node finishes its work itself.
+// handBack returns the groups whose first call has not started to their senders, for the
+// member that coordinates the services from now on. It does nothing if there is no other
+// member: the last node finishes its work itself.
 func (c *coordinators) handBack() {
 	if c.members.coordinator("") == "" {
 		return
@@ -105,11 +104,11 @@
 	}
 }
 
-// run has the items of a group run by batches that this node assembles.
+// run runs the items of a group in batches that this node assembles.
 func (c *coordinators) run(ctx context.Context, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
-	c.open.Add(1)
-	defer c.open.Add(-1)
-	pid := c.of(service)
+	c.runningGroups.Add(1)
+	defer c.runningGroups.Add(-1)
+	pid := c.getOrSpawn(service)
 	pending := &pendingGroup{group: group, onInputsRead: inputsRead, done: make(chan struct{})}
 	c.system.Root.Send(pid, pending)
 	select {
@@ -117,16 +116,16 @@
 		return pending.results, pending.err
 	case <-ctx.Done():
 		c.system.Root.Send(pid, cancelGroup{pending})
-		return nil, verdict.New(verdict.NotRun, unansweredReason(ctx), "the results of stage %d were not awaited", group.Stage)
+		return nil, verdict.New(verdict.NotRun, contextReason(ctx), "the results of stage %d were not awaited", group.Stage)
 	}
 }
 
-// release has results released at the targets that hold them.
+// release releases results at the targets that hold them.
 func (c *coordinators) release(service string, results []batching.Result) {
-	sendReleases(c.system, c.of(service), results)
+	sendReleases(c.system, c.getOrSpawn(service), results)
 }
 
-// sendReleases has a coordinator release results, by target.
+// sendReleases asks a coordinator to release results, grouped by target.
 func sendReleases(system *actor.ActorSystem, pid *actor.PID, results []batching.Result) {
 	byTarget := map[string][]string{}
 	for _, r := range results {
@@ -137,14 +136,14 @@
 	}
 }
 
-// plan announces a planned stage to its coordinator and returns the backlog before
-// it; 0, for unknown, when ctx ends first.
+// plan announces a planned stage to its coordinator and returns the backlog ahead of it; 0,
+// for unknown, if ctx is done first.
 func (c *coordinators) plan(ctx context.Context, request string, s relay.PlannedStage) time.Duration {
-	p := &plannedStage{
+	p := &planStage{
 		plan:    batching.Plan{Request: request, Stage: s.Stage, Items: s.Items, Due: s.Due},
 		backlog: make(chan time.Duration, 1),
 	}
-	c.system.Root.Send(c.of(s.Service), p)
+	c.system.Root.Send(c.getOrSpawn(s.Service), p)
 	select {
 	case d := <-p.backlog:
 		return d
@@ -153,20 +152,20 @@
 	}
 }
 
-// cancel withdraws a planned stage.
+// cancel cancels a planned stage.
 func (c *coordinators) cancel(request string, s relay.PlannedStage) {
-	c.system.Root.Send(c.of(s.Service), batching.CancelPlan{Request: request, Stage: s.Stage})
+	c.system.Root.Send(c.getOrSpawn(s.Service), batching.CancelPlan{Request: request, Stage: s.Stage})
 }
 
-// states returns the state of each coordinator by its service, without those that
-// have not answered when ctx ends.
+// states returns the states of the coordinators by service, without those that have not
+// answered when ctx is done.
 func (c *coordinators) states(ctx context.Context) map[string]batching.State {
 	c.mu.Lock()
 	services := maps.Clone(c.services)
 	c.mu.Unlock()
 	states := make(map[string]batching.State, len(services))
 	for service, pid := range services {
-		d := describe{state: make(chan batching.State, 1)}
+		d := stateRequest{state: make(chan batching.State, 1)}
 		c.system.Root.Send(pid, d)
 		select {
 		case states[service] = <-d.state:
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -14,58 +14,58 @@
 )
 
 func TestWatchBounds(t *testing.T) {
-	bounds := func(down, reader bool, wait, slack time.Duration) {
+	shouldBe := func(down, reader bool, wait, slack time.Duration) {
 		w, s := watchBounds(down, reader)
 		convey.So(w, convey.ShouldEqual, wait)
 		convey.So(s, convey.ShouldEqual, slack)
 	}
-	convey.Convey("A source that is down is probed, by readers and others", t, func() {
-		bounds(true, true, probeWait, probeSlack)
-		bounds(true, false, probeWait, probeSlack)
+	convey.Convey("A source that is down is probed by readers and other nodes", t, func() {
+		shouldBe(true, true, probeWait, probeSlack)
+		shouldBe(true, false, probeWait, probeSlack)
 	})
-	convey.Convey("Else readers watch for a short time and the others for long", t, func() {
-		bounds(false, true, readerWait, readerSlack)
-		bounds(false, false, watchWait, watchSlack)
+	convey.Convey("Otherwise readers use short watches and other nodes long ones", t, func() {
+		shouldBe(false, true, readerWait, readerSlack)
+		shouldBe(false, false, watchWait, watchSlack)
 		convey.So(readerWait+readerSlack, convey.ShouldBeLessThan, reachableFor)
 	})
 }
 
 func TestRetryBounds(t *testing.T) {
-	convey.Convey("Only a node that has a configuration and is no reader spares a source that fails", t, func() {
+	convey.Convey("Only a node that has a configuration and is not a reader uses the long pause", t, func() {
 		for _, c := range []struct {
 			configured, reader bool
-			most               time.Duration
-		}{{false, false, maxRetry}, {false, true, maxRetry}, {true, true, maxRetry}, {true, false, followerRetry}} {
-			least, most := retryBounds(c.configured, c.reader)
-			convey.So(most, convey.ShouldEqual, c.most)
-			convey.So(least, convey.ShouldBeBetween, 0, most)
+			longest            time.Duration
+		}{{false, false, maxRetryPause}, {false, true, maxRetryPause}, {true, true, maxRetryPause}, {true, false, maxFollowerRetryPause}} {
+			shortest, longest := retryBounds(c.configured, c.reader)
+			convey.So(longest, convey.ShouldEqual, c.longest)
+			convey.So(shortest, convey.ShouldBeBetween, 0, longest)
 		}
 	})
 }
 
-func TestCountsAsBehind(t *testing.T) {
-	convey.Convey("A node whose own watch can still deliver the change waits for it", t, func() {
-		convey.So(countsAsBehind(behindAfter-1, false, false), convey.ShouldBeFalse)
-		convey.So(countsAsBehind(behindAfter, false, false), convey.ShouldBeTrue)
+func TestShouldCatchUp(t *testing.T) {
+	convey.Convey("A node whose own watch may still return the change waits for it", t, func() {
+		convey.So(shouldCatchUp(behindAfter-1, false, false), convey.ShouldBeFalse)
+		convey.So(shouldCatchUp(behindAfter, false, false), convey.ShouldBeTrue)
 	})
-	convey.Convey("One that leaves the source to readers, or cannot reach it, does not", t, func() {
-		convey.So(countsAsBehind(0, true, false), convey.ShouldBeTrue)
-		convey.So(countsAsBehind(0, false, true), convey.ShouldBeTrue)
+	convey.Convey("A node that leaves the source to readers, or cannot reach it, does not wait", t, func() {
+		convey.So(shouldCatchUp(0, true, false), convey.ShouldBeTrue)
+		convey.So(shouldCatchUp(0, false, true), convey.ShouldBeTrue)
 	})
 }
 
 func TestSourceHealth(t *testing.T) {
 	start := time.Now()
-	convey.Convey("A source that was never reached is not reachable, and has no age", t, func() {
+	convey.Convey("A source that was never reached is not reachable and has no age", t, func() {
 		h := newSourceHealth()
 		convey.So(h.isReachable(start), convey.ShouldBeFalse)
 		convey.So(h.ageMs(start), convey.ShouldEqual, -1)
-		convey.Convey("once reached it is, for a while", func() {
+		convey.Convey("it is reachable for reachableFor after an answer", func() {
 			convey.So(h.markReached(start), convey.ShouldBeFalse)
 			convey.So(h.isReachable(start.Add(reachableFor)), convey.ShouldBeTrue)
 			convey.So(h.isReachable(start.Add(reachableFor+1)), convey.ShouldBeFalse)
 			convey.So(h.ageMs(start.Add(time.Second)), convey.ShouldEqual, 1000)
-			convey.Convey("until a call fails; the outage counts from that call's beginning", func() {
+			convey.Convey("and until a call fails; the outage counts from the start of that call", func() {
 				lost, reached := h.markFailed(start.Add(time.Second))
 				convey.So(lost, convey.ShouldBeTrue)
 				convey.So(reached, convey.ShouldEqual, start)
@@ -75,7 +75,7 @@
 				convey.So(lost, convey.ShouldBeFalse)
 				convey.So(h.markReached(start.Add(3*time.Second)), convey.ShouldBeTrue)
 			})
-			convey.Convey("a member that is ahead counts from when that was first known", func() {
+			convey.Convey("the time that a member is ahead counts from when that was first known", func() {
 				convey.So(h.isBehind(start, true, false), convey.ShouldBeFalse)
 				convey.So(h.isBehind(start.Add(behindAfter), true, false), convey.ShouldBeTrue)
 				convey.So(h.isBehind(start.Add(behindAfter), false, false), convey.ShouldBeFalse)
@@ -85,55 +85,55 @@
 	})
 }
 
-func TestFollowerLogsChangesOfState(t *testing.T) {
-	convey.Convey("A source that fails twice and returns leaves one line for each change", t, func() {
+func TestSourceStateLog(t *testing.T) {
+	convey.Convey("Only the first of consecutive failures or answers is logged", t, func() {
 		var lines []string
 		log := zerolog.New(io.Discard).Hook(zerolog.HookFunc(func(_ *zerolog.Event, _ zerolog.Level, msg string) { lines = append(lines, msg) }))
-		f := &storeFollower{
+		f := &sourceFollower{
 			views: newViewKeeper(time.Now, log, nil), health: newSourceHealth(),
 			metrics: newMetrics(), log: log, now: time.Now,
 		}
-		f.failed(time.Now(), errors.New("silent"))
-		f.failed(time.Now(), errors.New("silent"))
-		f.reached()
-		f.reached()
+		f.recordFailure(time.Now(), errors.New("silent"))
+		f.recordFailure(time.Now(), errors.New("silent"))
+		f.recordSuccess()
+		f.recordSuccess()
 		convey.So(lines, convey.ShouldResemble, []string{"source: lost", "source: reachable again"})
 	})
 }
 
-func TestOutageKeepsTargetsThatVanish(t *testing.T) {
-	convey.Convey("Given a follower that knows a target", t, func() {
-		s := newStore()
-		f := &storeFollower{
-			source: &reader{store: s}, health: newSourceHealth(), metrics: newMetrics(), log: zerolog.Nop(), now: time.Now,
+func TestTargetsLapseAfterOutage(t *testing.T) {
+	convey.Convey("Given a follower with a target in its view", t, func() {
+		s := newFakeStore()
+		f := &sourceFollower{
+			source: &fakeSource{fakeStore: s}, health: newSourceHealth(), metrics: newMetrics(), log: zerolog.Nop(), now: time.Now,
 			views: newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {}),
 		}
 		s.publish(view.TargetChange{Target: directory.Target{ID: "t", Service: "s"}})
-		convey.So(f.readWhole(t.Context()), convey.ShouldBeNil)
-		known := func(state directory.State) {
+		convey.So(f.readSnapshot(t.Context()), convey.ShouldBeNil)
+		shouldBeIn := func(state directory.State) {
 			target, ok := f.views.load().Directory.All()["t"]
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(target.State, convey.ShouldEqual, state)
 		}
-		known(directory.Ready)
-		gone := func() {
+		shouldBeIn(directory.Ready)
+		removeTarget := func() {
 			s.publish(view.TargetRemoval{ID: "t"})
 			convey.So(f.readChanges(t.Context(), time.Second, time.Second), convey.ShouldBeNil)
 		}
-		convey.Convey("one that vanishes is gone", func() {
-			gone()
+		convey.Convey("a target that the source removes is removed", func() {
+			removeTarget()
 			convey.So(f.views.load().Directory.All(), convey.ShouldBeEmpty)
 		})
-		convey.Convey("one that vanishes after the source failed has lapsed", func() {
-			f.failed(time.Now(), errors.New("silent"))
-			gone()
-			known(directory.Lapsed)
+		convey.Convey("a target that the source removes after an outage lapses", func() {
+			f.recordFailure(time.Now(), errors.New("silent"))
+			removeTarget()
+			shouldBeIn(directory.Lapsed)
 		})
-		convey.Convey("so has one that the whole no longer lists", func() {
-			f.failed(time.Now(), errors.New("silent"))
+		convey.Convey("a target that a snapshot lacks after an outage lapses", func() {
+			f.recordFailure(time.Now(), errors.New("silent"))
 			s.changes = s.changes[:1]
-			convey.So(f.readWhole(t.Context()), convey.ShouldBeNil)
-			known(directory.Lapsed)
+			convey.So(f.readSnapshot(t.Context()), convey.ShouldBeNil)
+			shouldBeIn(directory.Lapsed)
 		})
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,18 +1,18 @@
-// Package gateway runs one node that relays requests by a configuration which a
-// trusted store publishes. It follows the store, finds its members by gossip,
-// assembles the batches of batch services together with them, and stops without
-// cutting work.
+// Package gateway runs one gateway node. A node relays requests to targets according to a
+// configuration that a trusted store, the source, publishes. It watches the source, finds the
+// other nodes, its members, by gossip, assembles the batches of batch services together with
+// them, and shuts down gracefully.
 //
-// It owns the node's view of the configuration and the targets (viewKeeper), the
-// health of the source (sourceHealth), the roster of members (members), and one
-// coordinator for each batch service that this node coordinates (coordinators). The
-// rules of batching, placement, membership and relaying are in packages below it,
-// which do no input or output.
+// The parts of a node own its state: the view of the configuration and the targets
+// (viewKeeper), the health of the source (sourceHealth), the roster of members (members), and
+// one coordinator for each batch service that this node coordinates (coordinators). The rules
+// of batching, placement, membership and relaying are in the packages below this one, which
+// perform no I/O.
 //
-// It relies on the source: without it the node goes on with the view that it has,
-// and takes over what members know. It relies on members for the work that one node
-// does for all: without them each node does its own. It speaks to callers, targets
-// and the source through Ports, which an adapter supplies. It keeps nothing on disk.
+// While the source is unreachable, the node keeps using its view and takes updates from
+// members. Some work is done by one member for all of them; a node that knows no others does
+// it for itself. Callers, targets and the source are reached through Ports, which an adapter
+// supplies. Nothing is stored on disk.
 package gateway
 
 import (
@@ -37,7 +37,7 @@
 	"github.com/honeydyke/honeydyke/pkg/settings"
 )
 
-// Gateway is one node: it wires the parts, runs them and stops them. Create it with
+// Gateway is one node. It creates the parts, runs them and shuts them down. Create it with
 // New.
 type Gateway struct {
 	cfg   *settings.Settings
@@ -48,41 +48,42 @@
 	members      *members
 	health       *sourceHealth
 	views        *viewKeeper
-	departure    *departure
-	follower     *storeFollower
-	gossip       *gossip
-	joining      *joining
+	shutdown     *shutdownState
+	follower     *sourceFollower
+	gossip       *gossiper
+	joiner       *joiner
 	coordinators *coordinators
-	prompts      *prompts
+	prompts      *promptPlacer
 	quarantine   *quarantine.Tracker
 	backpressure *backpressure.Tracker
 	relay        *relay.Server
-	callers      *callers
+	callers      *callerServer
 	admin        *adminServer
 	metrics      *metrics
 
-	sockets *sockets
-	servers servers
+	listeners *listeners
+	servers   servers
 }
 
-// servers are the HTTP servers of a node's sockets.
+// servers are the HTTP servers of the node's listeners.
 type servers struct{ callers, peers, admin, ready *http.Server }
 
-// Option changes a Gateway under construction.
+// Option configures a Gateway.
 type Option func(*Gateway)
 
-// WithLogger sets the log; it is silent by default.
+// WithLogger sets the logger; nothing is logged by default.
 func WithLogger(log zerolog.Logger) Option { return func(g *Gateway) { g.log = log } }
 
-// WithClock sets the clock, which must be monotonic; that of package boottime by default.
+// WithClock sets the clock, which must be monotonic. The default is the clock of package
+// boottime.
 func WithClock(now func() time.Time) Option { return func(g *Gateway) { g.now = now } }
 
-// New returns a gateway that listens but serves nothing until Run. The settings must
-// have a gateway section; a port 0 in them takes a free port.
+// New returns a gateway that listens but serves nothing until Run. The settings must have a
+// gateway section. Port 0 in an address picks a free port.
 func New(cfg *settings.Settings, ports Ports, opts ...Option) (*Gateway, error) {
 	g := &Gateway{
 		cfg: cfg, ports: ports, log: zerolog.Nop(), now: boottime.New().Now,
-		health: newSourceHealth(), departure: &departure{}, metrics: newMetrics(),
+		health: newSourceHealth(), shutdown: &shutdownState{}, metrics: newMetrics(),
 	}
 	for _, opt := range opts {
 		opt(g)
@@ -92,152 +93,151 @@
 	if err != nil {
 		return nil, err
 	}
-	g.sockets = sockets
-	g.members = newMembers(g.now, g.PeerAddress(), started.UnixNano(), cfg.Peers, capacityOf(cfg.Gateway))
-	g.views = newViewKeeper(g.now, g.log, g.viewChanged)
-	g.views.refused = g.metrics.entryRefused
-	g.wire(started)
+	g.listeners = sockets
+	g.members = newMembers(g.now, g.PeerAddress(), started.UnixNano(), cfg.Peers, machineCapacity(cfg.Gateway))
+	g.views = newViewKeeper(g.now, g.log, g.onViewChange)
+	g.views.onRejected = g.metrics.recordRejectedEntry
+	g.createParts(started)
 	return g, nil
 }
 
-// wire creates the parts that work by the members and the view.
-func (g *Gateway) wire(started time.Time) {
+// createParts creates the parts that depend on the members and the view.
+func (g *Gateway) createParts(started time.Time) {
 	peers := newPeerClient(g.now)
-	g.follower = &storeFollower{
+	g.follower = &sourceFollower{
 		source: g.ports.Source, views: g.views, members: g.members, health: g.health, peers: peers,
 		metrics: g.metrics, log: g.log, now: g.now,
 	}
 	g.quarantine = quarantine.NewTracker(quarantine.Config{
-		Now: g.now, Log: g.log, OnChange: g.quarantineChanged, OwnsRole: g.members.givesOut,
+		Now: g.now, Log: g.log, OnChange: g.onQuarantineChange, OwnsRole: g.members.ownsRole,
 	})
-	g.backpressure = backpressure.NewTracker(backpressure.Config{Now: g.now, Log: g.log, Changed: g.limitsChanged, Rank: g.members.rank})
+	g.backpressure = backpressure.NewTracker(backpressure.Config{Now: g.now, Log: g.log, Changed: g.onLimitsChange, Rank: g.members.rank})
 	g.ports.Targets.OnSignal(func(t directory.Target, s backpressure.Signal) { g.backpressure.Observe(t.Incarnation(), s) })
-	g.gossip = &gossip{
-		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, health: g.health, departure: g.departure,
+	g.gossip = &gossiper{
+		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, health: g.health, shutdown: g.shutdown,
 		quarantine: g.quarantine, backpressure: g.backpressure,
-		checkBehind: g.follower.checkBehind, triggered: make(chan struct{}, 1),
+		catchUpIfBehind: g.follower.catchUpIfBehind, triggered: make(chan struct{}, 1),
 	}
-	g.joining = newJoining(g.members, g.gossip.exchange)
+	g.joiner = newJoiner(g.members, g.gossip.exchange)
 	retries := retryPolicy(g.cfg.Gateway, func() int { return retrySharers(g.now().Sub(started), g.members.peakSize()) })
 	g.coordinators = &coordinators{views: g.views, services: map[string]*actor.PID{}, coordinatorConfig: coordinatorConfig{
-		now: g.now, log: g.log, system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger)), members: g.members,
+		now: g.now, log: g.log, system: actor.NewActorSystem(actor.WithLoggerFactory(discardLogger)), members: g.members,
 		targets: g.ports.Targets, metrics: g.metrics, retries: retries, permit: g.views.permit, margin: warmUpMargin(g.cfg.Gateway), quarantine: g.quarantine, backpressure: g.backpressure,
 	}}
 	margin := warmUpMargin(g.cfg.Gateway)
-	g.prompts = &prompts{
+	g.prompts = &promptPlacer{
 		now: g.now, log: g.log, members: g.members, peers: peers, views: g.views, margin: margin,
 		choosers: map[string]*placement.EngineChooser{},
 	}
-	batches := &batches{
-		now: g.now, log: g.log, members: g.members, peers: peers, local: g.coordinators, joining: g.joining,
+	batches := &batchRouter{
+		now: g.now, log: g.log, members: g.members, peers: peers, local: g.coordinators, joiner: g.joiner,
 		exchange: g.gossip.exchange,
 	}
 	g.relay = relay.New(relay.Config{
 		DataCentre: g.cfg.DataCentre, Node: g.PeerAddress(), View: g.views.load, AwaitCatalog: g.awaitFirstConfig, Upstream: g.ports.Targets, Batcher: batches, Placer: g.prompts,
 		Observer: &requestLog{now: g.now, log: g.log, metrics: g.metrics}, Now: g.now, RetryPolicy: retries, NodeCount: g.members.size,
-		WarmUp: margin, SendsToCold: g.members.givesOutCold, Quarantine: g.quarantine, Gate: g.backpressure.RequestGate(),
+		WarmUp: margin, SendsToCold: g.members.ownsColdTarget, Quarantine: g.quarantine, Gate: g.backpressure.RequestGate(),
 	})
-	g.wireServers()
+	g.createServers()
 }
 
-// wireServers creates the parts that callers, members and operators speak to.
-func (g *Gateway) wireServers() {
-	g.callers = &callers{now: g.now, views: g.views, departure: g.departure, relay: g.relay}
+// createServers creates the parts that serve callers, members and operators.
+func (g *Gateway) createServers() {
+	g.callers = &callerServer{now: g.now, views: g.views, shutdown: g.shutdown, relay: g.relay}
 	g.admin = &adminServer{
 		now: g.now, dataCentre: g.cfg.DataCentre, views: g.views, health: g.health, members: g.members,
-		departure: g.departure, callers: g.callers, coordinators: g.coordinators, metrics: g.metrics, quarantine: g.quarantine, backpressure: g.backpressure,
+		shutdown: g.shutdown, callers: g.callers, coordinators: g.coordinators, metrics: g.metrics, quarantine: g.quarantine, backpressure: g.backpressure,
 	}
 	peers := &peerServer{
 		now: g.now, views: g.views, gossip: g.gossip, coordinators: g.coordinators, prompts: g.prompts, quarantine: g.quarantine,
 	}
 	g.servers = servers{
-		callers: newServer(g.callers.counted(g.ports.Callers(g.callers))),
+		callers: newServer(g.callers.countInFlight(g.ports.Callers(g.callers))),
 		peers:   newServer(peers.handler()),
 		admin:   newServer(g.admin.handler()),
 		ready:   newServer(http.HandlerFunc(g.admin.serveReady)),
 	}
 }
 
-// quietLogger keeps the actor system's own lines out of the log.
-func quietLogger(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
+// discardLogger keeps the log lines of the actor system out of the node's log.
+func discardLogger(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// viewChanged notifies those who depend on the view, in this order.
-func (g *Gateway) viewChanged(v *view.View) {
+// onViewChange notifies the parts that depend on the view, in this order.
+func (g *Gateway) onViewChange(v *view.View) {
 	g.coordinators.configure(v)
 	g.relay.Prune(v.Directory)
 	g.prompts.prune(v.Directory)
 	g.backpressure.Prune(v.Directory)
-	g.metrics.viewChanged(g.now(), v)
+	g.metrics.recordView(g.now(), v)
 	g.gossip.publishStatus()
 	g.gossip.trigger()
 }
 
-// quarantineChanged has members hear of requests that end their targets, and counts those
-// that are held.
-func (g *Gateway) quarantineChanged(held int) {
-	g.metrics.held.Update(float64(held))
+// onQuarantineChange counts the held requests and triggers gossip about requests that crash
+// their targets.
+func (g *Gateway) onQuarantineChange(held int) {
+	g.metrics.heldRequests.Update(float64(held))
 	g.gossip.trigger()
 }
 
-// limitsChanged has members hear of the limits of targets, and counts them.
-func (g *Gateway) limitsChanged(limited int) {
-	g.metrics.limited.Update(float64(limited))
+// onLimitsChange counts the targets with a limit and triggers gossip about the limits.
+func (g *Gateway) onLimitsChange(limited int) {
+	g.metrics.limitedTargets.Update(float64(limited))
 	g.gossip.trigger()
 }
 
-// CallerAddress returns the address that callers use.
-func (g *Gateway) CallerAddress() string { return g.sockets.callers.Addr().String() }
+// CallerAddress returns the address that serves callers.
+func (g *Gateway) CallerAddress() string { return g.listeners.callers.Addr().String() }
 
-// PeerAddress returns the address that other nodes use.
-func (g *Gateway) PeerAddress() string { return g.sockets.peers.Addr().String() }
+// PeerAddress returns the address that serves other nodes.
+func (g *Gateway) PeerAddress() string { return g.listeners.peers.Addr().String() }
 
-// AdminAddress returns the address that operators read from.
-func (g *Gateway) AdminAddress() string { return g.sockets.admin.Addr().String() }
+// AdminAddress returns the address that serves operators.
+func (g *Gateway) AdminAddress() string { return g.listeners.admin.Addr().String() }
 
-// ReadyAddress returns the address that the balancer checks.
-func (g *Gateway) ReadyAddress() string { return g.sockets.ready.Addr().String() }
+// ReadyAddress returns the address that serves the load balancer's readiness checks.
+func (g *Gateway) ReadyAddress() string { return g.listeners.ready.Addr().String() }
 
-// State describes what the node knows and holds.
+// State returns a dump of the node's state.
 func (g *Gateway) State() message.GatewayState { return g.admin.state() }
 
-// Run serves until ctx ends and then stops as planned: it informs the balancer
-// and its members, and finishes the work in flight within the time to stop.
+// Run serves until ctx is done and then shuts down gracefully: it informs the load balancer
+// and the members, and finishes the requests in flight within the grace period.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	go g.serve(g.servers.callers, g.sockets.callers)
-	go g.serve(g.servers.peers, g.sockets.peers)
-	go g.serve(g.servers.admin, g.sockets.admin)
-	go g.serve(g.servers.ready, g.sockets.ready)
+	go g.serve(g.servers.callers, g.listeners.callers)
+	go g.serve(g.servers.peers, g.listeners.peers)
+	go g.serve(g.servers.admin, g.listeners.admin)
+	go g.serve(g.servers.ready, g.listeners.ready)
 	go g.follower.run(work)
 	go g.gossip.run(work)
 	go g.join(work)
 	g.log.Info().Str("callers", g.CallerAddress()).Str("peers", g.PeerAddress()).
 		Str("dataCentre", g.cfg.DataCentre).Msg("node: started")
 	<-ctx.Done()
-	g.stop()
+	g.shutDown()
 	return nil
 }
 
-// join joins the members once the node has a configuration.
+// join joins the cluster once the node has a configuration.
 func (g *Gateway) join(ctx context.Context) {
 	select {
 	case <-g.views.configured:
-		g.joining.run(ctx)
+		g.joiner.run(ctx)
 	case <-ctx.Done():
 	}
 }
 
-// serve serves a socket until the stop closes it.
+// serve serves a listener until the server is shut down.
 func (g *Gateway) serve(s *http.Server, ln net.Listener) {
 	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		g.log.Error().Str("address", ln.Addr().String()).Err(err).Msg("node: no longer listening")
+		g.log.Error().Str("address", ln.Addr().String()).Err(err).Msg("node: serving a listener failed")
 	}
 }
 
-// Reload applies the settings that may change while the node runs: the addresses
-// at which members are looked for.
+// Reload applies the settings that may change while the node runs: the seed addresses.
 func (g *Gateway) Reload(cfg *settings.Settings) {
 	g.members.setSeeds(cfg.Peers)
-	g.log.Info().Strs("peers", cfg.Peers).Msg("settings: read again")
+	g.log.Info().Strs("peers", cfg.Peers).Msg("settings: reloaded")
 }
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -5,14 +5,15 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// open submits a group to the core, or hands it back when the node is leaving.
-func (c *coordinator) open(g *pendingGroup) {
+// submitGroup submits a group's items to the core, or hands the group back if the node is
+// leaving.
+func (c *coordinator) submitGroup(g *pendingGroup) {
 	if c.leaving {
 		c.closeGroup(g, errLeaving())
 		return
 	}
-	items := g.items(c.last, c.quarantine.Suspected)
-	c.last += batching.ItemID(len(items))
+	items := g.newItems(c.lastToken, c.quarantine.Suspected)
+	c.lastToken += batching.ItemID(len(items))
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
@@ -21,9 +22,9 @@
 	c.handle(batching.Submit{Items: items})
 }
 
-// noteStarted notes that items are part of a batch, and has the groups whose inputs
-// are being read report that their read time later.
-func (c *coordinator) noteStarted(e batching.Send) {
+// markStarted records that items are part of a batch. Groups whose inputs are now being read
+// report them as read after their read time.
+func (c *coordinator) markStarted(e batching.Send) {
 	for _, item := range e.Items {
 		p, known := c.items[item.ID]
 		if !known {
@@ -34,14 +35,15 @@
 			continue
 		}
 		p.reading = true
-		if p.group.noteReading() {
-			c.sendLater(p.group.group.ReadTime, inputsRead{p.group})
+		if p.group.markReading() {
+			c.sendAfter(p.group.group.ReadTime, inputsRead{p.group})
 		}
 	}
 }
 
-// resolve ends an item; the last one ends its group, and so does one that failed.
-func (c *coordinator) resolve(e batching.Resolve) {
+// resolveItem records the result of an item. The last result closes its group, and so does an
+// error.
+func (c *coordinator) resolveItem(e batching.Resolve) {
 	p, known := c.items[e.ItemID]
 	if !known {
 		return
@@ -68,8 +70,8 @@
 	}
 }
 
-// closeGroup ends a group; with an error its other items are withdrawn and their
-// results released.
+// closeGroup closes a group. If there is an error, its other items are withdrawn and their
+// results are released.
 func (c *coordinator) closeGroup(g *pendingGroup, err *verdict.Error) {
 	g.closed = true
 	g.err = err
@@ -77,7 +79,7 @@
 		delete(c.items, token)
 	}
 	if err != nil {
-		finished := g.finished()
+		finished := g.availableResults()
 		g.results = nil
 		sendReleases(c.system, c.self, finished)
 		c.system.Root.Send(c.self, batching.Withdraw{ItemIDs: g.tokens})
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -13,75 +13,74 @@
 
 // Limits of the HTTP servers.
 const (
-	// readTimeout bounds reading a request with its body: the largest body allowed over a
-	// link of some Mbit/s.
+	// readTimeout bounds reading a request with its body: the largest allowed body over a
+	// link of a few Mbit/s.
 	readTimeout = 30 * time.Second
-	// headerTimeout bounds reading a request's header, so that connections that send
-	// nothing end.
+	// headerTimeout bounds reading a request's header, so that connections that send nothing
+	// are closed.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long an unused connection stays open: longer than callers and
+	// idleTimeout is how long an idle connection stays open. It is longer than callers and
 	// members keep theirs, so that they close first.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds a request's header: far above what the catalog allows, which
-	// the adapter checks.
+	// maxHeaderBytes bounds a request's header. It is far above the limit of the catalog,
+	// which the adapter enforces.
 	maxHeaderBytes = 64 << 10
 )
 
 const (
-	// callerShare is the part of the process's descriptors that callers may take; the rest
-	// is for targets, members and the source, of which a node of 295 had 1,150 connections
-	// at most.
-	callerShare = 0.6
-	// defaultDescriptors is assumed when the settings name none: the usual limit of a
-	// process on Linux.
+	// callerDescriptorShare is the fraction of the process's file descriptors that callers
+	// may use. The rest is for targets, members and the source, to which a node among 295 had
+	// at most 1,150 connections.
+	callerDescriptorShare = 0.6
+	// defaultDescriptors is assumed if the settings name no number: the usual limit of a
+	// Linux process.
 	defaultDescriptors = 1024
 )
 
-// sockets are the addresses that a node listens on.
-type sockets struct{ callers, peers, admin, ready net.Listener }
+// listeners are the node's listeners.
+type listeners struct{ callers, peers, admin, ready net.Listener }
 
-// listen opens all sockets, or none.
-func listen(cfg *settings.Settings) (*sockets, error) {
-	s := &sockets{}
+// listen opens all listeners, or none.
+func listen(cfg *settings.Settings) (*listeners, error) {
+	ls := &listeners{}
 	for _, l := range []struct {
-		into    *net.Listener
-		address string
+		listener *net.Listener
+		address  string
 	}{
-		{&s.callers, cfg.Listen.Callers},
-		{&s.peers, cfg.Listen.Peers},
-		{&s.admin, cfg.Listen.Admin},
-		{&s.ready, cfg.Gateway.Ready},
+		{&ls.callers, cfg.Listen.Callers},
+		{&ls.peers, cfg.Listen.Peers},
+		{&ls.admin, cfg.Listen.Admin},
+		{&ls.ready, cfg.Gateway.Ready},
 	} {
 		ln, err := net.Listen("tcp", l.address)
 		if err != nil {
-			s.close()
+			ls.close()
 			return nil, errors.Wrap(err, "listen")
 		}
-		*l.into = ln
+		*l.listener = ln
 	}
-	// Connections beyond the limit wait in the system's queue.
-	s.callers = netutil.LimitListener(s.callers, callerLimit(cfg.Gateway.Descriptors))
-	return s, nil
+	// Connections beyond the limit wait in the kernel's accept queue.
+	ls.callers = netutil.LimitListener(ls.callers, maxCallerConnections(cfg.Gateway.Descriptors))
+	return ls, nil
 }
 
-// close closes the sockets that are open. An error cannot matter: nothing has been
-// accepted from them.
-func (s *sockets) close() {
-	for _, ln := range []net.Listener{s.callers, s.peers, s.admin, s.ready} {
+// close closes the open listeners. Errors are ignored: no connection has been accepted yet.
+func (ls *listeners) close() {
+	for _, ln := range []net.Listener{ls.callers, ls.peers, ls.admin, ls.ready} {
 		if ln != nil {
 			_ = ln.Close()
 		}
 	}
 }
 
-// callerLimit decides how many connections callers may have open, by the file
-// descriptors of the process; 0 for unknown. Too many leave the node without
+// maxCallerConnections decides how many connections callers may have open. Input: the number
+// of file descriptors of the process; 0 if unknown. Too many leave the node without
 // connections to targets, members and the source; too few make callers wait.
-func callerLimit(descriptors int) int {
+func maxCallerConnections(descriptors int) int {
 	if descriptors <= 0 {
 		descriptors = defaultDescriptors
 	}
-	return int(callerShare * float64(descriptors))
+	return int(callerDescriptorShare * float64(descriptors))
 }
 
 func newServer(handler http.Handler) *http.Server {
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -9,21 +9,21 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// A member that runs a group for this node counts as lost after aliveFor and
-// aliveTimeout together, 1.05 s at most after its last sign of life and one check.
-// With a limit on the wait for items instead, members were suspected 256 times on a
-// quiet day, when their queues were long.
+// A member that runs a group for this node counts as lost after livenessInterval and
+// livenessTimeout together: 1.05 s at most after its last contact and one check. When the
+// wait for items was limited instead, members were suspected 256 times on a quiet day because
+// their queues were long.
 const (
-	// aliveFor is how long a sign of life counts, and how often it is checked.
-	aliveFor = 700 * time.Millisecond
-	// aliveTimeout bounds asking a member for a sign of life.
-	aliveTimeout = 350 * time.Millisecond
+	// livenessInterval is how long a contact proves that a member is alive, and how often
+	// that is checked.
+	livenessInterval = 700 * time.Millisecond
+	// livenessTimeout bounds a liveness check of a member.
+	livenessTimeout = 350 * time.Millisecond
 )
 
-// runAt has a member run the items of a group. It waits for the member for as long as
-// that shows signs of life, however long its queue, and gives up on one that does not:
-// then the error's reason is ReasonConnection.
-func (b *batches) runAt(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+// runAt runs the items of a group at a member. It waits for as long as the member is alive,
+// however long its queue. If the member is not, the error has the reason ReasonConnection.
+func (b *batchRouter) runAt(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
@@ -32,10 +32,10 @@
 	}
 	answered := make(chan answer, 1)
 	go func() {
-		results, err := b.peers.runAtMember(ctx, member, service, group, inputsRead)
+		results, err := b.peers.runItems(ctx, member, service, group, inputsRead)
 		answered <- answer{results, err}
 	}()
-	check := time.NewTicker(aliveFor)
+	check := time.NewTicker(livenessInterval)
 	defer check.Stop()
 	for {
 		select {
@@ -49,20 +49,20 @@
 	}
 }
 
-// isAlive says whether a member gave a sign of life lately or answers now.
-func (b *batches) isAlive(ctx context.Context, member string) bool {
-	if countsAsAlive(b.now().Sub(b.members.lastContact(member))) {
+// isAlive reports whether a member was in contact recently or answers now.
+func (b *batchRouter) isAlive(ctx context.Context, member string) bool {
+	if isRecentContact(b.now().Sub(b.members.lastContact(member))) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, livenessTimeout)
 	defer cancel()
 	return b.exchange(ctx, member)
 }
 
-// countsAsAlive decides whether a member that runs a group is still there, by the
-// time since its last sign of life, which the roster knows by direct contact or by
-// the rise of its heartbeat at third members. A member that does not count is asked
-// directly before it is given up. Giving up too early has items run twice, at this
-// member and the next; too late, they miss their time. See
+// isRecentContact decides whether a member that runs a group counts as alive. Input: the time
+// since its last contact, which the roster knows from direct exchanges or from a rise of the
+// member's heartbeat reported by others. A member that does not count as alive is asked
+// directly before it is given up. Giving up too early runs items twice, at this member and
+// the next; giving up too late delays them past their due time. See
 // docs/decisions/0012-batches.md, "Failure".
-func countsAsAlive(silentFor time.Duration) bool { return silentFor < aliveFor }
+func isRecentContact(sinceContact time.Duration) bool { return sinceContact < livenessInterval }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,32 +12,34 @@
 	"github.com/honeydyke/honeydyke/internal/telemetry"
 )
 
-// metricsInterval is how often counts reach the exposition: more often than it is read.
+// metricsInterval is how often metrics are reported to the exposition. It is shorter than the
+// interval at which they are scraped.
 const metricsInterval = 5 * time.Second
 
-// latencyBuckets are the bounds of latency histograms: from 5 ms to 20 s.
+// latencyBuckets are the bucket bounds of latency histograms, from 5 ms to 20 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
-// batchBuckets are the bounds of the histogram of items in a batch.
+// batchBuckets are the bucket bounds of the histogram of items per batch.
 var batchBuckets = tally.ValueBuckets{1, 2, 4, 6, 8, 12, 16, 24, 32, 48, 64}
 
-// metrics owns the gateway's counters and histograms.
+// metrics owns the gateway's counters, gauges and histograms.
 type metrics struct {
 	scope          tally.Scope
 	handler        http.Handler
 	sourceCalls    tally.Counter
 	sourceFailures tally.Counter
-	// targetEnds counts attempts whose target ended meanwhile.
+	// targetEnds counts attempts during which the target's process ended.
 	targetEnds tally.Counter
-	// refused counts entries of the source that did not read.
-	refused tally.Counter
-	// held is how many requests this node holds back because they end their targets.
-	held tally.Gauge
-	// limited is how many targets this node knows to have named a limit.
-	limited tally.Gauge
-	// evacuated is how many data centres this node takes for evacuated, cold how many
-	// targets it took for cold when the view last changed.
-	evacuated, cold tally.Gauge
+	// rejectedEntries counts entries of the source that could not be decoded.
+	rejectedEntries tally.Counter
+	// heldRequests is the number of requests that this node holds back because they crash
+	// their targets.
+	heldRequests tally.Gauge
+	// limitedTargets is the number of targets that are known to ask for a limit.
+	limitedTargets tally.Gauge
+	// evacuatedDataCentres is the number of data centres that this node considers evacuated,
+	// coldTargets the number of targets that were cold when the view last changed.
+	evacuatedDataCentres, coldTargets tally.Gauge
 }
 
 func newMetrics() *metrics {
@@ -45,21 +47,21 @@
 	return &metrics{
 		scope: scope, handler: handler,
 		sourceCalls: scope.Counter("source_calls"), sourceFailures: scope.Counter("source_failures"),
-		targetEnds: scope.Counter("target_ends"), held: scope.Gauge("held_requests"),
-		limited:   scope.Gauge("limited_targets"),
-		refused:   scope.Counter("source_entries_refused"),
-		evacuated: scope.Gauge("evacuated_data_centres"), cold: scope.Gauge("cold_targets"),
+		targetEnds: scope.Counter("target_ends"), heldRequests: scope.Gauge("held_requests"),
+		limitedTargets:       scope.Gauge("limited_targets"),
+		rejectedEntries:      scope.Counter("source_entries_refused"),
+		evacuatedDataCentres: scope.Gauge("evacuated_data_centres"), coldTargets: scope.Gauge("cold_targets"),
 	}
 }
 
-// label returns a value as a label may hold it.
-func label(s string) string { return strings.ReplaceAll(s, "-", "_") }
+// labelValue returns s as a label value, with underscores instead of hyphens.
+func labelValue(s string) string { return strings.ReplaceAll(s, "-", "_") }
 
-func (m *metrics) ended(o *relay.Outcome) {
-	tags := map[string]string{"service": label(o.Service), "end": "answered", "reason": "none"}
+func (m *metrics) recordRequest(o *relay.Outcome) {
+	tags := map[string]string{"service": labelValue(o.Service), "end": "answered", "reason": "none"}
 	if o.Err != nil {
-		tags["end"] = label(o.Err.Verdict().String())
-		tags["reason"] = label(string(o.Err.Reason()))
+		tags["end"] = labelValue(o.Err.Verdict().String())
+		tags["reason"] = labelValue(string(o.Err.Reason()))
 	}
 	s := m.scope.Tagged(tags)
 	s.Counter("requests").Inc(1)
@@ -72,22 +74,22 @@
 	}
 }
 
-// viewChanged counts what of a view takes no new work, or little.
-func (m *metrics) viewChanged(now time.Time, v *view.View) {
+// recordView counts the evacuated data centres and the cold targets of a view.
+func (m *metrics) recordView(now time.Time, v *view.View) {
 	cold := 0
 	for _, t := range v.Directory.All() {
 		if t.Cold(now) {
 			cold++
 		}
 	}
-	m.evacuated.Update(float64(v.Evacuations.ActiveCount()))
-	m.cold.Update(float64(cold))
+	m.evacuatedDataCentres.Update(float64(v.Evacuations.ActiveCount()))
+	m.coldTargets.Update(float64(cold))
 }
 
-func (m *metrics) entryRefused() { m.refused.Inc(1) }
+func (m *metrics) recordRejectedEntry() { m.rejectedEntries.Inc(1) }
 
-func (m *metrics) targetEnded() { m.targetEnds.Inc(1) }
+func (m *metrics) recordTargetEnd() { m.targetEnds.Inc(1) }
 
-func (m *metrics) batch(service string, items int) {
-	m.scope.Tagged(map[string]string{"service": label(service)}).Histogram("call_items", batchBuckets).RecordValue(float64(items))
+func (m *metrics) recordBatch(service string, items int) {
+	m.scope.Tagged(map[string]string{"service": labelValue(service)}).Histogram("call_items", batchBuckets).RecordValue(float64(items))
 }
--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -18,27 +18,27 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// newQuarantine returns a keeper that nobody hears of.
+// newQuarantine returns a keeper whose changes are not reported.
 func newQuarantine() *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
 
-// newBackpressure returns a keeper of limits that nobody hears of.
+// newBackpressure returns a keeper whose changes are not reported.
 func newBackpressure() *backpressure.Tracker {
 	return backpressure.NewTracker(backpressure.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, Rank: func(string) (before, members int) { return 0, 1 },
 	})
 }
 
-// TestGossipOfMixedVersions holds what a member answers to nodes of this version and of
-// an earlier one, which neither sends nor accepts the compact form.
+// TestGossipOfMixedVersions guards against answers that a member of an earlier version cannot
+// decode: it neither sends nor accepts the compact form.
 func TestGossipOfMixedVersions(t *testing.T) {
-	answer := func(accept string) (kind string, g message.Gossip) {
+	answer := func(accept string) (contentType string, g message.Gossip) {
 		m := newMembers(time.Now, "10.0.0.1:80", 1, nil, 0)
 		views := newViewKeeper(time.Now, zerolog.Nop(), func(*view.View) {})
-		s := &peerServer{now: time.Now, gossip: &gossip{
+		s := &peerServer{now: time.Now, gossip: &gossiper{
 			now: time.Now, members: m, views: views, health: newSourceHealth(), quarantine: newQuarantine(), backpressure: newBackpressure(), triggered: make(chan struct{}, 1),
 		}}
 		body, err := json.Marshal(message.Gossip{Members: []message.GossipMember{{Address: "10.1.0.0:8628", Incarnation: 1, Compact: true}}})
@@ -50,20 +50,20 @@
 		w := httptest.NewRecorder()
 		s.serveGossip(w, r)
 		convey.So(w.Code, convey.ShouldEqual, http.StatusOK)
-		kind = w.Header().Get("Content-Type")
-		g, err = gossipcodec.Decode(w.Body, kind)
+		contentType = w.Header().Get("Content-Type")
+		g, err = gossipcodec.Decode(w.Body, contentType)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(m.readsCompact("10.1.0.0:8628"), convey.ShouldBeTrue)
-		return kind, g
+		return contentType, g
 	}
-	convey.Convey("JSON is answered in JSON", t, func() {
-		kind, g := answer("")
-		convey.So(kind, convey.ShouldEqual, "application/json")
+	convey.Convey("JSON is answered with JSON", t, func() {
+		contentType, g := answer("")
+		convey.So(contentType, convey.ShouldEqual, "application/json")
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
 	})
-	convey.Convey("JSON of a node that reads the compact form is answered in it", t, func() {
-		kind, g := answer(gossipcodec.CompactMediaType)
-		convey.So(kind, convey.ShouldEqual, gossipcodec.CompactMediaType)
+	convey.Convey("JSON from a node that accepts the compact form is answered in that form", t, func() {
+		contentType, g := answer(gossipcodec.CompactMediaType)
+		convey.So(contentType, convey.ShouldEqual, gossipcodec.CompactMediaType)
 		convey.So(len(g.Members), convey.ShouldBeGreaterThan, 1)
 	})
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -17,87 +17,89 @@
 )
 
 const (
-	// overloadCost is what a coordinator's one processor spends on each call, 50 a second.
-	overloadCost = 20 * time.Millisecond
-	// overloadPush is the time between two requests in a push of overloadPushes, four times
-	// what the coordinator carries, and overloadUsual that before and after, four fifths.
-	overloadPush   = 5 * time.Millisecond
-	overloadPushes = 400
-	overloadUsual  = 25 * time.Millisecond
-	// overloadRecovers is how long after the push the coordinator may be late, and
-	// overloadSeen how long it is looked at then.
-	overloadRecovers = 5 * time.Second
-	overloadSeen     = 2 * time.Second
+	// callCost is the processor time that a coordinator spends on each call: it can handle 50
+	// a second.
+	callCost = 20 * time.Millisecond
+	// burstInterval is the time between requests in a burst of burstRequests, which is four
+	// times the coordinator's capacity. normalInterval is the time between requests before
+	// and after the burst, four fifths of the capacity.
+	burstInterval  = 5 * time.Millisecond
+	burstRequests  = 400
+	normalInterval = 25 * time.Millisecond
+	// recoveryTime is how long after the burst the coordinator may answer late.
+	// observationTime is how long it is observed after that.
+	recoveryTime    = 5 * time.Second
+	observationTime = 2 * time.Second
 )
 
-// busyCoordinator answers calls one after the other, each when its turn comes, and spends
-// its time also on those that nobody awaits any more.
-type busyCoordinator struct {
+// serialCoordinator answers calls one at a time, including those that nothing waits for any
+// more.
+type serialCoordinator struct {
 	processor sync.Mutex
 }
 
-func (c *busyCoordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *serialCoordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.processor.Lock()
-	time.Sleep(overloadCost)
+	time.Sleep(callCost)
 	c.processor.Unlock()
-	writeMessage(w, message.ItemBacklogs{BacklogMs: []int{int(overloadCost.Milliseconds())}})
+	writeJSON(w, message.ItemBacklogs{BacklogMs: []int{int(callCost.Milliseconds())}})
 }
 
-// newRemoteBatches returns the batches of a node whose services another member coordinates.
-func newRemoteBatches(member string) *batches {
-	// The other's incarnation is the newer one; only it serves.
+// newRemoteRouter returns the router of a node whose services another member coordinates.
+func newRemoteRouter(member string) *batchRouter {
+	// Only the other member serves, and its incarnation is newer.
 	m := newMembers(time.Now, "127.0.0.1:1", 1, nil, 0)
-	m.mergeFrom(member, message.Gossip{Members: []message.GossipMember{{Address: member, Incarnation: 2, Beat: 1, Serving: true, Capacity: 1}}})
-	return &batches{
+	m.mergeReply(member, message.Gossip{Members: []message.GossipMember{{Address: member, Incarnation: 2, Beat: 1, Serving: true, Capacity: 1}}})
+	return &batchRouter{
 		now: time.Now, log: zerolog.Nop(), members: m, peers: newPeerClient(time.Now),
 		exchange: func(context.Context, string) bool { return true },
 	}
 }
 
-// TestCoordinatorRecovers tells an incident: a push of six seconds left a fleet's pipelines
-// standing still for thirty.
+// TestCoordinatorRecovers guards against a coordinator that stays overloaded after a burst. A
+// backlog that is not answered within planTimeout counts as none, so an overloaded
+// coordinator bounds its load least, and plans that nothing waits for any more delay it
+// further.
 //
-// Seen: from the push on 3,500 requests in two seconds were admitted, held until their time
-// was over and sent again by their clients; the stages made some ten batches a second. How
-// it came about: one member coordinated all stages. Late by more than a request waits for
-// its backlog, it got every request of every node, and what nobody awaited any more made it
-// later. It ended with that member, by a planned stop. Cause: a backlog that a coordinator
-// does not answer in time counted as none, so that the load which it got was least bounded
-// when it was most overloaded. Proof: the planned times of the day's requests, which are
-// those of an idle system from the push on, and this test, in which a coordinator with four
-// fifths of its load is late for good after a push.
+// After a burst of 6 s, the one coordinator of all stages was late for 30 s, until it shut
+// down. In 2 s, 3,500 requests were admitted as if the system were idle, held until their
+// deadlines and retried by their clients, while the stages ran about ten batches a second.
+// Here a coordinator at four fifths of its capacity stays late after a burst.
 func TestCoordinatorRecovers(t *testing.T) {
-	coordinator := httptest.NewServer(&busyCoordinator{})
+	coordinator := httptest.NewServer(&serialCoordinator{})
 	defer coordinator.Close()
 	member := strings.TrimPrefix(coordinator.URL, "http://")
-	b := newRemoteBatches(member)
-	stop := keepAlive(t, b, member)
+	b := newRemoteRouter(member)
+	stop := keepMemberAlive(t, b, member)
 	defer stop()
-	usual := func(d time.Duration) (asked, answered int) { return plans(t, b, int(d/overloadUsual), overloadUsual) }
-	convey.Convey("A coordinator answers again some seconds after a push", t, func() {
-		asked, answered := usual(2 * time.Second)
+	sendNormalLoad := func(d time.Duration) (asked, answered int) {
+		return sendPlans(t, b, int(d/normalInterval), normalInterval)
+	}
+	convey.Convey("A coordinator answers in time again some seconds after a burst", t, func() {
+		asked, answered := sendNormalLoad(2 * time.Second)
 		convey.So(answered, convey.ShouldBeGreaterThan, asked*9/10)
-		plans(t, b, overloadPushes, overloadPush)
-		usual(overloadRecovers)
-		asked, answered = usual(overloadSeen)
+		sendPlans(t, b, burstRequests, burstInterval)
+		sendNormalLoad(recoveryTime)
+		asked, answered = sendNormalLoad(observationTime)
 		convey.So(answered, convey.ShouldBeGreaterThan, asked*9/10)
 	})
 }
 
-// keepAlive has the member give signs of life.
-func keepAlive(t *testing.T, b *batches, member string) (stop func()) {
+// keepMemberAlive keeps recording contact with the member.
+func keepMemberAlive(t *testing.T, b *batchRouter, member string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for ctx.Err() == nil {
-			b.members.mergeFrom(member, message.Gossip{})
-			time.Sleep(overloadCost)
+			b.members.mergeReply(member, message.Gossip{})
+			time.Sleep(callCost)
 		}
 	}()
 	return cancel
 }
 
-// plans announces requests, one at a time, and counts those whose backlog was answered.
-func plans(t *testing.T, b *batches, n int, pause time.Duration) (asked, answered int) {
+// sendPlans sends n plans with a pause after each and counts those whose backlog was
+// answered.
+func sendPlans(t *testing.T, b *batchRouter, n int, pause time.Duration) (asked, answered int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for range n {
--- a/internal/gateway/peerclient.go
+++ b/internal/gateway/peerclient.go
@@ -24,38 +24,37 @@
 )
 
 const (
-	// peerDialTimeout bounds connecting to a member, which takes milliseconds; one without
-	// power does not answer at all.
+	// peerDialTimeout bounds connecting to a member, which takes milliseconds. A member
+	// without power does not answer at all.
 	peerDialTimeout = 300 * time.Millisecond
-	// peerIdleTimeout is how long an unused connection to a member stays open: half of the
-	// time for which the member keeps it.
+	// peerIdleTimeout is how long an idle connection to a member stays open: half as long as
+	// the member keeps it.
 	peerIdleTimeout = 30 * time.Second
-	// peerIdleConns is how many unused connections to one member stay open: a group holds
-	// one for as long as its batch takes. How many a busy coordinator needs was not
-	// measured.
+	// peerIdleConns is how many idle connections to one member stay open. A group holds one
+	// for as long as its batch takes.
 	peerIdleConns = 32
 )
 
-// peerClient calls other members: one method for each message, which translates
-// it and returns what the member answered. It owns the HTTP client. Callers bound
-// the calls by their contexts; a call that fails is not retried here.
+// peerClient calls other members. It has one method per message, which encodes the message
+// and decodes the answer. Callers bound the calls by their contexts; failed calls are not
+// retried here.
 type peerClient struct {
-	now  func() time.Time
-	http *http.Client
+	now    func() time.Time
+	client *http.Client
 }
 
 func newPeerClient(now func() time.Time) *peerClient {
 	dialer := tcpconn.Dialer(peerDialTimeout)
-	return &peerClient{now: now, http: &http.Client{Transport: &http.Transport{
+	return &peerClient{now: now, client: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: peerIdleConns,
 		IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
 	}}}
 }
 
-// gossipAtMember sends a member what is known of all members and returns what it
-// knows. compact says that the member reads the compact form.
-func (c *peerClient) gossipAtMember(ctx context.Context, member string, in message.Gossip, compact bool) (message.Gossip, error) {
-	body, kind, err := gossipcodec.Encode(in, compact)
+// exchangeGossip sends gossip to a member and returns its answer. compact tells whether the
+// member decodes the compact form.
+func (c *peerClient) exchangeGossip(ctx context.Context, member string, in message.Gossip, compact bool) (message.Gossip, error) {
+	body, contentType, err := gossipcodec.Encode(in, compact)
 	if err != nil {
 		return message.Gossip{}, err
 	}
@@ -63,13 +62,13 @@
 	if err != nil {
 		return message.Gossip{}, err
 	}
-	req.Header.Set("Content-Type", kind)
+	req.Header.Set("Content-Type", contentType)
 	req.Header.Set("Accept", gossipcodec.CompactMediaType)
-	resp, err := c.http.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return message.Gossip{}, err
 	}
-	// Its error cannot matter: what was to be read has been read.
+	// The error does not matter: everything needed has been read.
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return message.Gossip{}, errors.Errorf("member %s answered with status %d", member, resp.StatusCode)
@@ -77,31 +76,31 @@
 	return gossipcodec.Decode(io.LimitReader(resp.Body, wire.MaxAnswerBytes), resp.Header.Get("Content-Type"))
 }
 
-// runAtMember has a member run the items of a group. It calls inputsRead when the
-// member reports that the items have read their inputs.
-func (c *peerClient) runAtMember(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
+// runItems runs the items of a group at a member. It calls inputsRead when the member reports
+// that the items have read their inputs.
+func (c *peerClient) runItems(ctx context.Context, member, service string, group relay.Group, inputsRead func()) ([]batching.Result, *verdict.Error) {
 	now := c.now()
 	ctx, cancel := context.WithTimeout(ctx, group.Deadline.Sub(now))
 	defer cancel()
-	out := itemAnswer{inputsRead: inputsRead}
-	err := c.call(ctx, http.MethodPost, member, wire.PathItems, groupMessage(now, service, group), &out)
+	out := itemsReply{onInputsRead: inputsRead}
+	err := c.call(ctx, http.MethodPost, member, wire.PathItems, encodeGroup(now, service, group), &out)
 	if err != nil {
-		return nil, verdict.New(verdict.NotRun, unansweredReason(ctx), "member %s gave no results", member).WithCause(err)
+		return nil, verdict.New(verdict.NotRun, contextReason(ctx), "member %s gave no results", member).WithCause(err)
 	}
 	if out.Reason != "" {
-		return nil, refusalOf(out.ItemResults)
+		return nil, decodeRefusal(out.ItemResults)
 	}
 	if len(out.Results) != group.Count {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonInternal,
 			"member %s gave %d results for %d items", member, len(out.Results), group.Count)
 	}
-	return resultsOf(out.Results), nil
+	return decodeResults(out.Results), nil
 }
 
-// unansweredReason says why a call or a group got no answer, by the context that it
-// ran in. When its time was over or nobody waits for it any more, that says nothing of
-// the member.
-func unansweredReason(ctx context.Context) verdict.Reason {
+// contextReason returns the reason of the failure of a call or group that got no answer,
+// according to its context. If its deadline has passed or it was cancelled, that does not
+// mean that the member is lost.
+func contextReason(ctx context.Context) verdict.Reason {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
 		return verdict.ReasonDeadline
@@ -111,51 +110,49 @@
 	return verdict.ReasonConnection
 }
 
-// releaseAtMember has the coordinator of a service release results.
-func (c *peerClient) releaseAtMember(ctx context.Context, member, service string, results []batching.Result) error {
-	in := message.ItemRelease{Service: service, Results: resultMessages(results)}
+// releaseResults releases results at the coordinator of a service.
+func (c *peerClient) releaseResults(ctx context.Context, member, service string, results []batching.Result) error {
+	in := message.ItemRelease{Service: service, Results: encodeResults(results)}
 	return c.call(ctx, http.MethodPost, member, wire.PathRelease, in, nil)
 }
 
-// planAtMember announces planned stages to their coordinator and returns the
-// backlog of each.
-func (c *peerClient) planAtMember(ctx context.Context, member, request string, stages []relay.PlannedStage) ([]time.Duration, error) {
+// planStages announces planned stages to their coordinator and returns the backlog of each.
+func (c *peerClient) planStages(ctx context.Context, member, request string, stages []relay.PlannedStage) ([]time.Duration, error) {
 	var out message.ItemBacklogs
-	err := c.call(ctx, http.MethodPost, member, wire.PathPlan, planMessage(c.now(), request, stages), &out)
+	err := c.call(ctx, http.MethodPost, member, wire.PathPlan, encodePlan(c.now(), request, stages), &out)
 	if err != nil {
 		return nil, err
 	}
 	if len(out.BacklogMs) != len(stages) {
-		return nil, errors.Errorf("member %s gave %d backlogs for %d stages", member, len(out.BacklogMs), len(stages))
+		return nil, errors.Errorf("member %s returned %d backlogs for %d stages", member, len(out.BacklogMs), len(stages))
 	}
-	return backlogsOf(out), nil
+	return decodeBacklogs(out), nil
 }
 
-// cancelAtMember withdraws planned stages from their coordinator.
-func (c *peerClient) cancelAtMember(ctx context.Context, member, request string, stages []relay.PlannedStage) error {
-	in := planMessage(c.now(), request, stages)
+// cancelStages cancels planned stages at their coordinator.
+func (c *peerClient) cancelStages(ctx context.Context, member, request string, stages []relay.PlannedStage) error {
+	in := encodePlan(c.now(), request, stages)
 	in.Cancelled = true
 	return c.call(ctx, http.MethodPost, member, wire.PathPlan, in, nil)
 }
 
-// placeAtMember has a member choose the engine for a prompt; one without identity
-// for none.
-func (c *peerClient) placeAtMember(ctx context.Context, member, service string, q placement.Prompt) (relay.Placed, error) {
+// placePrompt has a member choose the engine for a prompt. The engine is empty if there is
+// none.
+func (c *peerClient) placePrompt(ctx context.Context, member, service string, q placement.Prompt) (relay.Placed, error) {
 	var out message.PromptPlaced
-	err := c.call(ctx, http.MethodPost, member, wire.PathPlace, promptMessage(service, q), &out)
+	err := c.call(ctx, http.MethodPost, member, wire.PathPlace, encodePrompt(service, q), &out)
 	return relay.Placed{Engine: out.Target, CopyFrom: out.CopyFrom}, err
 }
 
-// endPrefillAtMember reports to the member that placed a prompt that its prefill has
-// ended; prefilled says whether the first event came.
-func (c *peerClient) endPrefillAtMember(ctx context.Context, member, service, request string, prefilled bool) error {
+// reportPrefill tells the member that placed a prompt that its prefill has ended. prefilled
+// is whether the first event arrived.
+func (c *peerClient) reportPrefill(ctx context.Context, member, service, request string, prefilled bool) error {
 	in := message.PromptRead{Service: service, Request: request, Whole: prefilled}
 	return c.call(ctx, http.MethodPost, member, wire.PathRead, in, nil)
 }
 
-// viewAtMember returns what a member knows beyond a revision and a version of the
-// configuration.
-func (c *peerClient) viewAtMember(ctx context.Context, member string, since view.Revision, version int64) (message.ViewSnapshot, error) {
+// fetchView returns what a member knows beyond a revision and a version of the catalog.
+func (c *peerClient) fetchView(ctx context.Context, member string, since view.Revision, version int64) (message.ViewSnapshot, error) {
 	query := url.Values{
 		paramSince: {strconv.FormatInt(int64(since), 10)}, paramVersion: {strconv.FormatInt(version, 10)},
 		paramCatalog: {"true"},
@@ -165,15 +162,14 @@
 	return out, err
 }
 
-// heldAtMember returns the requests that a member holds back.
-func (c *peerClient) heldAtMember(ctx context.Context, member string) ([]message.SuspectRequest, error) {
+// fetchHeldRequests returns the requests that a member holds back.
+func (c *peerClient) fetchHeldRequests(ctx context.Context, member string) ([]message.SuspectRequest, error) {
 	var out message.SuspectList
 	err := c.call(ctx, http.MethodGet, member, wire.PathSuspects, nil, &out)
 	return out.Requests, err
 }
 
-// call sends JSON to a member and reads its JSON answer into out, unless that is
-// nil.
+// call sends JSON to a member and decodes its JSON answer into out, unless that is nil.
 func (c *peerClient) call(ctx context.Context, method, member, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -183,11 +179,11 @@
 	if err != nil {
 		return err
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return err
 	}
-	// Its error cannot matter: what was to be read has been read.
+	// The error does not matter: everything needed has been read.
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("member %s answered with status %d", member, resp.StatusCode)
@@ -197,20 +193,20 @@
 		return err
 	}
 	decoder := json.NewDecoder(io.LimitReader(resp.Body, wire.MaxAnswerBytes))
-	if answer, ok := out.(*itemAnswer); ok {
+	if answer, ok := out.(*itemsReply); ok {
 		return answer.read(decoder)
 	}
 	return decoder.Decode(out)
 }
 
-// itemAnswer is a member's answer to a group: possibly a report that the inputs
-// have been read, and then the results.
-type itemAnswer struct {
+// itemsReply is a member's answer to a group: optionally a report that the inputs have been
+// read, followed by the results.
+type itemsReply struct {
 	message.ItemResults
-	inputsRead func()
+	onInputsRead func()
 }
 
-func (a *itemAnswer) read(decoder *json.Decoder) error {
+func (a *itemsReply) read(decoder *json.Decoder) error {
 	for {
 		a.ItemResults = message.ItemResults{}
 		if err := decoder.Decode(&a.ItemResults); err != nil {
@@ -219,6 +215,6 @@
 		if !a.Started {
 			return nil
 		}
-		a.inputsRead()
+		a.onInputsRead()
 	}
 }
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -20,27 +20,27 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// This file translates the messages between members. They carry times as
-// milliseconds from their sending, as members' clocks may differ.
+// The functions in this file encode and decode the messages between members. Messages carry
+// times as milliseconds relative to their sending, since the members' clocks may differ.
 
 // Parameters of a request for a member's view.
 const (
-	// paramSince is the revision from which the changes are wanted.
+	// paramSince is the revision after which changes are requested.
 	paramSince = "since"
-	// paramVersion is the version of the configuration that the asking node knows.
+	// paramVersion is the version of the catalog that the requesting node knows.
 	paramVersion = "version"
-	// paramCatalog says that the asking node takes a new configuration beside the
-	// targets that changed. A node that does not say so gets the whole.
+	// paramCatalog is set if the requesting node accepts a new catalog in a delta. Otherwise
+	// it gets a snapshot.
 	paramCatalog = "catalog"
 )
 
-// millis is a number of milliseconds as a duration.
+// millis returns n milliseconds as a duration.
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// millisUntil returns how many whole milliseconds after now t is.
+// millisUntil returns the number of whole milliseconds from now until t.
 func millisUntil(now, t time.Time) int { return int(t.Sub(now).Milliseconds()) }
 
-func groupMessage(now time.Time, service string, g relay.Group) message.ItemGroup {
+func encodeGroup(now time.Time, service string, g relay.Group) message.ItemGroup {
 	return message.ItemGroup{
 		Service: service, Request: g.Request, Stage: g.Stage, Count: g.Count,
 		Source: g.Source, Inputs: g.Inputs, ReadMs: int(g.ReadTime.Milliseconds()), Bytes: int(g.Bytes),
@@ -49,13 +49,13 @@
 	}
 }
 
-func groupOf(now time.Time, in message.ItemGroup) relay.Group {
+func decodeGroup(now time.Time, in message.ItemGroup) relay.Group {
 	readTime := millis(in.ReadMs)
 	if readTime == 0 {
-		// A member of an earlier version does not say.
+		// A member of an earlier version does not send the read time.
 		readTime = rules.InputsReadTime(rules.Transfer{})
 	}
-	// A member of an earlier version does not say what the items ask for.
+	// A member of an earlier version does not send the digest.
 	digest, _ := quarantine.ParseDigest(in.Digest)
 	return relay.Group{
 		ReadTime: readTime, Digest: digest,
@@ -65,21 +65,21 @@
 	}
 }
 
-// answerMessage is the answer to a group that ended with results or an error.
-func answerMessage(results []batching.Result, err *verdict.Error) message.ItemResults {
-	out := message.ItemResults{Results: resultMessages(results)}
+// encodeAnswer encodes the answer to a group that ended with results or an error.
+func encodeAnswer(results []batching.Result, err *verdict.Error) message.ItemResults {
+	out := message.ItemResults{Results: encodeResults(results)}
 	if err != nil {
 		out.Reason, out.Text, out.RetryAfterMs = string(err.Reason()), err.Text(), int(err.RetryAfter().Milliseconds())
 	}
 	return out
 }
 
-// refusalOf is the error of an answer without results.
-func refusalOf(out message.ItemResults) *verdict.Error {
+// decodeRefusal returns the error in an answer without results.
+func decodeRefusal(out message.ItemResults) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.Reason(out.Reason), "%s", out.Text).WithRetryAfter(millis(out.RetryAfterMs))
 }
 
-func resultMessages(results []batching.Result) []message.ItemResult {
+func encodeResults(results []batching.Result) []message.ItemResult {
 	list := make([]message.ItemResult, len(results))
 	for i, r := range results {
 		list[i] = message.ItemResult{Handle: r.Handle, Target: r.Target, DataCentre: r.DataCentre}
@@ -87,7 +87,7 @@
 	return list
 }
 
-func resultsOf(list []message.ItemResult) []batching.Result {
+func decodeResults(list []message.ItemResult) []batching.Result {
 	results := make([]batching.Result, len(list))
 	for i, r := range list {
 		results[i] = batching.Result{Handle: r.Handle, Target: r.Target, DataCentre: r.DataCentre}
@@ -95,7 +95,7 @@
 	return results
 }
 
-func planMessage(now time.Time, request string, stages []relay.PlannedStage) message.ItemPlan {
+func encodePlan(now time.Time, request string, stages []relay.PlannedStage) message.ItemPlan {
 	plan := message.ItemPlan{Request: request, Stages: make([]message.PlannedStage, len(stages))}
 	for i, s := range stages {
 		plan.Stages[i] = message.PlannedStage{Service: s.Service, Stage: s.Stage, Items: s.Items, DueMs: millisUntil(now, s.Due)}
@@ -103,7 +103,7 @@
 	return plan
 }
 
-func stagesOf(now time.Time, in message.ItemPlan) []relay.PlannedStage {
+func decodePlan(now time.Time, in message.ItemPlan) []relay.PlannedStage {
 	stages := make([]relay.PlannedStage, len(in.Stages))
 	for i, s := range in.Stages {
 		stages[i] = relay.PlannedStage{Service: s.Service, Stage: s.Stage, Items: s.Items, Due: now.Add(millis(s.DueMs))}
@@ -111,7 +111,7 @@
 	return stages
 }
 
-func backlogsOf(in message.ItemBacklogs) []time.Duration {
+func decodeBacklogs(in message.ItemBacklogs) []time.Duration {
 	backlogs := make([]time.Duration, len(in.BacklogMs))
 	for i, ms := range in.BacklogMs {
 		backlogs[i] = millis(ms)
@@ -119,13 +119,13 @@
 	return backlogs
 }
 
-func promptMessage(service string, q placement.Prompt) message.PromptPlace {
+func encodePrompt(service string, q placement.Prompt) message.PromptPlace {
 	m := message.PromptPlace{
-		Service: service, Request: q.Request, Key: keyText(0), Tokens: q.Tokens,
+		Service: service, Request: q.Request, Key: formatKey(0), Tokens: q.Tokens,
 		SlackMs: int(q.Slack.Milliseconds()), Exclude: q.Exclude, Suspect: q.Suspect,
 	}
 	for _, part := range q.Shared {
-		m.Key = keyText(part.Key)
+		m.Key = formatKey(part.Key)
 		m.SharedTokens += part.Tokens
 		m.Shared = append(m.Shared, message.PromptPart{Key: m.Key, Tokens: part.Tokens})
 	}
@@ -135,14 +135,14 @@
 	return m
 }
 
-func promptOf(in message.PromptPlace) (placement.Prompt, error) {
+func decodePrompt(in message.PromptPlace) (placement.Prompt, error) {
 	q := placement.Prompt{
 		Request: in.Request, Tokens: in.Tokens, Slack: millis(in.SlackMs), Exclude: in.Exclude, Suspect: in.Suspect,
 		InputBytes: make(map[string]int64, len(in.Pull)),
 	}
 	parts := in.Shared
 	if len(parts) == 0 {
-		// A member of an earlier version sends the last part and the length of all.
+		// A member of an earlier version sends only the last part and the total length.
 		parts = []message.PromptPart{{Key: in.Key, Tokens: in.SharedTokens}}
 	}
 	for _, part := range parts {
@@ -160,10 +160,10 @@
 	return q, nil
 }
 
-// keyText is the hash of a part of a prompt as members exchange it.
-func keyText(key uint64) string { return strconv.FormatUint(key, keyBase) }
+// formatKey returns the hash of a prompt part as members exchange it.
+func formatKey(key uint64) string { return strconv.FormatUint(key, keyBase) }
 
-// How hashes of parts of prompts are written.
+// Format of the hashes of prompt parts.
 const (
 	// keyBase is hexadecimal, which is shorter than decimal.
 	keyBase = 16
@@ -171,46 +171,47 @@
 	keyBits = 64
 )
 
-// snapshotMessage is all that a view holds.
-func snapshotMessage(now time.Time, v *view.View) message.ViewSnapshot {
+// encodeSnapshot encodes a whole view.
+func encodeSnapshot(now time.Time, v *view.View) message.ViewSnapshot {
 	return message.ViewSnapshot{
-		Revision: int(v.Revision), Document: base64.StdEncoding.EncodeToString(v.Document), Targets: targetMessages(now, v.Directory),
-		Evacuations: evacuationMessages(now, v.Evacuations.All()),
+		Revision: int(v.Revision), Document: base64.StdEncoding.EncodeToString(v.Document), Targets: encodeTargets(now, v.Directory),
+		Evacuations: encodeEvacuations(now, v.Evacuations.All()),
 	}
 }
 
-// deltaMessage is what changed; document is the text of a new configuration, nil for
+// encodeDelta encodes a delta. document is the text of a new configuration; nil if there is
 // none.
-func deltaMessage(now time.Time, d view.Delta, document []byte) message.ViewSnapshot {
+func encodeDelta(now time.Time, d view.Delta, document []byte) message.ViewSnapshot {
 	m := message.ViewSnapshot{
 		Since: int(d.Since), Revision: int(d.Revision), Targets: []message.ViewTarget{}, Gone: d.Removed,
-		Document: base64.StdEncoding.EncodeToString(document), Evacuations: evacuationMessages(now, d.Evacuations),
+		Document: base64.StdEncoding.EncodeToString(document), Evacuations: encodeEvacuations(now, d.Evacuations),
 	}
 	for _, t := range d.Targets {
-		m.Targets = append(m.Targets, targetMessage(now, t))
+		m.Targets = append(m.Targets, encodeTarget(now, t))
 	}
 	return m
 }
 
-// isDelta says whether a member sent what changed instead of all that it knows.
+// isDelta reports whether a member sent a delta instead of a snapshot.
 func isDelta(s message.ViewSnapshot) bool { return s.Since > 0 }
 
-// deltaOf reads what a member said that changed; catalog is the configuration that came
-// with it, nil for none.
-func deltaOf(now time.Time, member string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
+// decodeDelta decodes a member's delta. catalog is the catalog that came with it; nil if
+// there is none.
+func decodeDelta(now time.Time, sender string, s message.ViewSnapshot, catalog *view.CatalogChange) view.Delta {
 	d := view.Delta{
 		Since: view.Revision(s.Since), Revision: view.Revision(s.Revision), Removed: s.Gone, Catalog: catalog,
-		Evacuations: evacuationsOf(now, member, s.Evacuations),
+		Evacuations: decodeEvacuations(now, sender, s.Evacuations),
 	}
 	for _, t := range s.Targets {
-		d.Targets = append(d.Targets, targetOf(now, t))
+		d.Targets = append(d.Targets, decodeTarget(now, t))
 	}
 	return d
 }
 
-// evacuationMessages is what members are sent of evacuations. The list is never nil:
-// without one a member counts as of an earlier version, which knows of none.
-func evacuationMessages(now time.Time, list []view.Evacuation) []message.ViewEvacuation {
+// encodeEvacuations encodes the evacuations that are sent to members. The list is never nil:
+// a member that sends none counts as of an earlier version, which does not know of
+// evacuations.
+func encodeEvacuations(now time.Time, list []view.Evacuation) []message.ViewEvacuation {
 	out := make([]message.ViewEvacuation, len(list))
 	for i, e := range list {
 		out[i] = message.ViewEvacuation{DataCentre: e.DataCentre, Active: e.Active, Revision: int(e.Revision), OrderedAt: int(e.OrderedAt)}
@@ -221,12 +222,12 @@
 	return out
 }
 
-// evacuationsOf is what a member said of evacuations.
-func evacuationsOf(now time.Time, member string, list []message.ViewEvacuation) []view.Evacuation {
+// decodeEvacuations decodes the evacuations that a member sent.
+func decodeEvacuations(now time.Time, sender string, list []message.ViewEvacuation) []view.Evacuation {
 	var out []view.Evacuation
 	for _, m := range list {
 		e := view.Evacuation{
-			DataCentre: m.DataCentre, Active: m.Active, Revision: view.Revision(m.Revision), OrderedAt: view.Revision(m.OrderedAt), From: member,
+			DataCentre: m.DataCentre, Active: m.Active, Revision: view.Revision(m.Revision), OrderedAt: view.Revision(m.OrderedAt), From: sender,
 		}
 		if m.HoldsMs > 0 {
 			e.DisputedAt, e.HoldsUntil = view.Revision(m.DisputedAt), now.Add(millis(m.HoldsMs))
@@ -236,24 +237,24 @@
 	return out
 }
 
-// documentOf returns the text of the configuration that a member sent.
-func documentOf(s message.ViewSnapshot) ([]byte, error) {
+// decodeDocument returns the text of the configuration that a member sent.
+func decodeDocument(s message.ViewSnapshot) ([]byte, error) {
 	document, err := base64.StdEncoding.DecodeString(s.Document)
-	return document, errors.Wrap(err, "the configuration is not base64")
+	return document, errors.Wrap(err, "decode the configuration")
 }
 
-// targetMessages lists the targets in the order of their identities.
-func targetMessages(now time.Time, d *directory.Directory) []message.ViewTarget {
+// encodeTargets encodes the targets, sorted by ID.
+func encodeTargets(now time.Time, d *directory.Directory) []message.ViewTarget {
 	list := make([]message.ViewTarget, 0, len(d.All()))
 	for _, id := range slices.Sorted(maps.Keys(d.All())) {
-		list = append(list, targetMessage(now, d.All()[id]))
+		list = append(list, encodeTarget(now, d.All()[id]))
 	}
 	return list
 }
 
-// targetMessage describes a target to a member. One whose entry has expired and
-// which is about to be dropped has the shortest time there is: 0 says not expired.
-func targetMessage(now time.Time, t directory.Target) message.ViewTarget {
+// encodeTarget encodes a target. If its entry has expired and it is about to be removed, the
+// remaining time is 1 ms, since 0 means that the target has not lapsed.
+func encodeTarget(now time.Time, t directory.Target) message.ViewTarget {
 	m := message.ViewTarget{
 		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.StartMs),
 		Draining: t.State == directory.Draining,
@@ -271,8 +272,8 @@
 	return m
 }
 
-// targetOf is a target that a member described.
-func targetOf(now time.Time, t message.ViewTarget) directory.Target {
+// decodeTarget decodes a target that a member sent.
+func decodeTarget(now time.Time, t message.ViewTarget) directory.Target {
 	target := directory.Target{ID: t.Id, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int32(t.Slots), StartMs: int64(t.Born)}
 	switch {
 	case t.Draining:
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -15,22 +15,22 @@
 	"github.com/honeydyke/honeydyke/internal/gateway/view"
 )
 
-// store is a source that several nodes read; each sees it through a reader.
-type store struct {
+// fakeStore is a store that several nodes read, each through its own fakeSource.
+type fakeStore struct {
 	mu       sync.Mutex
 	revision view.Revision
 	changes  []view.Changes
-	// changed is closed with the next change.
+	// changed is closed by the next change.
 	changed chan struct{}
 }
 
-func newStore() *store {
-	s := &store{changed: make(chan struct{})}
+func newFakeStore() *fakeStore {
+	s := &fakeStore{changed: make(chan struct{})}
 	s.publish(catalogChange(1))
 	return s
 }
 
-// catalogChange is an empty configuration, whose document is its version.
+// catalogChange returns an empty catalog whose document is its version.
 func catalogChange(version int64) view.CatalogChange {
 	c, err := catalog.New(version, nil, nil, nil, catalog.Limits{})
 	if err != nil {
@@ -39,7 +39,7 @@
 	return view.CatalogChange{Catalog: c, Document: []byte(strconv.FormatInt(version, 10))}
 }
 
-func (s *store) publish(c view.Change) {
+func (s *fakeStore) publish(c view.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -48,7 +48,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *store) since(after view.Revision) (view.Changes, <-chan struct{}) {
+func (s *fakeStore) changesAfter(after view.Revision) (view.Changes, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := view.Changes{Revision: s.revision}
@@ -60,38 +60,38 @@
 	return all, s.changed
 }
 
-// reader is one node's way to the store; it remembers how often it was used.
-type reader struct {
-	*store
+// fakeSource is one node's access to the store. It counts the node's calls.
+type fakeSource struct {
+	*fakeStore
 	mu    sync.Mutex
 	calls int
 }
 
-func (r *reader) count() {
+func (r *fakeSource) countCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls++
 }
 
-func (r *reader) used() int {
+func (r *fakeSource) callCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
-func (r *reader) Snapshot(_ context.Context, answered func()) (view.Changes, error) {
-	r.count()
+func (r *fakeSource) Snapshot(_ context.Context, answered func()) (view.Changes, error) {
+	r.countCall()
 	answered()
-	all, _ := r.since(0)
+	all, _ := r.changesAfter(0)
 	return all, nil
 }
 
-func (r *reader) Watch(ctx context.Context, after view.Revision, wait time.Duration, answered func()) (view.Changes, error) {
-	r.count()
+func (r *fakeSource) Watch(ctx context.Context, after view.Revision, wait time.Duration, answered func()) (view.Changes, error) {
+	r.countCall()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changes, more := r.since(after)
+		changes, more := r.changesAfter(after)
 		if len(changes.List) > 0 {
 			answered()
 			return changes, nil
@@ -107,7 +107,7 @@
 	}
 }
 
-func (r *reader) Decode(document []byte) (view.CatalogChange, error) {
+func (r *fakeSource) Decode(document []byte) (view.CatalogChange, error) {
 	version, err := strconv.ParseInt(string(document), 10, 64)
 	if err != nil {
 		return view.CatalogChange{}, err
@@ -116,23 +116,23 @@
 }
 
 const (
-	fleetSize   = 14
-	strongNodes = 5
+	nodeCount       = 14
+	strongNodeCount = 5
 )
 
-func startFleet(t *testing.T, s *store) ([]*Gateway, []*reader) {
+func startFleet(t *testing.T, s *fakeStore) ([]*Gateway, []*fakeSource) {
 	t.Helper()
 	var nodes []*Gateway
-	var readers []*reader
+	var readers []*fakeSource
 	var seeds []string
-	for i := range fleetSize {
+	for i := range nodeCount {
 		cores := 0.2
-		if i < strongNodes {
+		if i < strongNodeCount {
 			cores = 1
 		}
 		cfg := localSettings()
 		cfg.Peers, cfg.Gateway.Cores, cfg.Gateway.GraceMs = seeds, cores, 2000
-		r := &reader{store: s}
+		r := &fakeSource{fakeStore: s}
 		g, err := New(cfg, Ports{Source: r, Targets: noTargets{}, Callers: noCallers})
 		if err != nil {
 			t.Fatal(err)
@@ -153,19 +153,19 @@
 	return nodes, readers
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 600 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("not within 30 s: %s", what)
+	t.Fatalf("condition not met within 30 s: %s", what)
 }
 
-// reaching counts the members that a node knows to reach the source.
-func reaching(g *Gateway) int {
+// countReachingSource counts the members that reach the source according to a node.
+func countReachingSource(g *Gateway) int {
 	n := 0
 	for _, m := range g.State().Members {
 		if m.Hears {
@@ -175,7 +175,7 @@
 	return n
 }
 
-func knows(g *Gateway, target string) bool {
+func hasTarget(g *Gateway, target string) bool {
 	for _, t := range g.State().Targets {
 		if t.Id == target {
 			return true
@@ -184,24 +184,26 @@
 	return false
 }
 
-func TestFewNodesWatchTheSourceForAll(t *testing.T) {
-	convey.Convey("Of many nodes", t, func() {
-		s := newStore()
+// TestOnlyReadersWatchSource guards against a source that is overloaded because every node
+// watches it and reads every new configuration there.
+func TestOnlyReadersWatchSource(t *testing.T) {
+	convey.Convey("Given many nodes", t, func() {
+		s := newFakeStore()
 		nodes, readers := startFleet(t, s)
 		eventually(t, "all nodes know each other", func() bool {
 			for _, n := range nodes {
-				if reaching(n) < strongNodes {
+				if countReachingSource(n) < strongNodeCount {
 					return false
 				}
 			}
 			return true
 		})
-		// The watches that began before the nodes knew each other end with this.
+		// This ends the watches that started before the nodes knew each other.
 		s.publish(view.TargetChange{Target: directory.Target{ID: "first", Service: "s"}})
 		allKnow := func(id string) func() bool {
 			return func() bool {
 				for _, n := range nodes {
-					if !knows(n, id) {
+					if !hasTarget(n, id) {
 						return false
 					}
 				}
@@ -211,41 +213,41 @@
 		eventually(t, "all nodes know the first target", allKnow("first"))
 		before := make([]int, len(readers))
 		for i, r := range readers {
-			before[i] = r.used()
+			before[i] = r.callCount()
 		}
 		for i := range 8 {
 			id := fmt.Sprintf("target-%d", i)
 			s.publish(view.TargetChange{Target: directory.Target{ID: id, Service: "s"}})
 			eventually(t, "all nodes know "+id, allKnow(id))
 		}
-		convey.Convey("few watch the source, and all receive what changes", func() {
+		convey.Convey("few watch the source, and all receive its changes", func() {
 			watching := 0
 			for i, r := range readers {
-				if r.used()-before[i] >= 4 {
+				if r.callCount()-before[i] >= 4 {
 					watching++
 				}
 			}
-			convey.So(watching, convey.ShouldBeBetweenOrEqual, 1, strongNodes)
+			convey.So(watching, convey.ShouldBeBetweenOrEqual, 1, strongNodeCount)
 		})
-		convey.Convey("and few read a new configuration there, which all receive with what else changes", func() {
-			used := func() (calls int) {
-				for _, r := range readers[strongNodes:] {
-					calls += r.used()
+		convey.Convey("few read a new configuration there, and all receive it with the other changes", func() {
+			callsOfOthers := func() (calls int) {
+				for _, r := range readers[strongNodeCount:] {
+					calls += r.callCount()
 				}
 				return calls
 			}
-			before := used()
+			before := callsOfOthers()
 			s.publish(catalogChange(2))
 			s.publish(view.TargetChange{Target: directory.Target{ID: "last", Service: "s"}})
 			eventually(t, "all nodes know the last target and the new configuration", func() bool {
 				for _, n := range nodes {
-					if !knows(n, "last") || n.views.load().CatalogVersion() != 2 {
+					if !hasTarget(n, "last") || n.views.load().CatalogVersion() != 2 {
 						return false
 					}
 				}
 				return true
 			})
-			convey.So(used()-before, convey.ShouldBeLessThanOrEqualTo, 1)
+			convey.So(callsOfOthers()-before, convey.ShouldBeLessThanOrEqualTo, 1)
 		})
 	})
 }
--- a/internal/gateway/requestlog_test.go
+++ b/internal/gateway/requestlog_test.go
@@ -14,8 +14,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// logged returns the line that a decision writes.
-func logged(d relay.Decision) map[string]any {
+// loggedLine returns the log line of a decision.
+func loggedLine(d relay.Decision) map[string]any {
 	var out bytes.Buffer
 	l := &requestLog{log: zerolog.New(&out)}
 	l.Decided("r", d)
@@ -24,30 +24,30 @@
 	return line
 }
 
-func TestAttemptLine(t *testing.T) {
-	shouldSay := func(next rules.NextAttempt, again bool, want string) {
-		line := logged(relay.AttemptFailed{Attempt: relay.Attempt{Target: "t"}, WillRetry: again, Next: next})
+func TestAttemptFailedLog(t *testing.T) {
+	shouldLog := func(next rules.NextAttempt, again bool, want string) {
+		line := loggedLine(relay.AttemptFailed{Attempt: relay.Attempt{Target: "t"}, WillRetry: again, Next: next})
 		convey.So(line["message"], convey.ShouldEqual, "request: attempt failed")
 		convey.So(line["again"], convey.ShouldEqual, again)
 		convey.So(line["next"], convey.ShouldEqual, want)
 	}
-	convey.Convey("A failed attempt's line says what follows, and why nothing does", t, func() {
-		shouldSay(rules.OtherTarget{}, true, "other target")
-		shouldSay(rules.Recompute{}, true, "recompute inputs")
-		shouldSay(rules.GiveUp{Reason: rules.MayHaveRun}, false, "given up, may have run")
-		shouldSay(rules.GiveUp{Reason: rules.RequestEnded}, false, "given up, request ended")
+	convey.Convey("The log line of a failed attempt shows what follows, or why nothing does", t, func() {
+		shouldLog(rules.OtherTarget{}, true, "other target")
+		shouldLog(rules.Recompute{}, true, "recompute inputs")
+		shouldLog(rules.GiveUp{Reason: rules.MayHaveRun}, false, "given up, may have run")
+		shouldLog(rules.GiveUp{Reason: rules.RequestEnded}, false, "given up, request ended")
 	})
 }
 
-func TestRefusedLine(t *testing.T) {
-	convey.Convey("A refusal's line has what was planned, what was compared and what the bound was made of", t, func() {
+func TestRefusedLog(t *testing.T) {
+	convey.Convey("The log line of a refusal shows the planned stages, what was compared and the terms of the bound", t, func() {
 		decision := rules.Admit(rules.Admission{
 			Estimated: 1533 * time.Millisecond, Alone: 280 * time.Millisecond, Left: 1800 * time.Millisecond, Objective: 2 * time.Second,
 			Priority: 2,
 		})
 		refused, ok := decision.(rules.Refused)
 		convey.So(ok, convey.ShouldBeTrue)
-		line := logged(relay.Refused{
+		line := loggedLine(relay.Refused{
 			Stages:   []relay.PlannedStage{{Service: "rank", Stage: 1, Items: 4}},
 			Backlogs: []time.Duration{1253 * time.Millisecond}, Estimated: 1533 * time.Millisecond, Left: 1800 * time.Millisecond,
 			Comparison: refused.Comparison,
@@ -61,13 +61,13 @@
 	})
 }
 
-func TestAttemptsText(t *testing.T) {
-	convey.Convey("Each attempt has its target, its reason if it failed, its status and its milliseconds", t, func() {
+func TestFormatAttempts(t *testing.T) {
+	convey.Convey("Each attempt shows its target, the reason if it failed, its status and its milliseconds", t, func() {
 		failed := verdict.New(verdict.MayHaveRun, verdict.ReasonCut, "why")
-		text := attemptsText([]relay.Attempt{
+		text := formatAttempts([]relay.Attempt{
 			{Target: "a", Status: 200, Err: failed, Took: 1387 * time.Millisecond}, {Target: "b", Status: 200, Took: 2900 * time.Microsecond},
 		})
 		convey.So(text, convey.ShouldEqual, "a:answer-cut/200:1387 b:200:2")
-		convey.So(attemptsText(nil), convey.ShouldBeEmpty)
+		convey.So(formatAttempts(nil), convey.ShouldBeEmpty)
 	})
 }
