--- a/internal/gateway/coordinator.go
+++ b/internal/gateway/coordinator.go
@@ -62,7 +62,7 @@
 	core    *batching.Core
 	// gate applies the limits and pauses that targets ask for.
 	gate        backpressure.Gate
-	lastToken   batching.ItemID
+	lastItemID  batching.ItemID
 	items       map[batching.ItemID]*pendingItem
 	tickPending bool
 	// leaving is set when another node is to run what has not started.
@@ -227,9 +227,9 @@
 }
 
 // recordResult tells the quarantine what the result of a batch, sent at the given time, says
-// about its items. It reports whether the target's process has ended. Like runBatch it runs
-// outside the actor.
-func (c *coordinator) recordResult(e batching.Send, sentAt time.Time, err *verdict.Error) (ended bool) {
+// about its items. It reports whether the target crashed: the connection broke and the
+// target's process has ended. Like runBatch it runs outside the actor.
+func (c *coordinator) recordResult(e batching.Send, sentAt time.Time, err *verdict.Error) (crashed bool) {
 	switch {
 	case rules.TargetSurvived(err):
 		for _, item := range e.Items {
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -12,8 +12,8 @@
 		c.closeGroup(g, errLeaving())
 		return
 	}
-	items := g.newItems(c.lastToken, c.quarantine.Suspected)
-	c.lastToken += batching.ItemID(len(items))
+	items := g.newItems(c.lastItemID, c.quarantine.Suspected)
+	c.lastItemID += batching.ItemID(len(items))
 	g.pending, g.unread = len(items), len(items)
 	g.results = make([]batching.Result, len(items))
 	for i, item := range items {
@@ -75,14 +75,14 @@
 func (c *coordinator) closeGroup(g *pendingGroup, err *verdict.Error) {
 	g.closed = true
 	g.err = err
-	for _, token := range g.tokens {
-		delete(c.items, token)
+	for _, id := range g.itemIDs {
+		delete(c.items, id)
 	}
 	if err != nil {
 		finished := g.availableResults()
 		g.results = nil
 		sendReleases(c.system, c.self, finished)
-		c.system.Root.Send(c.self, batching.Withdraw{ItemIDs: g.tokens})
+		c.system.Root.Send(c.self, batching.Withdraw{ItemIDs: g.itemIDs})
 	}
 	close(g.done)
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -28,7 +28,7 @@
 	handler        http.Handler
 	sourceCalls    tally.Counter
 	sourceFailures tally.Counter
-	// targetEnds counts attempts during which the target's process ended.
+	// targetEnds counts the attempts and the batches during which the target's process ended.
 	targetEnds tally.Counter
 	// rejectedEntries counts entries of the source that could not be decoded.
 	rejectedEntries tally.Counter
--- a/internal/gateway/pendinggroup.go
+++ b/internal/gateway/pendinggroup.go
@@ -13,7 +13,7 @@
 	group   relay.Group
 	results []batching.Result
 	err     *verdict.Error
-	tokens  []batching.ItemID
+	itemIDs []batching.ItemID
 	// pending counts the items without a result.
 	pending int
 	// onInputsRead is called once all items are assumed to have read their inputs; it may be
@@ -42,7 +42,7 @@
 //
 // A batch reads its inputs at once only if its target is known to have no other call
 // (batching.Send.TargetIdle). Otherwise the batch may wait at the target and find its inputs
-// released: 307 items in a day without this condition, 138 with it. The inputs of other
+// released; without this condition, that happened to 307 items in a day. The inputs of other
 // batches are released when the batch has ended. If inputs are released too early, an item
 // does not find them and they are computed again; if too late, they take memory that other
 // items wait for. See docs/decisions/0012-batches.md, "Result memory" and "Inputs".
@@ -62,15 +62,15 @@
 	return results
 }
 
-// newItems creates the group's items, with the tokens that follow last. suspected reports
+// newItems creates the group's items, with the IDs that follow last. suspected reports
 // whether a target crashed with an item before.
 func (g *pendingGroup) newItems(last batching.ItemID, suspected func(quarantine.Digest) bool) []batching.Item {
 	items := make([]batching.Item, g.group.Count)
 	for i := range items {
-		token := last + 1 + batching.ItemID(i)
-		g.tokens = append(g.tokens, token)
+		id := last + 1 + batching.ItemID(i)
+		g.itemIDs = append(g.itemIDs, id)
 		items[i] = batching.Item{
-			ID: token, Request: g.group.Request, Stage: g.group.Stage, Index: i,
+			ID: id, Request: g.group.Request, Stage: g.group.Stage, Index: i,
 			Source: g.group.Source, Inputs: g.group.Inputs, Bytes: g.group.Bytes,
 			Due: g.group.Due, Deadline: g.group.Deadline, Priority: g.group.Priority,
 			DataCentre: g.group.DataCentre, Digest: g.group.Digest.Item(i),
