--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -17,9 +17,8 @@
 // cores and, if known, its link in Mbit/s; the scarcer of the two counts. Members with less
 // than half the capacity of the strongest one coordinate nothing and do not read the source.
 // If the value is too high, a weak machine falls behind with the work for all; if it is too
-// low, fewer members share that work. Where machines differ by a factor of ten, the rule
-// accounts for a seventh or more of the score (docs/decisions/0012-batches.md, "Who
-// coordinates").
+// low, fewer members share that work. The rule matters most where machines differ by a factor
+// of ten. See docs/decisions/0012-batches.md, "Who coordinates".
 func machineCapacity(cfg *settings.Gateway) int {
 	cores := cfg.Cores
 	if cfg.LinkMbps > 0 {
--- a/internal/gateway/discards.go
+++ b/internal/gateway/discards.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// discardDelay is how long discards are collected before they are sent in one call. 8 ms
-	// makes no significant difference (0.003 in the score); a longer delay holds memory that
-	// items wait for.
+	// discardDelay is how long discards are collected before they are sent in one call. A
+	// shorter delay means more calls; a longer one holds memory that items wait for.
 	discardDelay = 25 * time.Millisecond
 	// discardTimeout bounds that call. A target that does not answer drops the results when
 	// they expire.
 	discardTimeout = time.Second
 )
 
-// discardQueue collects the results to discard, by the life of their target. It belongs to
-// one coordinator.
+// discardQueue collects the results to discard, by the incarnation of their target. It
+// belongs to one coordinator.
 type discardQueue struct {
 	log      zerolog.Logger
 	targets  Targets
--- a/internal/gateway/liveness.go
+++ b/internal/gateway/liveness.go
@@ -9,10 +9,10 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// A member that runs a group for this node counts as lost after livenessInterval and
-// livenessTimeout together: 1.05 s at most after its last contact and one check. When the
-// wait for items was limited instead, members were suspected 256 times on a quiet day because
-// their queues were long.
+// A member that runs a group for this node counts as lost livenessInterval and livenessTimeout
+// together, 1.05 s, after the last check that found it alive. When the wait for items was
+// limited instead, members were suspected 256 times on a quiet day because their queues were
+// long.
 const (
 	// livenessInterval is how long a contact proves that a member is alive, and how often
 	// that is checked.
