--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -10,7 +10,8 @@
 	"github.com/honeydyke/honeydyke/pkg/verdict"
 )
 
-// defaultMaxBodyBytes bounds the body of a request while no configuration is known.
+// defaultMaxBodyBytes bounds the body of a request while no configuration is known, or if the
+// configuration sets no limit.
 const defaultMaxBodyBytes = 4 << 20
 
 // callerServer implements Relay for the adapter's handler. It counts the requests in flight.
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// trigger starts the next round at once.
+// trigger starts the next round after triggerDelay instead of gossipInterval.
 func (g *gossiper) trigger() {
 	select {
 	case g.triggered <- struct{}{}:
--- a/internal/gateway/joining.go
+++ b/internal/gateway/joining.go
@@ -19,8 +19,8 @@
 )
 
 // joiner joins the cluster: it exchanges gossip with the seeds once the node has its first
-// configuration. Until then the node does not know which member coordinates a service, and
-// would start work that belongs to another.
+// configuration. Until it has joined, the node does not know which member coordinates a
+// service, and would start work that belongs to another.
 type joiner struct {
 	members  *members
 	exchange func(ctx context.Context, member string) bool
--- a/internal/gateway/joining_test.go
+++ b/internal/gateway/joining_test.go
@@ -95,8 +95,9 @@
 	})
 }
 
-// TestFirstConfigWait guards against requests that are held for too long at a node without a
-// configuration, in particular if the source is known to fail.
+// TestFirstConfigWait guards against requests at a node without a configuration that are not
+// held although the configuration may come soon, or that are held although it has arrived or
+// the source is known to fail.
 func TestFirstConfigWait(t *testing.T) {
 	waited := func(g *Gateway) time.Duration {
 		started := time.Now()
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -31,8 +31,8 @@
 	// that was accepted after 3.001 s was cut off at the end of the grace period.
 	acceptAfterSignal = 2500 * time.Millisecond
 	// leavingRetryAfter is how long a client that a leaving node refused waits before it
-	// tries another node. It is above 0 only for the sake of clients that were refused
-	// together.
+	// tries another node. Another node can take the request at once; the short pause is for the
+	// clients that were refused together.
 	leavingRetryAfter = 50 * time.Millisecond
 	// abortMargin is how long before the end of the grace period unanswered requests are
 	// refused: twice exitMargin, so that the refusals arrive.
