--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -172,7 +172,7 @@
 		return err
 	}
 	if known := f.views.load().Revision; ch.Revision < known {
-		f.log.Warn().Int64("revision", int64(known)).Int64("listed", int64(ch.Revision)).Msg("source: dropped a snapshot older than the view")
+		f.log.Warn().Int64("revision", int64(known)).Int64("listed", int64(ch.Revision)).Msg("source: snapshot older than the view, dropped except for a newer configuration")
 	}
 	f.views.apply(ch, func(now time.Time, v *view.View) *view.View {
 		return v.WithSnapshot(now, ch, f.health.lastOutage())
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -86,7 +86,7 @@
 }
 
 func TestSourceStateLog(t *testing.T) {
-	convey.Convey("Only the first of consecutive failures or answers is logged", t, func() {
+	convey.Convey("Of consecutive failures only the first is logged, and of the answers after them only the first", t, func() {
 		var lines []string
 		log := zerolog.New(io.Discard).Hook(zerolog.HookFunc(func(_ *zerolog.Event, _ zerolog.Level, msg string) { lines = append(lines, msg) }))
 		f := &sourceFollower{
--- a/internal/gateway/peermessages.go
+++ b/internal/gateway/peermessages.go
@@ -252,8 +252,8 @@
 	return list
 }
 
-// encodeTarget encodes a target. If its entry has expired and it is about to be removed, the
-// remaining time is 1 ms, since 0 means that the target has not lapsed.
+// encodeTarget encodes a target. The remaining time of a state is at least 1 ms, also when it
+// has passed, since 0 means that the target is not in that state.
 func encodeTarget(now time.Time, t directory.Target) message.ViewTarget {
 	m := message.ViewTarget{
 		Id: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre, Slots: int(t.Slots), Born: int(t.StartMs),
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -18,8 +18,8 @@
 const (
 	// fullLogRate is how many requests per second have all their decisions logged: about four
 	// lines each, 60 KB per second. Above that rate a sample is logged, chosen by the
-	// request's ID so that all nodes log the lines of the same requests. Failures are always
-	// logged.
+	// request's ID so that the lines of one request stay together on all nodes. Failures are
+	// always logged.
 	fullLogRate = 50.0
 	// sampleWindow is the window in which requests are counted to set the sample ratio of the
 	// next window.
@@ -44,7 +44,8 @@
 	sampleRatio float64
 }
 
-// sampled counts a request and reports whether it is logged in full.
+// sampled counts a request and reports whether it is logged in full. It is called for each
+// completed stage and at the end, so a request with stages counts more than once.
 func (l *requestLog) sampled(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,8 +116,8 @@
 	return ev.Str("verdict", err.Verdict().String()).Str("reason", string(err.Reason())).Str("error", err.Error())
 }
 
-// Ended implements relay.Observer. Successful requests are sampled, failed ones are always
-// logged.
+// Ended implements relay.Observer. Requests that succeed at the first attempt are sampled, all
+// others are always logged.
 func (l *requestLog) Ended(o *relay.Outcome) {
 	l.metrics.recordRequest(o)
 	if o.Err == nil && len(o.Attempts) <= 1 && !l.sampled(o.Request.ID) {
@@ -161,8 +162,8 @@
 	ev.Msg("request: ended")
 }
 
-// formatAttempts formats the target, the reason or status, and the milliseconds of each
-// attempt.
+// formatAttempts formats the target, the reason if it failed, the status and the milliseconds
+// of each attempt.
 func formatAttempts(attempts []relay.Attempt) string {
 	texts := make([]string, len(attempts))
 	for i, a := range attempts {
