--- a/internal/gateway/mixedversions_test.go
+++ b/internal/gateway/mixedversions_test.go
@@ -18,14 +18,14 @@
 	"github.com/honeydyke/honeydyke/internal/message"
 )
 
-// newQuarantine returns a keeper whose changes are not reported.
+// newQuarantine returns a tracker whose changes are not reported.
 func newQuarantine() *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Config{
 		Now: time.Now, Log: zerolog.Nop(), OnChange: func(int) {}, OwnsRole: func(string) bool { return false },
 	})
 }
 
-// newBackpressure returns a keeper whose changes are not reported.
+// newBackpressure returns a tracker whose changes are not reported.
 func newBackpressure() *backpressure.Tracker {
 	return backpressure.NewTracker(backpressure.Config{
 		Now: time.Now, Log: zerolog.Nop(), Changed: func(int) {}, Rank: func(string) (before, members int) { return 0, 1 },
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -64,7 +64,7 @@
 // After a burst of 6 s, the one coordinator of all stages was late for 30 s, until it shut
 // down. In 2 s, 3,500 requests were admitted as if the system were idle, held until their
 // deadlines and retried by their clients, while the stages ran about ten batches a second.
-// Here a coordinator at four fifths of its capacity stays late after a burst.
+// The test fails if a coordinator at four fifths of its capacity stays late after a burst.
 func TestCoordinatorRecovers(t *testing.T) {
 	coordinator := httptest.NewServer(&serialCoordinator{})
 	defer coordinator.Close()
--- a/internal/gateway/readers_test.go
+++ b/internal/gateway/readers_test.go
@@ -123,7 +123,7 @@
 func startFleet(t *testing.T, s *fakeStore) ([]*Gateway, []*fakeSource) {
 	t.Helper()
 	var nodes []*Gateway
-	var readers []*fakeSource
+	var sources []*fakeSource
 	var seeds []string
 	for i := range nodeCount {
 		cores := 0.2
@@ -148,9 +148,9 @@
 			cancel()
 			<-ended
 		})
-		nodes, readers = append(nodes, g), append(readers, r)
+		nodes, sources = append(nodes, g), append(sources, r)
 	}
-	return nodes, readers
+	return nodes, sources
 }
 
 func eventually(t *testing.T, what string, condition func() bool) {
@@ -189,7 +189,7 @@
 func TestOnlyReadersWatchSource(t *testing.T) {
 	convey.Convey("Given many nodes", t, func() {
 		s := newFakeStore()
-		nodes, readers := startFleet(t, s)
+		nodes, sources := startFleet(t, s)
 		eventually(t, "all nodes know each other", func() bool {
 			for _, n := range nodes {
 				if countReachingSource(n) < strongNodeCount {
@@ -211,8 +211,8 @@
 			}
 		}
 		eventually(t, "all nodes know the first target", allKnow("first"))
-		before := make([]int, len(readers))
-		for i, r := range readers {
+		before := make([]int, len(sources))
+		for i, r := range sources {
 			before[i] = r.callCount()
 		}
 		for i := range 8 {
@@ -222,7 +222,7 @@
 		}
 		convey.Convey("few watch the source, and all receive its changes", func() {
 			watching := 0
-			for i, r := range readers {
+			for i, r := range sources {
 				if r.callCount()-before[i] >= 4 {
 					watching++
 				}
@@ -231,7 +231,7 @@
 		})
 		convey.Convey("few read a new configuration there, and all receive it with the other changes", func() {
 			callsOfOthers := func() (calls int) {
-				for _, r := range readers[strongNodeCount:] {
+				for _, r := range sources[strongNodeCount:] {
 					calls += r.callCount()
 				}
 				return calls
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -23,12 +23,12 @@
 
 func TestShouldReroute(t *testing.T) {
 	reroutes := func(reason verdict.Reason) bool { return shouldReroute(verdict.New(verdict.NotRun, reason, "why")) }
-	convey.Convey("A group is sent to another member if the member failed", t, func() {
+	convey.Convey("A group is sent to another member if its coordinator is unreachable, leaving or no longer the coordinator", t, func() {
 		convey.So(reroutes(verdict.ReasonConnection), convey.ShouldBeTrue)
 		convey.So(reroutes(verdict.ReasonLeaving), convey.ShouldBeTrue)
 		convey.So(reroutes(verdict.ReasonMoved), convey.ShouldBeTrue)
 	})
-	convey.Convey("A group is not sent to another member if the group itself failed", t, func() {
+	convey.Convey("A group is not sent to another member if the error concerns the group itself", t, func() {
 		convey.So(reroutes(verdict.ReasonDeadline), convey.ShouldBeFalse)
 		convey.So(reroutes(verdict.ReasonCancelled), convey.ShouldBeFalse)
 		convey.So(reroutes(verdict.ReasonNoTarget), convey.ShouldBeFalse)
