--- a/internal/gateway/gossipcodec/limits.go
+++ b/internal/gateway/gossipcodec/limits.go
@@ -10,7 +10,7 @@
 
 // Field numbers of message.TargetLimit in the compact format; a limit takes about 25 bytes.
 const (
-	// fieldLimitTarget is the target's life as a string.
+	// fieldLimitTarget is the target's incarnation as a string.
 	fieldLimitTarget protowire.Number = 1
 	// fieldLimitPerSecond is a decimal number as a string.
 	fieldLimitPerSecond protowire.Number = 2
--- a/internal/gateway/gossipcodec/suspects.go
+++ b/internal/gateway/gossipcodec/suspects.go
@@ -22,7 +22,7 @@
 
 // Field numbers of message.SuspectEnd in the compact format.
 const (
-	// fieldEndTarget is the target's life as a string.
+	// fieldEndTarget is the target's incarnation as a string.
 	fieldEndTarget protowire.Number = 1
 	fieldEndAgoMs  protowire.Number = 2
 	// fieldEndSilent is 1 if no part of an answer had arrived.
--- a/internal/gateway/relay/rules/evacuated.go
+++ b/internal/gateway/relay/rules/evacuated.go
@@ -9,7 +9,7 @@
 // under traffic. Without the rule the stages before that service compute results that
 // cannot be used, and clients wait for as long as items are kept, which is most of their
 // time; with it they learn immediately that nothing ran and when to retry. When a data
-// centre is taken back is unknown, so the time to retry follows from the client's own
+// centre is available again is unknown, so the time to retry follows from the client's own
 // timeout, as after every refusal (RetryAfter).
 //
 // services are the services that the request needs, in order of use; allEvacuated reports
